--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -1,4 +1,7 @@
-"""Further copies of adapters, brought before the slots of their holders are used up."""
+"""Replication of adapters to further engines before the slots of their holders are used up.
+
+Each planner runs it regularly for the adapters whose requests started since the last run.
+"""
 
 from __future__ import annotations
 
@@ -17,69 +20,73 @@
     from .planner import Planner
 
 log = logbook.Logger("planner")
-MOST_LOOKED_AT = 200
-"""Adapters that are looked at each time whether they need another copy; the others come next."""
-MOST_COPIES = 8
-"""Further copies that are begun each time, those of most gain."""
-LEAST_COPY_RATE = 0.5
-"""Requests a second below which no adapter needs one: its few would save less than a load costs."""
+MAX_ADAPTERS_CHECKED = 200
+"""Maximum adapters checked per run; the others are checked in the next one."""
+MAX_COPIES = 8
+"""Maximum copies started per run, those with the highest gain first."""
+MIN_COPY_RATE_PER_S = 0.5
+"""Minimum request rate for another copy; below it a load costs more than it saves."""
 
 
 class Copies:
-    """Looks whether the adapters of one planner need another engine.
+    """Loads adapters of one planner on further engines where that saves waiting time.
 
     Parameters
     ----------
     planner : Planner
-        Whose.
+        The planner that places the adapters.
     terms : Terms
-        What its engines can run at once.
+        Number of concurrent requests and tokens that its engines can hold.
     room : EngineRoom
-        What is known of them at work.
+        Estimates of engine speeds and of how long requests hold a slot.
     """
 
-    __slots__ = ("_asked_for", "_planner", "_room", "_terms")
+    __slots__ = ("_requested", "_planner", "_room", "_terms")
 
     def __init__(self, planner: Planner, terms: Terms, room: EngineRoom) -> None:
         self._planner = planner
         self._terms = terms
         self._room = room
-        self._asked_for: dict[AdapterKey, None] = {}
-        """Adapters whose requests began since it was looked whether they need another copy."""
+        self._requested: dict[AdapterKey, None] = {}
+        """Adapters with requests that started since they were last checked, in order."""
 
     def note(self, key: AdapterKey) -> None:
-        """Note that a request for an adapter has begun."""
-        self._asked_for[key] = None
+        """Record that a request for an adapter has started."""
+        self._requested[key] = None
 
     def bring(self, now: float) -> None:
-        """Bring the copies that save most."""
+        """Start the loads of the copies that save most waiting time."""
         planner = self._planner
         if planner.term is None or now < planner.look_from:
             return
         if planner.has_queue or not planner.loading.may_use_store():
-            # What is nowhere yet goes first.
+            # Weights that no engine holds yet take precedence.
             return
         gains = self._gains(now)
         wanted = [key for key, gain_s in gains.items() if gain_s > STORE_COST_S]
         if not wanted:
             return
         openings = planner.openings()
-        for key in sorted(wanted, key=lambda key: -gains[key])[:MOST_COPIES]:
+        for key in sorted(wanted, key=lambda key: -gains[key])[:MAX_COPIES]:
             uses = planner.uses(key, now)
-            least_s = min(planner.wait_s(engine, Work()) for engine in self._holders(key))
-            most_s = least_s + gains[key] / uses
-            if planner.load(key, now, openings, lambda name: True, most_s, uses=uses):
-                log.info("further copy", weights=key.text, gain_s=round(gains[key], 2))
+            min_wait_s = min(planner.wait_s(engine, Work()) for engine in self._holders(key))
+            max_wait_s = min_wait_s + gains[key] / uses
+            if planner.load(key, now, openings, lambda name: True, max_wait_s, uses=uses):
+                log.info(
+                    "loading further copy of adapter", weights=key.text, gain_s=round(gains[key], 2)
+                )
         planner.rest_from(now)
 
     def _gains(self, now: float) -> dict[AdapterKey, float]:
-        """Return what a copy of each adapter that is much asked for would save, in seconds."""
-        asked = list(itertools.islice(self._asked_for, MOST_LOOKED_AT))
-        for key in asked:
-            del self._asked_for[key]
+        """Return the waiting time that a copy of each frequently used adapter saves, in seconds."""
+        candidates = list(itertools.islice(self._requested, MAX_ADAPTERS_CHECKED))
+        for key in candidates:
+            del self._requested[key]
         popularity = self._planner.popularity
-        often = [key for key in asked if popularity.rate(key.text, now) >= LEAST_COPY_RATE]
-        return {key: self._gain_s(key, now) for key in often}
+        frequent = [
+            key for key in candidates if popularity.rate(key.text, now) >= MIN_COPY_RATE_PER_S
+        ]
+        return {key: self._gain_s(key, now) for key in frequent}
 
     def _gain_s(self, key: AdapterKey, now: float) -> float:
         planner, holders = self._planner, self._holders(key)
@@ -90,12 +97,12 @@
         return copy_gain_s(busy, rate, load_s, self._terms, self._room.hold_s(planner.service))
 
     def _holders(self, key: AdapterKey) -> list[Engine]:
-        """Return the engines that have an adapter, or will have it soon."""
+        """Return the engines that hold an adapter or are loading it."""
         found = [
             engine
             for engine in self._planner.index.with_key(key).values()
             if engine.places[key].phase in (Phase.LOADING, Phase.READY)
         ]
-        # One with a limit takes too little to count as a holder beside others.
+        # A rate-limited engine has too little capacity to count beside other holders.
         limits = self._planner.limits
         return [one for one in found if not limits.is_limited(one.replica.name)] or found
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -1,4 +1,4 @@
-"""Which engine a run's memory is sent to."""
+"""Choice of the engine that receives the memory of a run, for a backup copy or a move."""
 
 from __future__ import annotations
 
@@ -21,48 +21,48 @@
     Parameters
     ----------
     fleet : Fleet
-        Engines.
+        The engines and their state.
     weights : RunWeights
-        Tells which engines have the weights of a memory.
+        Finds engines that hold the weights of a run's memory.
     pace : callable
-        Returns what is known of the length of a service's runs.
+        Returns the run length statistics of a service.
     clock : callable
         The runtime's clock.
     rng : random.Random
-        Of many engines without the weights of a run, some are drawn to choose from.
+        Samples candidate engines where there are many.
     """
 
-    __slots__ = ("_clock", "_fleet", "_pace", "_rng", "_weights")
+    __slots__ = ("_clock", "_fleet", "_run_statistics", "_rng", "_weights")
 
     def __init__(
         self,
         fleet: Fleet,
         weights: RunWeights,
-        pace: t.Callable[[str], Pace],
+        run_statistics: t.Callable[[str], Pace],
         clock: t.Callable[[], float],
         rng: random.Random,
     ) -> None:
         self._fleet = fleet
         self._weights = weights
-        self._pace = pace
+        self._run_statistics = run_statistics
         self._clock = clock
         self._rng = rng
 
     def choose(
-        self, job: Job, source: Replica, versions: WeightVersions, most_used: float
+        self, job: Job, source: Replica, versions: WeightVersions, max_used: float
     ) -> Replica | None:
-        """Return an engine on which a run can go on from its memory; None if there is none.
+        """Return an engine on which a run can be resumed from its memory; None if there is none.
 
         Parameters
         ----------
         job : Job
-            The request.
+            The request being executed.
         source : Replica
-            Where it runs.
+            The engine that executes it.
         versions : WeightVersions
-            Of the weights that make its memory.
+            Versions of the weights that produce its memory.
         most_used : float
-            Part of the engine's memory that may be in use with the copy, 0 to 1 or more.
+            Largest fraction of the engine's memory in use including the copy; 0 to 1, or more.
         """
         spec = job.service.engine
         if spec is None:
@@ -76,23 +76,26 @@
         now = self._clock()
         targets = [
             CopyTarget(
-                rep.name, self._used(rep, job, spec), rep.name in held, rep.hall == source.hall
+                rep.name,
+                self._used_fraction(rep, job, spec),
+                rep.name in held,
+                rep.hall == source.hall,
             )
             for rep in (*holders, *usable)
             if rep.name != source.name and self._fleet.health(rep.name).circuit.allows(now)
-            # There the run would wait for room before it goes on.
+            # A rate-limited engine would delay the resumed run.
             and self._fleet.limits.rate(rep.name) is None
             and not self._fleet.rests.left_s(rep)
-            and self._weights.may_hold(rep, versions, key)
+            and self._weights.may_provide(rep, versions, key)
         ]
-        name = choose_target(targets, most_used)
+        name = choose_target(targets, max_used)
         return self._fleet.state.replicas[name] if name is not None else None
 
-    def _used(self, rep: Replica, job: Job, spec: EngineSpec) -> float:
-        """Return the part of an engine's memory in use with a copy of a run in it."""
+    def _used_fraction(self, rep: Replica, job: Job, spec: EngineSpec) -> float:
+        """Return the fraction of an engine's memory in use including a copy of a run."""
         if not spec.kv_tokens:
             return math.inf
         load = self._fleet.load(rep.name)
         runs = load.starting + load.running + load.others.starting + load.others.running
         copy = job.work.prompt_tokens + job.req.most_tokens
-        return (runs * self._pace(rep.service).mean_tokens + copy) / spec.kv_tokens
+        return (runs * self._run_statistics(rep.service).mean_tokens + copy) / spec.kv_tokens
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -1,4 +1,8 @@
-"""How fast each engine steps: gateways tell the pauses they saw, the planner who is slow."""
+"""Exchange of engine speeds between gateways and planners.
+
+Gateways report the pauses between events of their streams to the planner of a service, and the
+planner reports back which engines are slow.
+"""
 
 from __future__ import annotations
 
@@ -13,50 +17,62 @@
 
 log = logbook.Logger("engine speeds")
 MS = 1000.0
-SHORTER = 4
-"""The pause that is told is longer than one in so many."""
-MOST_TOGETHER = 8
-"""Events that come together count as so many at most."""
+PAUSE_RANK_DIVISOR = 4
+"""The reported pause is the quantile at 1 / `PAUSE_RANK_DIVISOR`, here the lower quartile."""
+MAX_BATCH_EVENTS = 8
+"""Maximum number of events counted for one batch."""
 
 
 class PauseTally:
-    """Pauses between events that this instance saw and has not told yet, by engine."""
+    """Pauses between events that this instance observed and has not reported yet, by engine."""
 
-    __slots__ = ("_seen",)
+    __slots__ = ("_pauses",)
 
     def __init__(self) -> None:
-        self._seen: dict[str, list[float]] = {}
+        self._pauses: dict[str, list[float]] = {}
 
     def note(self, replica: str, pause_s: float, events: int) -> None:
-        """Count events that came together after a pause, in seconds."""
-        self._seen.setdefault(replica, []).extend([pause_s / events] * min(events, MOST_TOGETHER))
+        """Record a batch of events that was received after a pause.
+
+        Parameters
+        ----------
+        replica : str
+            Name of the engine.
+        pause_s : float
+            Time since the previous batch, in seconds.
+        events : int
+            Number of events in the batch.
+        """
+        self._pauses.setdefault(replica, []).extend(
+            [pause_s / events] * min(events, MAX_BATCH_EVENTS)
+        )
 
     def take(self) -> dict[str, tuple[float, int]]:
-        """Return a pause of each engine's shorter ones and the number of events; forget them.
+        """Return the lower quartile and number of pauses for each engine, and reset the tally.
 
-        While an engine reads prompts, its streams pause for each piece of them: the longer pauses
-        say how busy it is. The shortest may be of two events that were held up together.
+        While an engine is in prefill, its streams pause for each chunk, so longer pauses reflect
+        its load. The shortest pauses may be between events that were delayed together.
         """
-        seen, self._seen = self._seen, {}
+        observed, self._pauses = self._pauses, {}
         return {
-            replica: (sorted(pauses)[len(pauses) // SHORTER], len(pauses))
-            for replica, pauses in seen.items()
+            replica: (sorted(pauses)[len(pauses) // PAUSE_RANK_DIVISOR], len(pauses))
+            for replica, pauses in observed.items()
         }
 
 
 class SpeedTeller:
-    """Implements `parts.GatewayPart` for the speed of engines.
+    """Reports observed pauses to the planner and receives slow engines; a `parts.GatewayPart`.
 
     Parameters
     ----------
     service : str
-        Whose engines.
+        Name of the service that the engines belong to.
     tally : PauseTally
-        What this instance saw.
+        Pauses that this instance observed.
     paces : EnginePaces
-        Takes what the planner tells.
+        Receives the slowness that the planner reports.
     speeds : ReadingSpeeds
-        How fast engines usually read.
+        Usual prefill speeds of engines.
     clock : callable
         The runtime's clock.
     """
@@ -78,36 +94,36 @@
         self._clock = clock
 
     def begin_stream(self) -> None:
-        """Forget what was seen: it is old, and the next events tell the same."""
+        """Discard pending observations, which are outdated after a reconnect."""
         self._tally.take()
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Tell the pauses since the last message."""
+        """Add the pauses observed since the last message."""
         for replica, (pause_s, events) in self._tally.take().items():
             message.speeds.add(replica=replica, step_ms=MS * pause_s, samples=events)
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take over which engines are slow; those not named any more are forgotten with time."""
+        """Apply the reported slow engines; engines that are no longer reported expire."""
         now, usual = self._clock(), self._speeds.speed(self._service)
-        for told in message.speeds:
-            if told.tokens_per_s > 0:
-                self._paces.take(told.replica, usual / told.tokens_per_s, now)
+        for reported in message.speeds:
+            if reported.tokens_per_s > 0:
+                self._paces.take(reported.replica, usual / reported.tokens_per_s, now)
 
 
 class SpeedDesk:
-    """Implements `parts.PlannerPart` for the speed of engines.
+    """Aggregates the pauses that gateways report into slow engines; a `parts.PlannerPart`.
 
     Parameters
     ----------
     service : str
-        Whose engines.
+        Name of the service that the engines belong to.
     paces : EnginePaces
-        Learns.
+        Detects slow engines from the reported pauses.
     speeds : ReadingSpeeds
-        How fast engines usually read.
+        Usual prefill speeds of engines.
     is_reading : callable
-        Tells whether an engine has prompts to read, by its name: its streams pause for them, and
-        what is before a new request there is reckoned with already.
+        Returns whether an engine, given by name, is in prefill. Its streams pause for that, and its
+        queue is accounted for elsewhere.
     """
 
     __slots__ = ("_is_reading", "_paces", "_service", "_slow", "_speeds")
@@ -126,18 +142,18 @@
         self._slow: frozenset[str] = frozenset()
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Learn from what a gateway saw."""
-        for seen in message.speeds:
-            if self._is_reading(seen.replica):
+        """Process the pauses that a gateway reports."""
+        for observed in message.speeds:
+            if self._is_reading(observed.replica):
                 continue
-            pause_s = seen.step_ms / MS
-            self._paces.note(self._service, seen.replica, pause_s, seen.samples, now)
+            pause_s = observed.step_ms / MS
+            self._paces.note(self._service, observed.replica, pause_s, observed.samples, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """What a gateway saw ages by itself."""
+        """Do nothing: the observations of a disconnected gateway expire."""
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Tell which engines are slow, and once which are not any more."""
+        """Add the engines that are slow, and, once each, those that have recovered."""
         slow, usual = self._paces.slow(now), self._speeds.speed(self._service)
         for replica, slowness in slow.items():
             news.speeds.add(replica=replica, tokens_per_s=usual / slowness)
@@ -145,9 +161,9 @@
             log.info("engine is slow", replica=replica, times=round(slow[replica], 2))
         for replica in sorted(self._slow - slow.keys()):
             news.speeds.add(replica=replica, tokens_per_s=usual)
-            log.info("engine is well again", replica=replica)
+            log.info("engine is no longer slow", replica=replica)
         self._slow = frozenset(slow)
 
     def forget(self, replica: str) -> None:
-        """Forget an engine that is gone or has begun another life."""
+        """Discard the observations of an engine that was removed or restarted."""
         self._paces.forget(replica)
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -1,4 +1,8 @@
-"""Runs are moved off engines that are about to end."""
+"""Moves runs off engines that are about to shut down.
+
+`Handover.run` is a background task of the gateway. It polls the engines that have runs of this
+instance, estimates when each leaving engine ends, and moves runs that would not complete in time.
+"""
 
 from __future__ import annotations
 
@@ -20,38 +24,38 @@
 
 log = logbook.Logger("handover")
 TICK_S = 0.1
-"""How often the runs on ending engines are looked at; notices are some hundred ms old anyway."""
-HURRY_S = 0.15
-"""With less time left a run is stopped at once: two calls may not fit."""
-AGAIN_S = 0.05
-"""Pause before a move is asked for again while another of the same run is under way."""
-TRIES = 3
-PREPARE_S = 0.7
-"""Time until an engine has an adapter that none but the ending one holds: 0.3 s of loading, as long
-again for its planner to be asked and to make room."""
+"""Interval between polls; shutdown notices are delayed by a few hundred ms anyway."""
+MIN_TWO_CALLS_S = 0.15
+"""Minimum time left for a copy followed by a stop; with less, the run is stopped at once."""
+MOVE_RETRY_S = 0.05
+"""Pause before a move is retried while another move of the same run is in progress."""
+MOVE_ATTEMPTS = 3
+TARGET_PREPARE_S = 0.7
+"""Time to get an adapter to an engine if only the ending one holds it: 0.3 s to load it, and about
+as long for the planner to respond and free capacity."""
 REPORT_LAG_S = 0.2
-"""An engine's report shows the state of some hundred ms ago."""
+"""Age of the state in an engine's report."""
 
 
 class Handover:
-    """Has the runs of this instance moved off engines that are about to end.
+    """Moves runs of this instance off engines that are about to shut down.
 
     Parameters
     ----------
     fleet : Fleet
-        Engines.
+        The engines and their state.
     directory : Directory
         Finds engines with the weights of a run.
     lasting : LastingRuns
-        Knows the runs.
+        Tracks the active runs.
     transport : RunTransport
-        Moves them.
+        Asks engines to move runs.
     try_retry : callable
-        Takes a repeated sending to a service from the budget if there is one.
+        Takes a retry from the budget of a service; returns whether there was one.
     clock : callable
         The runtime's clock.
     drain_s : float
-        How long an engine goes on after its notice if it does not say, in seconds.
+        Assumed time from an engine's notice to its end if it reports none, in seconds.
     """
 
     __slots__ = (
@@ -86,13 +90,13 @@
         self._clock = clock
         self._drain_s = drain_s
         self._ends_at: dict[str, float] = {}
-        """When leaving engines will be gone, by the runtime's clock."""
+        """Time at which each leaving engine is expected to end, by the runtime's clock."""
         self._seen_change = -1
         self._moving: set[Run] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Look after the runs on ending engines until cancelled."""
+        """Poll until cancelled."""
         try:
             while True:
                 await asyncio.sleep(TICK_S)
@@ -102,21 +106,21 @@
                 task.cancel()
 
     def look(self) -> None:
-        """Begin the moves that are due."""
+        """Start the moves that are due."""
         now, state = self._clock(), self._fleet.state
         if state.change != self._seen_change:
             self._seen_change = state.change
-            self._note_ends(now)
+            self._update_deadlines(now)
         for name, runs in self._lasting.runs.items():
             known = state.replicas.get(name)
             if known is None and name not in self._ends_at:
-                # Some engines give no notice: their entry goes, and they go on for as long.
+                # Some engines give no notice: their entry is removed and they drain for `drain_s`.
                 self._ends_at[name] = now + self._drain_s
-                self._start(self._ask_end(next(iter(runs)).replica))
+                self._start(self._query_remaining_time(next(iter(runs)).replica))
             if name in self._ends_at:
-                self._begin_moves(name, runs, self._ends_at[name] - now)
+                self._start_due_moves(name, runs, self._ends_at[name] - now)
 
-    def _note_ends(self, now: float) -> None:
+    def _update_deadlines(self, now: float) -> None:
         replicas = self._fleet.state.replicas
         kept = replicas.keys() | self._lasting.runs.keys()
         self._ends_at = {name: at for name, at in self._ends_at.items() if name in kept}
@@ -126,15 +130,20 @@
             elif rep.name not in self._ends_at:
                 self._ends_at[rep.name] = now + min(rep.ends_in_s, self._drain_s)
                 if rep.name in self._lasting.runs:
-                    self._start(self._ask_end(rep))
+                    self._start(self._query_remaining_time(rep))
 
-    async def _ask_end(self, rep: Replica) -> None:
-        """Ask an engine how long it has: its notice was written some time ago."""
-        left_s = await self._transport.ends_in_s(rep)
-        if left_s is None or rep.name not in self._ends_at:
+    async def _query_remaining_time(self, rep: Replica) -> None:
+        """Query the remaining time of an engine, since its notice may be outdated."""
+        remaining_s = await self._transport.ends_in_s(rep)
+        if remaining_s is None or rep.name not in self._ends_at:
             return
-        ends_at = self._clock() + left_s - REPORT_LAG_S
-        log.info("engine ends", replica=rep.name, in_s=round(left_s, 2), told_s=rep.ends_in_s)
+        ends_at = self._clock() + remaining_s - REPORT_LAG_S
+        log.info(
+            "engine is about to end",
+            replica=rep.name,
+            in_s=round(remaining_s, 2),
+            told_s=rep.ends_in_s,
+        )
         self._ends_at[rep.name] = min(self._ends_at[rep.name], ends_at)
         self.look()
 
@@ -143,29 +152,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _begin_moves(self, name: str, runs: t.Iterable[Run], ends_in_s: float) -> None:
-        by_id = {run.job.req.id: run for run in runs if run not in self._moving and _can_move(run)}
+    def _start_due_moves(self, name: str, runs: t.Iterable[Run], ends_in_s: float) -> None:
+        by_id = {
+            run.job.req.id: run for run in runs if run not in self._moving and _is_movable(run)
+        }
         if not by_id or ends_in_s <= 0:
             return
         spec = next(iter(by_id.values())).job.service.engine
         if spec is None:
             return
         others = self._fleet.load(name).others
-        ending = [self._ending(run) for run in by_id.values()]
+        ending = [self._ending_run(run) for run in by_id.values()]
         for one in moves_due(ending, ends_in_s, others.starting + others.running, spec.copy_terms):
             run = by_id[one.request_id]
             self._moving.add(run)
-            self._start(self._move(run))
+            self._start(self._move_run(run))
 
-    def _ending(self, run: Run) -> EndingRun:
+    def _ending_run(self, run: Run) -> EndingRun:
         job, spec = run.job, run.job.service.engine
-        made = run.events * spec.copy_terms.event_tokens if spec is not None else 0
-        left_s = self._lasting.left_s(run)
-        # One that may be repeated goes on after its last event anyway; its prompt is read again.
-        value = (job.work.prompt_tokens + made) * (1 if job.may_repeat() else 2)
-        tokens = job.work.prompt_tokens + made
-        prepare_s = 0.0 if self._has_other_holder(run) else PREPARE_S
-        return EndingRun(job.req.id, tokens, left_s, value, prepare_s)
+        generated_tokens = run.events * spec.copy_terms.event_tokens if spec is not None else 0
+        remaining_s = self._lasting.remaining_s(run)
+        # A repeatable request can be resumed without a move, at the cost of another prefill.
+        value = (job.work.prompt_tokens + generated_tokens) * (1 if job.may_repeat() else 2)
+        tokens = job.work.prompt_tokens + generated_tokens
+        prepare_s = 0.0 if self._has_other_holder(run) else TARGET_PREPARE_S
+        return EndingRun(job.req.id, tokens, remaining_s, value, prepare_s)
 
     def _has_other_holder(self, run: Run) -> bool:
         key = run.job.req.key
@@ -174,50 +185,50 @@
         holders = self._fleet.holders(run.job.service.name, key)
         return any(rep.name != run.replica.name for rep in holders)
 
-    async def _move(self, run: Run) -> None:
+    async def _move_run(self, run: Run) -> None:
         try:
-            target = await self._find(run)
+            target = await self._find_target(run)
             if target is None:
                 return
             if not await self._lasting.weights.is_usable(run.job, _copy(run, target)):
                 return
-            copied = ""
-            left_s = self._ends_at.get(run.replica.name, math.inf) - self._clock()
-            if left_s > HURRY_S or run.was_refused:
-                reply = await self._ask(run, target, last=False)
-                copied = reply.handle
+            copy_handle = ""
+            remaining_s = self._ends_at.get(run.replica.name, math.inf) - self._clock()
+            if remaining_s > MIN_TWO_CALLS_S or run.copy_failed:
+                reply = await self._request_move(run, target, last=False)
+                copy_handle = reply.handle
                 if reply.outcome is not MoveOutcome.COPIED:
-                    # A run for which there is no room goes on as long as its engine does.
-                    run.was_refused = True
+                    # Without capacity elsewhere the run continues until its engine ends.
+                    run.copy_failed = True
                     return
-            if self._is_on(run) and self._try_retry(run.job.service.name):
+            if self._is_active(run) and self._try_retry(run.job.service.name):
                 run.job.is_paid = True
-                await self._stop(run, target, copied)
-            elif copied:
-                await self._transport.free(target, copied)
+                await self._stop_and_resume(run, target, copy_handle)
+            elif copy_handle:
+                await self._transport.free(target, copy_handle)
         finally:
             self._moving.discard(run)
 
-    async def _stop(self, run: Run, target: Replica, copied: str) -> None:
-        """Stop a run of which a copy is at another engine, and let it go on there."""
+    async def _stop_and_resume(self, run: Run, target: Replica, copy_handle: str) -> None:
+        """Stop a run, which moves the rest of its memory, so that it can be resumed there."""
         run.handover = asyncio.get_running_loop().create_future()
         found: Copy | None = None
         try:
-            reply = await self._ask(run, target, last=True)
+            reply = await self._request_move(run, target, last=True)
             if reply.outcome is MoveOutcome.COPIED and reply.handle:
                 found = _copy(run, target, reply.handle)
         finally:
             run.handover.set_result(found)
-        if found is not None and not self._is_on(run) and run.taken is not found:
+        if found is not None and not self._is_active(run) and run.resumed_from is not found:
             await self._transport.free(run.replica, found.ident)
-        if reply.outcome is MoveOutcome.NO_RUN and copied:
-            # It ended by itself meanwhile.
-            await self._transport.free(target, copied)
+        if reply.outcome is MoveOutcome.NO_RUN and copy_handle:
+            # The run completed in the meantime.
+            await self._transport.free(target, copy_handle)
 
-    async def _ask(self, run: Run, target: Replica, last: bool) -> MoveReply:
-        """Ask an engine to copy a run's memory, again while that is under way or not answered."""
+    async def _request_move(self, run: Run, target: Replica, last: bool) -> MoveReply:
+        """Ask an engine to copy a run's memory; retry if it is busy or does not respond."""
         reply = MoveReply(MoveOutcome.LOST)
-        for _ in range(TRIES):
+        for _ in range(MOVE_ATTEMPTS):
             began = self._clock()
             reply = await self._transport.move(run.replica, run.job.req.id, target, last)
             log.info(
@@ -232,11 +243,11 @@
             )
             if reply.outcome not in (MoveOutcome.BUSY, MoveOutcome.LOST):
                 break
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(MOVE_RETRY_S)
         return reply
 
-    async def _find(self, run: Run) -> Replica | None:
-        """Return an engine on which a run can go on at once."""
+    async def _find_target(self, run: Run) -> Replica | None:
+        """Return an engine on which a run can be resumed; load its weights there if needed."""
         job = run.job
         key = job.req.key
         weights, versions = self._lasting.weights, run.versions
@@ -256,12 +267,12 @@
                 absent="",
             )
         except Refused as exc:
-            log.info("no engine for a run", id=job.req.id, why=str(exc))
+            log.info("no target engine for a run", id=job.req.id, why=str(exc))
             return None
-        # What was loaded is the newest, of which the name may not have come here.
+        # Engines load the newest version, which may not have been announced here yet.
         return found if weights.holds(found, versions, key) else None
 
-    def _is_on(self, run: Run) -> bool:
+    def _is_active(self, run: Run) -> bool:
         return run in self._lasting.runs.get(run.replica.name, ())
 
 
@@ -269,6 +280,6 @@
     return Copy(CopyKind.MOVED, run.replica.address, handle, target, run.versions)
 
 
-def _can_move(run: Run) -> bool:
+def _is_movable(run: Run) -> bool:
     spec = run.job.service.engine
     return spec is not None and spec.moves and run.handover is None
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/kept.py
@@ -1,4 +1,9 @@
-"""Parts of prompts that engines keep, as one instance reckons with them."""
+"""Prefix caching: estimates of the prompt tokens that an engine has cached and need not read.
+
+Engines keep the computed prefixes of prompts for later prompts that begin alike. Gateways and
+planners estimate from the requests that they send which engine has which prefixes cached, and take
+that into account when they choose an engine.
+"""
 
 from __future__ import annotations
 
@@ -18,23 +23,23 @@
     from .planner import Planner
 
 T = t.TypeVar("T")
-HOMES_BELOW = 16
-"""Where there are more engines gateways look at so many, drawn by each anew, and would not agree on
-a home among them."""
-CHAIN_HOLDERS = 4
-"""Of the engines that are drawn for a request so many are the same for all that begin alike: drawn
-by chance alone, an engine that keeps its parts is seldom among them."""
+HOME_ENGINE_LIMIT = 16
+"""Number of engines from which on no home is used: gateways then choose among random samples, and
+would not agree on one."""
+CHAIN_SAMPLE_SIZE = 4
+"""Number of sampled engines that are the same for all prompts with a common prefix chain; a purely
+random sample would seldom include an engine that has the prefixes cached."""
 
 
 class Kept:
-    """Tells how much of a prompt an engine need not read.
+    """Estimates how much of a prompt an engine has cached.
 
     Parameters
     ----------
     clock : callable
         The runtime's clock.
     is_on : bool
-        Whether kept parts are reckoned with at all.
+        Whether cached prefixes are taken into account at all.
     """
 
     __slots__ = ("_clock", "_is_on", "_shares", "parts")
@@ -44,72 +49,72 @@
         self._is_on = is_on
         self._shares = ChainShares()
         self.parts = KeptParts()
-        """What engines keep, as far as this instance knows."""
+        """Prefixes that engines have cached, as far as known to this instance."""
 
     def chain(self, req: Request, owner: str) -> Chain | None:
-        """Return what of a request's prompt may be kept for others of the same owner."""
+        """Return the prefix chain of a prompt that other requests of the same owner may share."""
         if not self._is_on or req.key is None:
             return None
         return chain_of(req.key.text, owner, req.parts)
 
     def at(self, replica: str, work: Work) -> Work:
-        """Return what a request asks of a certain engine."""
+        """Return the work of a request on a given engine, less the tokens cached there."""
         kept = self.parts.kept_tokens(replica, work.chain, self._clock())
         return work if kept == work.kept_tokens else replace(work, kept_tokens=kept)
 
     def at_each(
         self, replicas: t.Collection[Replica], work: Work, speed: float
     ) -> list[tuple[Replica, Work]]:
-        """Return what a request asks of each of some engines, for a choice among them.
+        """Return the work of a request on each of some engines, for a choice among them.
 
-        Most of what is sent there is not seen here, so a chain is taken for kept at its home as
-        well, where all instances send it that find nothing better.
+        Most requests are sent by other instances, so a chain is also assumed to be cached on its
+        home, the engine that all instances prefer for it by rendezvous hashing.
 
         Parameters
         ----------
         replicas : collection of Replica
-            Engines.
+            The engines to choose from.
         work : Work
-            What is asked.
+            The work of the request if nothing is cached.
         speed : float
-            How fast they read, in tokens a second.
+            Prefill speed of the engines, in tokens a second.
         """
         home = self.home(work, (rep.name for rep in replicas))
         return [(rep, self.at_least(rep.name, work, home, speed)) for rep in replicas]
 
     def home(self, work: Work, replicas: t.Iterable[str]) -> str:
-        """Return the home of a request's chain among some engines, empty if it has none."""
+        """Return the home of a request's chain among some engines; empty if there is none."""
         if work.chain is None:
             return ""
         names = list(replicas)
-        return home_of(work.chain, names) if len(names) < HOMES_BELOW else ""
+        return home_of(work.chain, names) if len(names) < HOME_ENGINE_LIMIT else ""
 
     def at_least(self, replica: str, work: Work, home: str, speed: float) -> Work:
-        """Return what a request asks of an engine if its chain's home keeps it."""
+        """Return the work of a request on an engine, assuming that its home has it cached."""
         at = self.at(replica, work)
         if work.chain is None or replica != home:
             return at
         return replace(work, kept_tokens=tokens_at_home(work.chain, at.kept_tokens, speed))
 
     def mark(self, work: Work, engines: int, rng: random.Random) -> int | None:
-        """Return by what a request is drawn to one of some engines, None if by chance alone."""
+        """Return the digest that selects an engine for a request; None for a random choice."""
         if work.chain is None:
             return None
         return split_mark(work.chain, self._shares.note(work.chain), engines, rng.random())
 
     def note_sent(self, replica: str, work: Work, memory_tokens: int, gateways: int) -> None:
-        """Note that a request is sent to an engine, which will keep its parts.
+        """Record that a request is sent to an engine, which will cache its prefixes.
 
         Parameters
         ----------
         replica : str
-            Which engine.
+            Name of the engine.
         work : Work
-            What is asked of it there.
+            The work of the request on that engine.
         memory_tokens : int
-            What its memory holds; 0 if that is not known.
+            Capacity of its memory in tokens; 0 if unknown.
         gateways : int
-            Instances that send like this one; 0 if that is not known.
+            Number of gateway instances that send requests; 0 if unknown.
         """
         self.parts.seen_part = 1 / max(1, gateways)
         self.parts.note_credit(work.chain, work.kept_tokens)
@@ -117,29 +122,29 @@
         self.parts.note(replica, work.chain, self._clock())
 
     def note_told(self, replica: str, chain: Chain | None, tokens: int) -> None:
-        """Take over what a planner tells of an engine: how much of a chain it keeps."""
+        """Record how many tokens of a chain an engine has cached, as reported by a planner."""
         self.parts.note(replica, chain, self._clock(), tokens)
 
 
 def sample_holders(
     found: t.Sequence[T], count: int, chain: Chain | None, rng: random.Random
 ) -> list[T]:
-    """Return some of very many engines, some of them the same for all prompts of a chain."""
+    """Return a sample of many engines, part of which is the same for all prompts of a chain."""
     if chain is None:
         return rng.sample(found, count)
-    own = random.Random(chain.prefixes[-1].mark).sample(found, CHAIN_HOLDERS)
-    return [*own, *rng.sample(found, count - CHAIN_HOLDERS)]
+    own = random.Random(chain.prefixes[-1].mark).sample(found, CHAIN_SAMPLE_SIZE)
+    return [*own, *rng.sample(found, count - CHAIN_SAMPLE_SIZE)]
 
 
 def encode_chain(chain: Chain | None) -> list[pb.Prefix]:
-    """Return a chain for a question to a planner."""
+    """Return the wire form of a chain, for a request to a planner."""
     if chain is None:
         return []
     return [pb.Prefix(mark=prefix.mark, tokens=prefix.tokens) for prefix in chain.prefixes]
 
 
 def decode_chain(weights: str, prefixes: t.Sequence[pb.Prefix]) -> Chain | None:
-    """Return the chain of a question, None if it names none."""
+    """Return the chain of a request to a planner; None if it has none."""
     if not prefixes:
         return None
     return Chain(weights, tuple(Prefix(told.mark, told.tokens) for told in prefixes))
@@ -148,7 +153,7 @@
 def add_gauges(
     meters: Meters, parts: KeptParts, planners: t.Callable[[], t.Iterable[Planner]]
 ) -> None:
-    """Add what operators see of kept parts, here and at the planners that run here."""
+    """Add the metrics of prefix caching of this instance and of the planners that run here."""
     meters.gauge("kept_parts", "Parts of prompts taken for kept, all engines", lambda: parts.size)
     meters.gauge(
         "shared_prompt_tokens",
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -1,4 +1,8 @@
-"""Runs that went on elsewhere do not go on where they were left, too."""
+"""Stops abandoned runs, so that no request runs on two engines at once.
+
+An engine may keep or requeue a run whose stream broke. After the request was resumed on another
+engine, the former engine is polled until it has stopped the run or reports that it has none.
+"""
 
 from __future__ import annotations
 
@@ -18,49 +22,49 @@
 log = logbook.Logger("left runs")
 
 
-class LeftRun:
-    """A run that was left at its engine, which may still have it.
+class AbandonedRun:
+    """A run that was abandoned on an engine, which may still execute it.
 
     Parameters
     ----------
     job : Job
-        The request.
+        The request that was being executed.
     replica : Replica
-        Where it was left.
+        The engine on which the run was abandoned.
     target : Replica
-        An engine that its memory is offered to, as stopping it asks for one.
-    left_at : float
-        When it was left, by the runtime's clock.
+        The engine named as target of the memory, which a stop request requires.
+    abandoned_at : float
+        Time at which it was abandoned, by the runtime's clock.
     """
 
-    __slots__ = ("is_paused", "job", "left_at", "replica", "target", "went_on", "went_on_at")
+    __slots__ = ("is_paused", "job", "abandoned_at", "replica", "target", "resumed", "resumed_at")
 
-    def __init__(self, job: Job, replica: Replica, target: Replica, left_at: float) -> None:
+    def __init__(self, job: Job, replica: Replica, target: Replica, abandoned_at: float) -> None:
         self.job = job
         self.replica = replica
         self.target = target
-        self.left_at = left_at
+        self.abandoned_at = abandoned_at
         self.is_paused = False
-        """Whether its request was sent to its engine, which has not answered yet."""
-        self.went_on_at = -math.inf
-        """When its request was last sent to go on elsewhere."""
-        self.went_on = asyncio.Event()
+        """Whether the request is being sent to that engine again and has no response yet."""
+        self.resumed_at = -math.inf
+        """Time at which the request was last sent to another engine."""
+        self.resumed = asyncio.Event()
 
 
-class LeftRuns:
-    """Asks engines for runs that went on elsewhere, and has them stopped there.
+class AbandonedRuns:
+    """Polls engines for abandoned runs and stops them.
 
     Parameters
     ----------
     transport : RunTransport
-        Stops runs, and brings what engines say of theirs.
+        Stops runs and queries engines for the runs that they have.
     meters : Meters
-        Counts.
+        Metrics of abandoned runs.
     clock : callable
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_left", "_meters", "_transport")
+    __slots__ = ("_clock", "_by_request", "_meters", "_transport")
 
     def __init__(
         self, transport: RunTransport, meters: Meters, clock: t.Callable[[], float]
@@ -68,96 +72,96 @@
         self._transport = transport
         self._meters = meters
         self._clock = clock
-        self._left: dict[str, dict[str, tuple[LeftRun, asyncio.Task[None]]]] = {}
-        """By request and replica."""
+        self._by_request: dict[str, dict[str, tuple[AbandonedRun, asyncio.Task[None]]]] = {}
+        """Abandoned runs and their polling tasks, by request identifier and replica name."""
 
     async def is_gone(self, job: Job, replica: Replica) -> bool:
-        """Tell whether a run that its engine did not know has left the engine for certain."""
-        word = await self._transport.word(replica)
-        gone = is_gone(word, job.req.id, self._clock() - job.event_at)
+        """Return whether a run unknown to its engine has certainly ended; it may be queued."""
+        report = await self._transport.word(replica)
+        has_ended = is_gone(report, job.req.id, self._clock() - job.event_at)
         log.info(
-            "run not known to its engine",
+            "engine reports no such run",
             id=job.req.id,
             replica=replica.name,
-            gone=gone,
-            queued=word.queued if word is not None else None,
-            active=word.active if word is not None else None,
-            runs=len(word.runs) if word is not None else None,
+            gone=has_ended,
+            queued=report.queued if report is not None else None,
+            active=report.active if report is not None else None,
+            runs=len(report.runs) if report is not None else None,
         )
-        return gone
+        return has_ended
 
-    def watch(self, left: LeftRun) -> None:
-        """See to it that a run is stopped should it go on where it was left."""
-        of_job = self._left.setdefault(left.job.req.id, {})
-        if left.replica.name in of_job:
+    def watch(self, run: AbandonedRun) -> None:
+        """Poll for an abandoned run in the background and stop it if its engine still has it."""
+        by_replica = self._by_request.setdefault(run.job.req.id, {})
+        if run.replica.name in by_replica:
             return
-        task = asyncio.create_task(self._watch(left))
-        of_job[left.replica.name] = (left, task)
-        task.add_done_callback(lambda _: self._forget(left))
+        task = asyncio.create_task(self._watch_run(run))
+        by_replica[run.replica.name] = (run, task)
+        task.add_done_callback(lambda _: self._forget(run))
 
-    def note_sending(self, job: Job, replica: Replica) -> None:
-        """Note where a request is sent: what was left there is left alone, the rest is urgent."""
-        for name, (left, _) in self._left.get(job.req.id, {}).items():
+    def note_attempt(self, job: Job, replica: Replica) -> None:
+        """Record where a request is sent: pause polling there, and poll other engines urgently."""
+        for name, (run, _) in self._by_request.get(job.req.id, {}).items():
             if name == replica.name:
-                # Stopped there now, its request's new run could be meant.
-                left.is_paused = True
+                # A stop request could hit the new run of the same request.
+                run.is_paused = True
             elif job.events.last_event:
-                left.went_on_at = self._clock()
-                left.went_on.set()
+                run.resumed_at = self._clock()
+                run.resumed.set()
 
-    def note_begun(self, job: Job, replica: Replica) -> None:
-        """Note that an engine runs a request: what was left there is not looked for any more."""
-        found = self._left.get(job.req.id, {}).get(replica.name)
+    def note_started(self, job: Job, replica: Replica) -> None:
+        """Record that an engine runs a request again, and stop polling that engine for it."""
+        found = self._by_request.get(job.req.id, {}).get(replica.name)
         if found is not None:
             found[1].cancel()
 
-    def note_ended(self, job: Job, replica: Replica) -> None:
-        """Note that a sending to an engine has ended, most of them after it was turned away."""
-        found = self._left.get(job.req.id, {}).get(replica.name)
+    def note_attempt_ended(self, job: Job, replica: Replica) -> None:
+        """Record that an attempt on an engine ended, usually by rejection, and resume polling."""
+        found = self._by_request.get(job.req.id, {}).get(replica.name)
         if found is not None:
             found[0].is_paused = False
 
-    def _forget(self, left: LeftRun) -> None:
-        of_job = self._left[left.job.req.id]
-        del of_job[left.replica.name]
-        if not of_job:
-            del self._left[left.job.req.id]
+    def _forget(self, run: AbandonedRun) -> None:
+        by_replica = self._by_request[run.job.req.id]
+        del by_replica[run.replica.name]
+        if not by_replica:
+            del self._by_request[run.job.req.id]
 
-    async def _watch(self, left: LeftRun) -> None:
-        while self._clock() < left.job.deadline_at:
-            await self._pause(left)
-            if not left.is_paused and await self._is_over(left):
+    async def _watch_run(self, run: AbandonedRun) -> None:
+        while self._clock() < run.job.deadline_at:
+            await self._wait_for_next_check(run)
+            if not run.is_paused and await self._stop_or_confirm_ended(run):
                 return
         self._meters.left_run("unknown")
 
-    async def _pause(self, left: LeftRun) -> None:
+    async def _wait_for_next_check(self, run: AbandonedRun) -> None:
         now = self._clock()
-        left.went_on.clear()
-        pause_s = next_ask_s(now - left.left_at, now - left.went_on_at)
+        run.resumed.clear()
+        pause_s = next_ask_s(now - run.abandoned_at, now - run.resumed_at)
         try:
-            await asyncio.wait_for(left.went_on.wait(), pause_s)
+            await asyncio.wait_for(run.resumed.wait(), pause_s)
         except TimeoutError:
             return
 
-    async def _is_over(self, left: LeftRun) -> bool:
-        """Ask for a left run, and tell whether it is gone for certain."""
-        ident, replica = left.job.req.id, left.replica
-        reply = await self._transport.move(replica, ident, left.target, True)
+    async def _stop_or_confirm_ended(self, run: AbandonedRun) -> bool:
+        """Try to stop an abandoned run; return whether it has certainly ended."""
+        ident, replica = run.job.req.id, run.replica
+        reply = await self._transport.move(replica, ident, run.target, True)
         if reply.handle:
-            after_s = round(self._clock() - left.left_at, 3)
-            log.info("left run stopped", id=ident, replica=replica.name, after_s=after_s)
+            after_s = round(self._clock() - run.abandoned_at, 3)
+            log.info("abandoned run stopped", id=ident, replica=replica.name, after_s=after_s)
             self._meters.left_run("stopped")
             await self._transport.free(replica, reply.handle)
             return True
         is_over = reply.outcome is MoveOutcome.UNREACHED or (
-            reply.outcome is MoveOutcome.NO_RUN and await self._is_gone_since(left)
+            reply.outcome is MoveOutcome.NO_RUN and await self._has_ended_since(run)
         )
         if is_over:
             self._meters.left_run("gone")
         return is_over
 
-    async def _is_gone_since(self, left: LeftRun) -> bool:
-        if self._clock() - left.left_at < REPORT_AGE_S:
+    async def _has_ended_since(self, run: AbandonedRun) -> bool:
+        if self._clock() - run.abandoned_at < REPORT_AGE_S:
             return False
-        word = await self._transport.word(left.replica)
-        return is_gone(word, left.job.req.id, self._clock() - left.left_at)
+        report = await self._transport.word(run.replica)
+        return is_gone(report, run.job.req.id, self._clock() - run.abandoned_at)
--- a/packages/gateway/src/gradelug_gateway/moves.py
+++ b/packages/gateway/src/gradelug_gateway/moves.py
@@ -1,4 +1,4 @@
-"""What an engine answers when it is asked to move a run."""
+"""Outcomes of a request to an engine to move a run to another engine."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 
 class MoveOutcome(Enum):
-    """What an engine said when it was asked to move a run."""
+    """Result of a request to move a run."""
 
     COPIED = "copied"
-    """The memory is at the other engine."""
+    """The memory was copied to the target engine."""
     NO_ROOM = "no room"
-    """It is not at the other engine; the engine that stopped the run keeps it."""
+    """The target has no capacity; if the run was stopped, its engine keeps the memory."""
     NO_RUN = "no run"
-    """The engine runs no such request."""
+    """The engine is not running the request."""
     BUSY = "busy"
-    """Another move of the run is under way."""
+    """Another move of the run is in progress."""
     UNREACHED = "unreached"
-    """Nothing was asked: the engine cannot be reached."""
+    """The request was not sent because the engine cannot be reached."""
     LOST = "lost"
-    """No answer: done, not done, or done later."""
+    """No response: the move may have happened, or may still happen."""
 
 
 @dataclass(slots=True, frozen=True)
 class MoveReply:
-    """An engine's answer to a move.
+    """An engine's response to a move request.
 
     Parameters
     ----------
     outcome : MoveOutcome
-        What it did.
+        Result of the move.
     handle : str
-        Under what the memory is kept; empty if it is not.
+        Identifier of the kept memory; empty if none is kept.
     events : int
-        Events that the run had made.
+        Number of events that the run had produced.
     """
 
     outcome: MoveOutcome
--- a/packages/gateway/src/gradelug_gateway/replica_ends.py
+++ b/packages/gateway/src/gradelug_gateway/replica_ends.py
@@ -1,4 +1,7 @@
-"""Finds out which replicas ended while they had requests of this gateway."""
+"""Detection of replicas that ended while they had requests of this gateway.
+
+Used by the poison guard, which counts replica ends against the requests that were running there.
+"""
 
 from __future__ import annotations
 
@@ -12,16 +15,16 @@
 
 log = logbook.Logger("replica ends")
 CONNECT_S = 0.35
-"""A process that ended refuses connections within a round trip; a lost packet is not waited for."""
+"""An ended process refuses connections within a round trip; a lost packet is not waited for."""
 WORD_S = 8.0
-"""The platform tells within this time of a replica that cannot be reached: its entry goes after
-three missed heartbeats, 3.6 s, and instances of large fleets look 2.2 s apart."""
-NEVER_USED_S = -1.0
-"""No connection was idle for less: a new one is opened."""
+"""Time within which the platform reports an unreachable replica as removed: its entry expires after
+three missed heartbeats (3.6 s), and instances of large fleets poll every 2.2 s."""
+NEW_CONN_IDLE_S = -1.0
+"""Idle limit that no pooled connection meets, so that a new one is opened."""
 
 
-class _Doubt:
-    """A replica of which answers broke off, in one of its lives."""
+class _EndCheck:
+    """A check whether a replica incarnation ended, after responses from it were interrupted."""
 
     __slots__ = ("has_ended", "replica", "since", "task", "weights")
 
@@ -29,27 +32,28 @@
         self.replica = replica
         self.since = since
         self.weights: dict[bytes, float] = {}
-        """The requests whose answers broke off."""
+        """Weight of each request whose response was interrupted, by request digest."""
         self.has_ended = False
         self.task: asyncio.Task[None] | None = None
 
 
 class EndWatch:
-    """Tells a replica that ended from a connection that did.
+    """Distinguishes the end of a replica from the end of a connection.
 
-    Links reset connections, answers get lost, and replicas cut what is read too slowly. Only where
-    a new connection is refused, or the platform says that the replica is gone, did it end.
+    Links reset connections, responses get lost, and replicas close connections that are read too
+    slowly. A replica counts as ended only if it refuses a new connection or the platform reports it
+    as removed or restarted.
 
     Parameters
     ----------
     pool : HttpPool
-        Connections to replicas.
+        Opens connections to replicas.
     state : FleetState
-        What the platform has told.
+        The replicas as last reported by the platform.
     clock : callable
         The runtime's clock.
     note_end : callable
-        Takes the replica's life and the requests that were there.
+        Receives the incarnation of an ended replica, and the requests there with their weights.
     """
 
     __slots__ = ("_clock", "_doubts", "_note_end", "_pool", "_state", "ended")
@@ -65,60 +69,60 @@
         self._state = state
         self._clock = clock
         self._note_end = note_end
-        self._doubts: dict[str, _Doubt] = {}
+        self._doubts: dict[str, _EndCheck] = {}
         self.ended = 0
-        """Replicas that ended under requests of this gateway."""
+        """Number of replicas that ended while they had requests of this gateway."""
 
     def note_broken(self, replica: Replica, mark: bytes, weight: float) -> None:
-        """Note that a request's answer broke off, and how much that would say against it."""
+        """Record an interrupted response, with the weight of an end against its request."""
         known = self._state.replicas.get(replica.name)
         if known is None or known.leaving:
-            # A planned end is no request's doing: it is announced, or the entry goes before.
+            # No request causes a planned end: it is announced, or the entry is removed first.
             return
-        doubt = self._doubts.get(_life(replica))
-        if doubt is None:
-            doubt = self._doubts[_life(replica)] = _Doubt(replica, self._clock())
-            doubt.task = asyncio.create_task(self._check(doubt))
-        doubt.weights[mark] = max(weight, doubt.weights.get(mark, 0.0))
-        if doubt.has_ended:
-            self._note_end(_life(replica), {mark: weight})
+        check = self._doubts.get(_incarnation(replica))
+        if check is None:
+            check = self._doubts[_incarnation(replica)] = _EndCheck(replica, self._clock())
+            check.task = asyncio.create_task(self._check(check))
+        check.weights[mark] = max(weight, check.weights.get(mark, 0.0))
+        if check.has_ended:
+            self._note_end(_incarnation(replica), {mark: weight})
 
     def note_refused(self, replica: Replica) -> None:
-        """Note that a replica refuses connections."""
-        doubt = self._doubts.get(_life(replica))
-        if doubt is not None:
-            self._confirm(doubt, "it refuses connections")
+        """Record that a replica refuses connections."""
+        check = self._doubts.get(_incarnation(replica))
+        if check is not None:
+            self._confirm(check, "connection refused")
 
     def look(self) -> None:
-        """Follow what the platform tells of replicas that cannot be reached."""
+        """Confirm ends that the platform reports, and drop checks that have expired."""
         now = self._clock()
-        for life, doubt in list(self._doubts.items()):
-            known = self._state.replicas.get(doubt.replica.name)
-            if known is None or known.born != doubt.replica.born:
-                self._confirm(doubt, "the platform tells of its end")
-            if now - doubt.since > WORD_S:
-                del self._doubts[life]
-
-    async def _check(self, doubt: _Doubt) -> None:
-        """Connect to a replica: it runs, it has ended, or nothing is known."""
+        for incarnation, check in list(self._doubts.items()):
+            known = self._state.replicas.get(check.replica.name)
+            if known is None or known.born != check.replica.born:
+                self._confirm(check, "removed or restarted according to the platform")
+            if now - check.since > WORD_S:
+                del self._doubts[incarnation]
+
+    async def _check(self, check: _EndCheck) -> None:
+        """Open a connection to a replica: success clears it, a refusal confirms its end."""
         try:
-            conn = await self._pool.acquire(doubt.replica.address, CONNECT_S, NEVER_USED_S)
+            conn = await self._pool.acquire(check.replica.address, CONNECT_S, NEW_CONN_IDLE_S)
         except ConnectRefused:
-            self._confirm(doubt, "it refuses connections")
+            self._confirm(check, "connection refused")
         except ConnectFailed as exc:
-            log.info("not known to have ended", replica=doubt.replica.name, why=str(exc))
+            log.info("end of replica not confirmed", replica=check.replica.name, why=str(exc))
         else:
             conn.close()
-            self._doubts.pop(_life(doubt.replica), None)
+            self._doubts.pop(_incarnation(check.replica), None)
 
-    def _confirm(self, doubt: _Doubt, why: str) -> None:
-        if doubt.has_ended:
+    def _confirm(self, check: _EndCheck, why: str) -> None:
+        if check.has_ended:
             return
-        doubt.has_ended = True
+        check.has_ended = True
         self.ended += 1
-        log.info("ended", replica=doubt.replica.name, requests=len(doubt.weights), why=why)
-        self._note_end(_life(doubt.replica), doubt.weights)
+        log.info("ended", replica=check.replica.name, requests=len(check.weights), why=why)
+        self._note_end(_incarnation(check.replica), check.weights)
 
 
-def _life(replica: Replica) -> str:
+def _incarnation(replica: Replica) -> str:
     return f"{replica.name}@{replica.born}"
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -1,4 +1,4 @@
-"""What runs at a replica, as one instance knows it."""
+"""The load of a replica, as known to one instance."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 
 from .model import ToldLoad
 
-RUNNING_COST = 0.06
-"""A running stream slows a new request down by this part of one that waits for its prompt."""
+RUNNING_REQUEST_COST = 0.06
+"""Cost of a running stream to a new request, relative to a request in prefill."""
 
 
 class ReplicaLoad:
-    """Requests at a replica."""
+    """Counts of requests at a replica: those of this instance and those reported by others."""
 
     __slots__ = ("memory", "others", "running", "starting", "queued", "told_running")
 
     def __init__(self) -> None:
         self.memory = 0
-        """What those of this instance hold of its memory when they have ended, in tokens."""
+        """Memory that requests of this instance will occupy when they complete, in tokens."""
         self.starting = 0
-        """Sent by this instance, no answer yet."""
+        """Requests sent by this instance that have no response yet."""
         self.running = 0
-        """Sent by this instance, answers coming."""
+        """Requests sent by this instance whose response is being received."""
         self.queued = [0] * URGENCIES
-        """Tokens of the prompts of those that are starting, by urgency."""
+        """Prompt tokens of the starting requests, by urgency."""
         self.others = ToldLoad()
-        """Sent by other instances."""
+        """Load from other instances."""
         self.told_running = 0
-        """Running of all instances, as the planner last told."""
+        """Running requests of all instances, as last reported by the planner."""
 
     def cost(self) -> float:
-        """Return how much is before a new request, in requests."""
+        """Return the load ahead of a new request, in starting requests."""
         starting = self.starting + self.others.starting
-        return starting + RUNNING_COST * (self.running + self.others.running)
+        return starting + RUNNING_REQUEST_COST * (self.running + self.others.running)
 
     def busyness(self) -> Busyness:
-        """Return what the replica does, if it is an engine."""
+        """Return the load in the form used to estimate engine waiting times."""
         running = self.running + self.others.running
         starting = self.starting + self.others.starting
         queued = add_queues([self.queued, self.others.queued])
         return Busyness(queued, running, starting, self.memory + self.others.memory)
 
     def own(self) -> ToldLoad:
-        """Return what this instance has there."""
+        """Return the load from this instance."""
         return ToldLoad(self.starting, self.running, tuple(self.queued), self.memory)
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -1,4 +1,9 @@
-"""Runs go on under the weights that made their memory."""
+"""Checks that runs are resumed under the weight versions that produced their memory.
+
+A run's memory is only valid under the same version of the base model and the adapter. The functions
+here determine the version that a request must name, the engines that hold it, and whether the
+memory of a run can still be used.
+"""
 
 from __future__ import annotations
 
@@ -21,21 +26,22 @@
 from .ports import RunTransport
 
 log = logbook.Logger("run weights")
-MOST_ABSENCES = 2
-"""After one rejection the planner tells where the weights are, and at which version."""
-JUST_STOPPED_S = 0.1
-"""An engine that stopped a run so lately has the run's base model or none: loading another takes
-some times as long, from its own memory as well."""
-REPORT_TRIES = 2
-"""Links silence kept connections: the second call takes a new one."""
+MAX_ABSENCES = 2
+"""Rejections after which the planner's location and version of weights are relied on."""
+RECENT_STOP_S = 0.1
+"""Time after a stop in which an engine holds the run's base model or none: loading another takes
+several times as long, even from its own memory."""
+REPORT_ATTEMPTS = 2
+"""Links drop idle pooled connections silently; the second call opens a new one."""
 
 
 def asked_version(fleet: Fleet, job: Job, replica: Replica) -> int:
     """Return the version that a replica must have for a request; `NOT_TOLD` for any.
 
-    A request that goes on from memory asks for the memory's, another for the newest that was named
-    or is known to be there, so that its run's version is certain. After some rejections what is
-    known may be older than what is there.
+    A request that is resumed from memory requires the version that produced it. Any other requires
+    the newest version that was announced or is known to be on the replica, so that the version of
+    its run is certain. After `MAX_ABSENCES` rejections the replica's known version may be outdated
+    and is ignored.
     """
     key = job.req.key
     if key is None:
@@ -43,29 +49,29 @@
     if job.copy is not None:
         return job.copy.versions.adapter if key.adapter else job.copy.versions.model
     newest = fleet.state.versions.get(key, NOT_TOLD)
-    if job.absences >= MOST_ABSENCES:
+    if job.absences >= MAX_ABSENCES:
         return newest
     return max(newest, fleet.told_version(replica.name, key) or NOT_TOLD)
 
 
 class RunWeights:
-    """Tells which engines have the weights of a run's memory.
+    """Finds engines that hold the weights of a run's memory, and releases unused memory.
 
-    A request names the version of the adapter, or of the base model if it uses no adapter, and its
-    engine rejects it under another. No request can name the version of the base model below an
-    adapter, so engines are asked for that before a run goes on from memory.
+    A request names the version of its adapter, or of the base model if it uses no adapter, and an
+    engine with another version rejects it. A request with an adapter cannot name the version of the
+    base model, so engines are queried for that before a run is resumed from memory.
 
     Parameters
     ----------
     fleet : Fleet
-        Engines, and the versions that were named.
+        The engines, and the announced weight versions.
     transport : RunTransport
-        Asks engines for the weights that they hold, and frees memory.
+        Queries engines for the weights that they hold, and frees memory.
     clock : callable
         The runtime's clock.
     version_s : float
-        No run goes on under an older version of its adapter so long after a newer one was named, in
-        seconds.
+        Time after the announcement of a newer adapter version beyond which no run is resumed under
+        an older one, in seconds.
     """
 
     __slots__ = ("_clock", "_fleet", "_tasks", "_transport", "_version_s")
@@ -84,7 +90,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def newest(self, key: AdapterKey | None) -> WeightVersions:
-        """Return the newest versions that were named of weights and their base model."""
+        """Return the newest announced versions of an adapter and its base model."""
         if key is None:
             return WeightVersions()
         versions = self._fleet.state.versions
@@ -92,7 +98,7 @@
         return WeightVersions(versions.get(AdapterKey(key.model), NOT_TOLD), adapter)
 
     def held(self, replica: Replica, key: AdapterKey | None) -> WeightVersions:
-        """Return the versions of weights and their base model on an engine, as last told."""
+        """Return the versions of an adapter and its base model on an engine, as last reported."""
         if key is None:
             return WeightVersions()
         told = self._fleet.told_version
@@ -101,8 +107,8 @@
             told(replica.name, AdapterKey(key.model)) or NOT_TOLD, adapter or NOT_TOLD
         )
 
-    def may_hold(self, rep: Replica, versions: WeightVersions, key: AdapterKey | None) -> bool:
-        """Tell whether an engine may have a memory's weights, now or after a load."""
+    def may_provide(self, rep: Replica, versions: WeightVersions, key: AdapterKey | None) -> bool:
+        """Return whether an engine may hold the given versions, now or after a load."""
         if key is None:
             return True
         held, newest = self._fleet.told_version(rep.name, AdapterKey(key.model)), self.newest(key)
@@ -111,15 +117,15 @@
         return self.holds(rep, versions, key) or is_loadable(versions, newest)
 
     def holds(self, rep: Replica, versions: WeightVersions, key: AdapterKey | None) -> bool:
-        """Tell whether an engine holds what the request of a memory names, as last told."""
+        """Return whether an engine holds the version a request would name, as last reported."""
         if key is None:
             return True
         return any(one.name == rep.name for one in self.holders(rep.service, versions, key))
 
     def holders(self, service: str, versions: WeightVersions, key: AdapterKey) -> list[Replica]:
-        """Return engines that hold what the request of a memory names, as last told.
+        """Return engines that hold the version that a request would name, as last reported.
 
-        Planners tell of the newest weights alone, and sooner; engines tell of older ones.
+        Planners report only the newest version, and earlier; engines also report older ones.
         """
         version = versions.adapter if key.adapter else versions.model
         newest = self._fleet.state.versions.get(key, NOT_TOLD)
@@ -131,47 +137,47 @@
             if is_same(version, self._fleet.told_version(rep.name, key) or NOT_TOLD, newest)
         ]
 
-    def is_in_time(self, versions: WeightVersions, key: AdapterKey | None) -> bool:
-        """Tell whether a run may still go on under the adapter of its memory."""
+    def meets_version_deadline(self, versions: WeightVersions, key: AdapterKey | None) -> bool:
+        """Return whether a run may still be resumed under the adapter version of its memory."""
         if key is None or not key.adapter:
             return True
         namings = self._fleet.state.namings
         return may_begin(namings.replaced_s(key, versions.adapter, self._clock()), self._version_s)
 
     def can_load(self, copy: Copy, key: AdapterKey | None) -> bool:
-        """Tell whether a load at the engine that keeps a memory can bring its weights.
+        """Return whether a load on the engine that keeps a copy can provide its weights.
 
-        Not where it was told to have newer ones, of which the name may not have come here, nor
-        after a load that did not bring them.
+        It cannot if the engine reported newer weights, whose announcement may not have arrived
+        here, or if a load was already tried for this copy.
         """
         held = self.held(copy.holder, key)
         newer = held.model > copy.versions.model or held.adapter > copy.versions.adapter
         return not (newer or copy.was_loaded) and is_loadable(copy.versions, self.newest(key))
 
     async def is_usable(self, job: Job, copy: Copy) -> bool:
-        """Tell whether a run may go on from memory at the engine that keeps it.
+        """Return whether a run may be resumed from a copy on the engine that keeps it.
 
-        The engine says itself which base model it has. What the request names is left to the
-        engine, which rejects another version.
+        The engine is queried for its base model version if the request cannot name it. The version
+        that the request names is checked by the engine, which rejects any other.
         """
         key, versions = job.req.key, copy.versions
         if key is None:
             return True
         newest = self.newest(key).model
-        if not self.is_in_time(versions, key):
-            log.info("memory too old", id=job.req.id, memory=versions.text)
+        if not self.meets_version_deadline(versions, key):
+            log.info("adapter version of memory too old", id=job.req.id, memory=versions.text)
             return False
         if not key.adapter:
             return versions.model != NOT_TOLD or newest == NOT_TOLD
         if versions.adapter == NOT_TOLD and self.newest(key).adapter != NOT_TOLD:
             return False
-        if self._clock() - copy.kept_at < JUST_STOPPED_S:
+        if self._clock() - copy.kept_at < RECENT_STOP_S:
             return True
-        held = await self._held_model(copy.holder, key.model)
+        held = await self._query_model_version(copy.holder, key.model)
         kept = held is not None and is_same(versions.model, held, newest)
         if not kept:
             log.info(
-                "memory of other weights",
+                "weights on engine do not match memory",
                 id=job.req.id,
                 replica=copy.holder.name,
                 memory=versions.text,
@@ -180,9 +186,9 @@
             )
         return kept
 
-    async def _held_model(self, replica: Replica, model: str) -> int | None:
-        """Return the version of a base model that an engine holds; None if it does not say."""
-        for _ in range(REPORT_TRIES):
+    async def _query_model_version(self, replica: Replica, model: str) -> int | None:
+        """Query an engine for the version of a base model; None if it holds none or is silent."""
+        for _ in range(REPORT_ATTEMPTS):
             holdings = await self._transport.holdings(replica)
             if holdings is not None:
                 key = AdapterKey(model)
@@ -190,24 +196,24 @@
         return None
 
     def give_up(self, copy: Copy) -> None:
-        """Have memory that nothing goes on from freed, wherever it is.
+        """Free the memory of a copy that will not be resumed, in the background.
 
-        Engines free by themselves what they received as a run grew.
+        Backup copies are left alone: engines free those by themselves.
         """
         if copy.kind is CopyKind.BACKUP:
             return
-        task = asyncio.get_running_loop().create_task(self._free(copy))
+        task = asyncio.get_running_loop().create_task(self._release(copy))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _free(self, copy: Copy) -> None:
+    async def _release(self, copy: Copy) -> None:
         log.info(
-            "memory given up",
+            "memory released",
             replica=copy.holder.name,
             how=copy.kind.value,
             memory=copy.versions.text,
         )
         replicas = self._fleet.state.replicas.values()
-        # The engine that made it frees it at both ends.
+        # The engine that produced the memory frees it on both engines.
         source = next((rep for rep in replicas if rep.address == copy.source), copy.holder)
         await self._transport.free(source, copy.ident)
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -1,4 +1,9 @@
-"""Runs that go on when their connection or their engine is lost: what is known of them, and how."""
+"""Recovery of streaming runs whose connection or engine is lost.
+
+`Sender` creates a `Run` for each recoverable request that it sends and reports its progress to
+`LastingRuns`, which keeps track of active runs, decides which of them are copied to another engine,
+and finds the copy of a run's memory from which a broken stream is resumed.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +31,7 @@
 from .copy_targets import CopyTargets
 from .fleet import Fleet
 from .job import Job
-from .left_runs import LeftRun, LeftRuns
+from .left_runs import AbandonedRun, AbandonedRuns
 from .metrics import Meters
 from .model import Copy, CopyKind, Repeat, Replica
 from .moves import MoveOutcome
@@ -34,40 +39,40 @@
 from .run_weights import RunWeights
 
 log = logbook.Logger("runs")
-COPY_AGE_S = 0.5
-"""So long after its first event a run's copy is there: its memory is sent some times a second. Of
-25 runs that broke within 0.6 s of their sending 8 had none in trials, of 76 others 3."""
+COPY_READY_AFTER_S = 0.5
+"""Time after a run's first event until a copy can be expected: engines send copies a few times a
+second, and a third of the runs that break within 0.6 s of being sent have none."""
 
 
 class Run:
-    """A request's run on an engine, as far as its events have come.
+    """The execution of a request on one engine, as far as its events have been received.
 
     Parameters
     ----------
     job : Job
-        The request.
+        The request being executed.
     replica : Replica
-        Where it runs.
+        The engine that executes it.
     began_at : float
-        When it was sent, by the runtime's clock.
+        Time at which the request was sent, by the runtime's clock.
     """
 
     __slots__ = (
-        "answer",
+        "stop_outcome",
         "began_at",
         "first_at",
         "handover",
         "is_gone",
-        "is_left",
+        "is_abandoned",
         "job",
         "replica",
         "reported",
-        "since_event",
+        "events_before",
         "stopped",
-        "taken",
+        "resumed_from",
         "versions",
-        "was_mixed",
-        "was_refused",
+        "has_weight_mismatch",
+        "copy_failed",
     )
 
     def __init__(self, job: Job, replica: Replica, began_at: float) -> None:
@@ -75,74 +80,74 @@
         self.replica = replica
         self.began_at = began_at
         self.first_at: float | None = None
-        """When its first event came."""
-        self.since_event = job.events.last_event
+        """Time at which the first event was received."""
+        self.events_before = job.events.last_event
         self.handover: asyncio.Future[Copy | None] | None = None
-        """Its memory at another engine, while its engine is asked to stop it."""
+        """Resolves to the copy at another engine once its own engine has stopped it."""
         self.stopped: Copy | None = None
-        """Its memory where it was stopped because nothing came from it any more."""
-        self.answer: MoveOutcome | None = None
-        """What its engine said when it was last asked to stop it."""
-        self.is_left = False
-        """Whether its engine was asked, and it can go on elsewhere."""
+        """The memory kept when the run was stopped because its stream had stalled."""
+        self.stop_outcome: MoveOutcome | None = None
+        """Outcome of the last stop request to its engine."""
+        self.is_abandoned = False
+        """Whether a stop was attempted and the request can be resumed on another engine."""
         self.is_gone = False
-        """Whether its engine has it no more, for certain."""
-        self.was_refused = False
-        """Whether its engine could not send its memory elsewhere."""
-        self.was_mixed = False
-        """Whether it went on under other weights than those of its memory."""
-        self.taken: Copy | None = None
-        """The memory from which it goes on."""
+        """Whether its engine is known to have dropped it."""
+        self.copy_failed = False
+        """Whether its engine failed to copy its memory to another engine."""
+        self.has_weight_mismatch = False
+        """Whether it was resumed under weights other than those that produced its memory."""
+        self.resumed_from: Copy | None = None
+        """The copy of its memory from which it is resumed."""
         self.versions = job.copy.versions if job.copy is not None else WeightVersions()
-        """Of the weights that made its memory."""
+        """Versions of the weights that produced its memory."""
         self.reported = VersionWord()
-        """What its engine said of its base model as the run began."""
+        """Base model version that its engine reported at the start of the run."""
 
     @property
     def events(self) -> int:
-        """Return how many events of this run have come."""
-        return self.job.events.last_event - self.since_event
+        """Number of events received from this run."""
+        return self.job.events.last_event - self.events_before
 
     @property
     def must_be_found(self) -> bool:
-        """Tell whether leaving it could end its request, or have two engines work on it."""
+        """Whether abandoning it could end its request or leave two engines working on it."""
         return self.first_at is not None or not self.job.may_repeat()
 
     @property
-    def has_begun(self) -> bool:
-        """Tell whether events of its request have come, from it or from what it goes on from."""
+    def request_has_events(self) -> bool:
+        """Whether the request has produced events, in this run or in an earlier one."""
         return self.job.events.last_event > 0
 
 
 class LastingRuns:
-    """Knows the runs of this instance, and lets them go on.
+    """Tracks the recoverable runs of this instance and resumes those whose stream breaks.
 
     Parameters
     ----------
     fleet : Fleet
-        Engines.
+        The engines and their state.
     transport : RunTransport
-        Moves runs.
+        Asks engines to move and stop runs.
     meters : Meters
-        Counts.
+        Metrics of resumed and abandoned runs.
     clock : callable
         The runtime's clock.
     has_retry : callable
-        Tells whether a request to a service may be sent again now.
+        Returns whether the retry budget of a service allows another attempt now.
     rng : random.Random
-        Of many engines without the weights of a run, some are drawn to choose from.
+        Samples candidate engines where there are many.
     version_s : float
-        No run begins or goes on under an older version of its adapter so long after a newer one was
-        named, in seconds.
+        Time after the announcement of a newer adapter version beyond which no run starts or resumes
+        under an older one, in seconds.
     """
 
     __slots__ = (
         "_clock",
         "_fleet",
         "_has_retry",
-        "_left",
+        "_abandoned",
         "_meters",
-        "_paces",
+        "_run_statistics",
         "_records",
         "_transport",
         "runs",
@@ -165,73 +170,77 @@
         self._meters = meters
         self._clock = clock
         self._has_retry = has_retry
-        self._left = LeftRuns(transport, meters, clock)
+        self._abandoned = AbandonedRuns(transport, meters, clock)
         self._records: dict[str, BreakRecord] = {}
-        self._paces: dict[str, Pace] = {}
+        self._run_statistics: dict[str, Pace] = {}
         self.weights = RunWeights(fleet, transport, clock, version_s)
-        """Tells which engines have the weights of a run's memory."""
-        self.targets = CopyTargets(fleet, self.weights, self.pace, clock, rng)
-        """Chooses engines for the memory of runs."""
+        """Finds engines that hold the weights of a run's memory."""
+        self.targets = CopyTargets(fleet, self.weights, self.run_statistics, clock, rng)
+        """Chooses engines that receive copies of runs' memory."""
         self.runs: dict[str, set[Run]] = {}
-        """Those with events, by replica."""
+        """Runs that have produced events, by replica name."""
 
     def is_lasting(self, job: Job) -> bool:
-        """Tell whether a request's run can go on."""
+        """Return whether a request's run can be resumed after a break."""
         spec = job.service.engine
         return job.route.streaming and spec is not None and (spec.moves or spec.backups)
 
     def begin(self, job: Job, replica: Replica) -> Run:
-        """Note that a request is being sent, and choose where a copy of its run is to be kept."""
-        self._left.note_sending(job, replica)
+        """Create the run of a request being sent, and choose an engine for its backup copy."""
+        self._abandoned.note_attempt(job, replica)
         if job.copy is None:
             job.backup = self._choose_backup(job, replica)
         return Run(job, replica, self._clock())
 
     def note_asked(self, run: Run, version: int) -> None:
-        """Note the version that a run was sent with, which its engine checks."""
+        """Record the weight version that a request named, which its engine verifies."""
         key = run.job.req.key
         if key is None or run.job.copy is not None or not version:
             return
         model, adapter = (NOT_TOLD, version) if key.adapter else (version, NOT_TOLD)
         self._set_versions(run, WeightVersions(model, adapter))
 
-    def note_weights(self, run: Run, word: VersionWord) -> None:
-        """Note what the engine of a run says of its base model as the run begins.
+    def note_weights(self, run: Run, reported_version: VersionWord) -> None:
+        """Record the base model version that the engine of a run reports at its start.
 
         Raises
         ------
         ResponseBroken
-            If the run goes on under other weights than those of its memory.
+            If the run was resumed under weights other than those that produced its memory.
         """
-        self._left.note_begun(run.job, run.replica)
-        run.reported = word
-        if word.unreadable:
-            log.info("version unreadable", replica=run.replica.name, why=word.unreadable)
+        self._abandoned.note_started(run.job, run.replica)
+        run.reported = reported_version
+        if reported_version.unreadable:
+            log.info(
+                "invalid base model version reported",
+                replica=run.replica.name,
+                why=reported_version.unreadable,
+            )
         used = run.job.used
         if used is None:
-            self._set_versions(run, run.versions.told(word))
-        elif compare(used.versions, word) == "other":
-            run.was_mixed = True
+            self._set_versions(run, run.versions.told(reported_version))
+        elif compare(used.versions, reported_version) == "other":
+            run.has_weight_mismatch = True
             self._meters.went_on(used.kind.value, self._clock() - run.job.event_at, "other")
             raise ResponseBroken(
-                f"the engine has base model {word.version}, the memory is of {used.versions.text}"
+                f"engine has base model {reported_version.version}, memory has {used.versions.text}"
             )
 
-    def note_change(self, run: Run, word: VersionWord) -> None:
-        """Note what an event of a run says of its engine's base model.
+    def note_change(self, run: Run, reported_version: VersionWord) -> None:
+        """Record a base model version that an event of a run reports.
 
-        A copy that was received as the run grew is of the former one, in part or whole.
+        The backup copy is discarded: all or part of it was made by the previous version.
         """
-        if word == VersionWord():
+        if reported_version == VersionWord():
             return
-        run.versions = run.versions.told(word)
+        run.versions = run.versions.told(reported_version)
         run.job.backup = None
         log.info(
-            "weights of a run changed",
+            "weights changed during a run",
             id=run.job.req.id,
             replica=run.replica.name,
             memory=run.versions.text,
-            why=word.unreadable,
+            why=reported_version.unreadable,
         )
 
     def _set_versions(self, run: Run, versions: WeightVersions) -> None:
@@ -240,30 +249,32 @@
             run.job.backup = replace(run.job.backup, versions=versions)
 
     def note_event(self, run: Run) -> None:
-        """Note that events of a run have come."""
+        """Record that events of a run were received."""
         now = self._clock()
         job = run.job
         if run.first_at is None:
             run.first_at = now
             self.runs.setdefault(run.replica.name, set()).add(run)
             if job.used is not None:
-                self._note_gone_on(run, job.used, now)
+                self._note_resumed(run, job.used, now)
         job.event_at = now
-        run.is_left = False
+        run.is_abandoned = False
 
     def end(self, run: Run) -> None:
-        """Note that a run's stream ended whole."""
-        self._record(run, broken=False)
+        """Record that a run's stream completed."""
+        self._record_stream(run, broken=False)
         spec = run.job.service.engine
         if run.first_at is None or spec is None:
             return
-        made = run.events * spec.copy_terms.event_tokens
-        tokens = run.job.work.prompt_tokens + made
-        self.pace(run.replica.service).note(tokens, made, self._clock() - run.first_at)
+        generated_tokens = run.events * spec.copy_terms.event_tokens
+        tokens = run.job.work.prompt_tokens + generated_tokens
+        self.run_statistics(run.replica.service).note(
+            tokens, generated_tokens, self._clock() - run.first_at
+        )
 
     def leave(self, run: Run) -> None:
-        """Note that nothing is read of a run any more."""
-        self._left.note_ended(run.job, run.replica)
+        """Stop tracking a run whose stream is no longer read."""
+        self._abandoned.note_attempt_ended(run.job, run.replica)
         runs = self.runs.get(run.replica.name)
         if runs is None:
             return
@@ -271,128 +282,135 @@
         if not runs:
             del self.runs[run.replica.name]
 
-    def pace(self, service: str) -> Pace:
-        """Return what is known of the length of a service's runs."""
-        return self._paces.setdefault(service, Pace())
+    def run_statistics(self, service: str) -> Pace:
+        """Return the run length statistics of a service."""
+        return self._run_statistics.setdefault(service, Pace())
 
-    def left_s(self, run: Run) -> float:
-        """Return how long a run is expected to last, in seconds."""
+    def remaining_s(self, run: Run) -> float:
+        """Return the expected remaining duration of a run, in seconds."""
         spec = run.job.service.engine
-        made = run.events * spec.copy_terms.event_tokens if spec is not None else 0
-        left = max(0, run.job.req.most_tokens - made)
-        return left * self.pace(run.replica.service).token_s
+        generated_tokens = run.events * spec.copy_terms.event_tokens if spec is not None else 0
+        remaining_tokens = max(0, run.job.req.most_tokens - generated_tokens)
+        return remaining_tokens * self.run_statistics(run.replica.service).token_s
 
     async def recover(self, run: Run) -> None:
-        """Find the memory from which a run whose stream broke can go on."""
+        """Find the memory from which a run whose stream broke can be resumed."""
         job = run.job
-        if run.was_mixed:
+        if run.has_weight_mismatch:
             job.copy = job.backup = None
-            self._watch(run)
+            self._watch_abandoned(run)
             return
         if run.handover is not None:
-            # Its engine was asked to stop it.
+            # A handover has already asked its engine to stop it.
             job.copy = await asyncio.shield(run.handover)
-            run.taken = job.copy
-            self._watch(run)
+            run.resumed_from = job.copy
+            self._watch_abandoned(run)
             return
-        self._record(run, broken=True)
+        self._record_stream(run, broken=True)
         if run.stopped is not None:
             job.copy = run.stopped
             return
-        if run.first_at is None or self._clock() - run.first_at < COPY_AGE_S:
-            # Where no memory has arrived a request that asks for it is turned away (145 of 145
-            # without an event in trials), or run anew by an engine that loses answers.
+        if run.first_at is None or self._clock() - run.first_at < COPY_READY_AFTER_S:
+            # The copy has probably not arrived. An engine without it rejects the request, or runs
+            # it from the start if it is one that loses responses.
             job.backup = None
-        if not run.is_left and self._choose_way(job, self._can_stop(run)) is Way.STOP:
-            # One without an event here was read or waited; looking for it held up what callers had
-            # resumed by 0.5 to 0.7 s at engines that had dropped it.
-            was_begun = run.first_at is not None
-            waits = was_begun and may_wait(self._clock() - job.event_at, job.route.gap_s)
-            job.copy = await self._stop(run)
-            if waits and self._may_go_on(job):
-                await self._find(run)
-        self._watch(run)
+        if (
+            not run.is_abandoned
+            and self._choose_recovery(job, self._can_request_stop(run)) is Way.STOP
+        ):
+            # A run without events was still in prefill or queued. Waiting for it would delay
+            # resumption by 0.5 to 0.7 s on engines that have dropped it.
+            had_events = run.first_at is not None
+            may_have_queued = had_events and may_wait(self._clock() - job.event_at, job.route.gap_s)
+            job.copy = await self._stop_run(run)
+            if may_have_queued and self._can_resume_elsewhere(job):
+                await self._await_requeued(run)
+        self._watch_abandoned(run)
 
     async def stop_silent(self, run: Run) -> bool:
-        """Stop a run from which nothing comes; tell whether it can go on elsewhere, and alone."""
+        """Stop a stalled run; return whether its request can be resumed without running twice."""
         if run.handover is not None:
             return (await asyncio.shield(run.handover)) is not None
         job = run.job
         if not self._has_retry(job.service.name):
             return False
-        if not job.may_repeat() and not self.weights.is_in_time(run.versions, job.req.key):
-            # Its memory would be of no use; left alone it may go on by itself.
+        if not job.may_repeat() and not self.weights.meets_version_deadline(
+            run.versions, job.req.key
+        ):
+            # Its memory could not be used any more, while the run itself may still continue.
             return False
-        run.answer = None
-        if self._can_stop(run):
-            run.stopped = await self._stop(run)
+        run.stop_outcome = None
+        if self._can_request_stop(run):
+            run.stopped = await self._stop_run(run)
         if run.stopped is not None:
             return True
-        if not self._may_go_on(job):
+        if not self._can_resume_elsewhere(job):
             return False
-        run.is_left = run.answer is not MoveOutcome.NO_RUN or await self._is_gone(run)
-        return run.is_left
+        run.is_abandoned = run.stop_outcome is not MoveOutcome.NO_RUN or await self._confirm_ended(
+            run
+        )
+        return run.is_abandoned
 
-    async def _find(self, run: Run) -> None:
-        """Wait for a run that its engine may have put back to wait, as long as its caller does."""
+    async def _await_requeued(self, run: Run) -> None:
+        """Retry the stop of a run that its engine may have requeued, while the caller waits."""
         job = run.job
         until = min(job.deadline_at, job.event_at + job.route.patience_s)
-        while run.answer is MoveOutcome.NO_RUN and self._clock() < until:
-            if await self._is_gone(run):
+        while run.stop_outcome is MoveOutcome.NO_RUN and self._clock() < until:
+            if await self._confirm_ended(run):
                 return
             await asyncio.sleep(ASK_S)
-            job.copy = await self._stop(run)
+            job.copy = await self._stop_run(run)
 
-    async def _is_gone(self, run: Run) -> bool:
-        run.is_gone = await self._left.is_gone(run.job, run.replica)
+    async def _confirm_ended(self, run: Run) -> bool:
+        run.is_gone = await self._abandoned.is_gone(run.job, run.replica)
         return run.is_gone
 
-    def _may_go_on(self, job: Job) -> bool:
-        """Tell whether there is a way on that does not take its engine."""
-        return self._choose_way(job, can_stop=False) is not Way.END
+    def _can_resume_elsewhere(self, job: Job) -> bool:
+        """Return whether a request can be resumed without a reply from its engine."""
+        return self._choose_recovery(job, can_stop=False) is not Way.END
 
-    def _watch(self, run: Run) -> None:
-        """See to it that a run that goes on elsewhere does not go on where it was left."""
+    def _watch_abandoned(self, run: Run) -> None:
+        """Make sure that a run resumed elsewhere does not continue on its former engine."""
         job, spec = run.job, run.job.service.engine
-        is_certain = run.is_gone or run.answer is MoveOutcome.UNREACHED
-        has_memory = job.copy is not None and job.copy is not job.used
-        if has_memory or is_certain or not self._may_go_on(job):
+        is_certain = run.is_gone or run.stop_outcome is MoveOutcome.UNREACHED
+        has_new_copy = job.copy is not None and job.copy is not job.used
+        if has_new_copy or is_certain or not self._can_resume_elsewhere(job):
             return
         if spec is None or not spec.moves:
             return
-        target = self._stop_target(run)
+        target = self._choose_stop_target(run)
         if target is not None:
-            self._left.watch(LeftRun(job, run.replica, target, self._clock()))
+            self._abandoned.watch(AbandonedRun(job, run.replica, target, self._clock()))
 
     def forget_gone(self) -> None:
-        """Forget the records of engines that are gone."""
+        """Discard the break records of engines that were removed."""
         for record in self._records.values():
             record.keep_only(self._fleet.state.replicas)
 
-    def _choose_way(self, job: Job, can_stop: bool) -> Way:
+    def _choose_recovery(self, job: Job, can_stop: bool) -> Way:
         has_retry = self._has_retry(job.service.name)
         return choose_way(Broken(can_stop, job.backup is not None, job.may_repeat(), has_retry))
 
-    def _can_stop(self, run: Run) -> bool:
+    def _can_request_stop(self, run: Run) -> bool:
         spec = run.job.service.engine
         known = run.replica.name in self._fleet.state.replicas
-        has_events = run.first_at is not None or (run.has_begun and run.job.may_repeat())
+        has_events = run.first_at is not None or (run.request_has_events and run.job.may_repeat())
         return spec is not None and spec.moves and known and has_events
 
-    async def _stop(self, run: Run) -> Copy | None:
-        """Stop a run where its engine is still at work, and return the memory that it keeps."""
+    async def _stop_run(self, run: Run) -> Copy | None:
+        """Stop a run on its engine and return the memory that is kept of it, if any."""
         job, source = run.job, run.replica
-        target = self._stop_target(run)
+        target = self._choose_stop_target(run)
         if target is None:
             return None
         began = self._clock()
         reply = await self._transport.move(source, job.req.id, target, True)
         if reply.outcome is MoveOutcome.LOST:
-            # Links silence kept connections; the second call takes a new one.
+            # Links drop idle pooled connections silently; the second call opens a new one.
             reply = await self._transport.move(source, job.req.id, target, True)
-        run.answer = reply.outcome
+        run.stop_outcome = reply.outcome
         log.info(
-            "run stopped",
+            "stop of run requested",
             id=job.req.id,
             replica=source.name,
             outcome=reply.outcome.value,
@@ -406,14 +424,14 @@
         known = self._fleet.state.replicas.get(source.name)
         if reply.outcome is MoveOutcome.COPIED and (known is None or known.leaving):
             return Copy(CopyKind.MOVED, source.address, reply.handle, target, run.versions)
-        # The engine held the weights until it stopped the run; an order may replace them now.
+        # The engine held the weights until it stopped the run; they may be replaced from now on.
         elsewhere = target if reply.outcome is MoveOutcome.COPIED else None
         return Copy(
             CopyKind.STOPPED, source.address, reply.handle, source, run.versions, began, elsewhere
         )
 
-    def _stop_target(self, run: Run) -> Replica | None:
-        """Return the engine to name where a run is stopped; without room there it stays."""
+    def _choose_stop_target(self, run: Run) -> Replica | None:
+        """Return the engine to name as target of a stop; if it is full, the memory stays."""
         job, source, choose = run.job, run.replica, self.targets.choose
         return (
             choose(job, source, run.versions, ANY_ROOM)
@@ -421,17 +439,17 @@
             or next((rep for rep in self._fleet.usable(source.service) if rep != source), None)
         )
 
-    def _record(self, run: Run, broken: bool) -> None:
+    def _record_stream(self, run: Run, broken: bool) -> None:
         now = self._clock()
         lasted_s = now - (run.began_at if run.first_at is None else run.first_at)
-        # A break before the first event cannot be helped by a copy.
+        # A copy cannot help with a break before the first event.
         counts = broken and run.first_at is not None
-        self._record_of(run.replica.service).note(run.replica.name, counts, lasted_s, now)
+        self._break_record(run.replica.service).note(run.replica.name, counts, lasted_s, now)
 
-    def _record_of(self, service: str) -> BreakRecord:
+    def _break_record(self, service: str) -> BreakRecord:
         return self._records.setdefault(service, BreakRecord())
 
-    def _note_gone_on(self, run: Run, copy: Copy, now: float) -> None:
+    def _note_resumed(self, run: Run, copy: Copy, now: float) -> None:
         job = run.job
         pause_s = now - job.event_at
         weights = compare(copy.versions, run.reported)
@@ -453,8 +471,10 @@
         if spec is None or not spec.backups or job.route.repeat is not Repeat.NEVER:
             return None
         now = self._clock()
-        left_s = job.req.most_tokens * self.pace(replica.service).token_s
-        if not wants_copy(self._record_of(replica.service).risk(replica.name, left_s, now), left_s):
+        remaining_s = job.req.most_tokens * self.run_statistics(replica.service).token_s
+        if not wants_copy(
+            self._break_record(replica.service).risk(replica.name, remaining_s, now), remaining_s
+        ):
             return None
         versions = self.weights.held(replica, job.req.key)
         target = self.targets.choose(job, replica, versions, ROOM_PART)
--- a/packages/gateway/src/gradelug_gateway/wishes.py
+++ b/packages/gateway/src/gradelug_gateway/wishes.py
@@ -1,4 +1,4 @@
-"""What a planner is asked for a stream that was begun."""
+"""Placement requests to planners for streams that have already started."""
 
 from __future__ import annotations
 
@@ -7,15 +7,27 @@
 from .directory import NOBODY, Wish
 from .job import Job
 
-BEGUN_VALUE = 3.0
-"""A stream cut midway costs its caller more than one that was refused."""
+STARTED_STREAM_VALUE = 3.0
+"""Value of a started stream: an interruption costs its caller more than a refusal."""
 PATIENCE_MARGIN_S = 0.25
-"""A request that gets its weights later than this before its caller leaves is not worth a run."""
+"""Minimum time between the arrival of the weights and the caller's timeout."""
 
 
 def begun_wish(job: Job, now: float, party: Party = NOBODY) -> Wish:
-    """Return the wish of a stream that must not be refused: its caller waits for the next event."""
+    """Return the placement request of a started stream whose caller awaits the next event.
+
+    Parameters
+    ----------
+    job : Job
+        The request of the stream.
+    now : float
+        The current time, by the runtime's clock.
+    party : Party
+        The owner and the kind of the request.
+    """
     route = job.route
     until = min(job.deadline_at, now + route.patience_s) - PATIENCE_MARGIN_S
     target_at = now + route.target_s
-    return Wish(job.rank, BEGUN_VALUE, True, target_at, until, job.work, True, party, job.req.id)
+    return Wish(
+        job.rank, STARTED_STREAM_VALUE, True, target_at, until, job.work, True, party, job.req.id
+    )
--- a/tests/run_engines.py
+++ b/tests/run_engines.py
@@ -19,7 +19,7 @@
 REPORT_AGE_S = 0.3
 """A report shows what was so long ago."""
 TICK_S = 0.05
-CHANGE = b"x-gradelug-weight-versions: %d\n"
+VERSION_LINE = b"x-gradelug-weight-versions: %d\n"
 """First line of an event from which on a run's weights are others."""
 
 
@@ -29,16 +29,16 @@
 
     ident: str
     line: str
-    made: int
+    events_made: int
     key: AdapterKey = KEY
     versions: tuple = (1, 1)
     """Of the model and the adapter under which its memory was made."""
     pause_s: float = 0.0
     """It is preempted for so long."""
-    stalls_s: float = 0.0
+    stall_for_s: float = 0.0
     """It makes nothing for so long."""
-    waits: bool = False
-    waits_until: float = 0.0
+    is_waiting: bool = False
+    waiting_until: float = 0.0
     stop: asyncio.Event = field(default_factory=asyncio.Event)
 
 
@@ -46,14 +46,14 @@
 class Ledger:
     """What the engines saw, and what of it must not be."""
 
-    fresh: dict = field(default_factory=dict)
+    runs_started: dict = field(default_factory=dict)
     """How many runs began anew, by request."""
     wrong: list = field(default_factory=list)
     asked: list = field(default_factory=list)
     """Calls and requests: engine, what, status."""
 
 
-class Late:
+class DelayedWriter:
     """Delivers what is written to one end of a connection later, in order."""
 
     def __init__(self, far, delay_s):
@@ -85,21 +85,21 @@
         self.kept = {}
         """Memory of runs that are not at work, by what asks for it."""
         self.room = True
-        self.keeps_dropped = False
+        self.keeps_disconnected_runs = False
         """Whether a run goes on when its connection closes."""
-        self.keeps_waiting = False
+        self.keeps_disconnected_waiting = False
         """Whether one that waits for memory does so, too: no call tells of it."""
-        self.waits_out = False
+        self.resumes_when_memory_frees = False
         """Whether such a run goes on only when there is memory again, and not at once."""
-        self.replaces_waiting = False
+        self.replaces_model_while_waiting = False
         """Whether its base model is replaced while runs wait for memory; they are read anew."""
         self.waiting = []
         """Runs that wait for memory."""
-        self.past = deque(maxlen=round(REPORT_AGE_S / TICK_S))
+        self.past_reports = deque(maxlen=round(REPORT_AGE_S / TICK_S))
         """What it would have reported lately."""
-        self.keeps_quiet = False
+        self.ignores_calls = False
         """Whether calls get no answer."""
-        self.quiet_calls = 0
+        self.calls_to_ignore = 0
         """So many calls get no answer."""
         self.copy_s = COPY_S
         self.receiving = 0
@@ -107,16 +107,16 @@
         self.dead = False
         self.ends_at = None
         self._tasks = set()
-        self._hushed = set()
+        self._silenced = set()
         self._streaming = set()
         self.server = world.net.serve(address, self.serve, ServerLimits, world.clock)
 
     # What happens to it.
 
-    def reset(self, torn=False):
+    def reset(self, mid_event=False):
         """Break all connections off, inside an event if so said."""
         for conn in list(self.server.connections):
-            if torn and conn in self._streaming:
+            if mid_event and conn in self._streaming:
                 conn.write(b"9\r\nid: 99\nda\r\n")
             conn.abort()
 
@@ -124,14 +124,14 @@
         """Let nothing pass any more over the connections that it has."""
         for conn in list(self.server.connections):
             conn.transport.write = lambda data: None
-            self._hushed.add(conn)
+            self._silenced.add(conn)
             conn.transport.peer.peer = conn.transport.peer
             conn.transport.peer.write = lambda data: None
 
     def delay(self, delay_s):
         """Let what it writes arrive later, over the connections that it has."""
-        for conn in self.server.connections - self._hushed:
-            conn.transport.write = Late(conn.transport.peer, delay_s).write
+        for conn in self.server.connections - self._silenced:
+            conn.transport.write = DelayedWriter(conn.transport.peer, delay_s).write
 
     def crash(self):
         self.dead = True
@@ -141,8 +141,8 @@
         for task in self._tasks:
             task.cancel()
 
-    def notice(self, remaining_s, tells=True):
-        self.ends_at = self.world.clock() + remaining_s if tells else None
+    def notice(self, remaining_s, reports_end=True):
+        self.ends_at = self.world.clock() + remaining_s if reports_end else None
         self.world.enter(self, leaving=True)
         asyncio.get_running_loop().call_later(remaining_s, self.end)
 
@@ -154,7 +154,7 @@
         elif self.lacks(key):
             await self.load(key)
 
-    async def drop_older(self, key):
+    async def unload_older(self, key):
         """Unload weights unless their newest version is there once other orders are done."""
         await self._wait_for_orders()
         if self.lacks(key) and self.version(key):
@@ -170,9 +170,9 @@
         if self.version(key):
             await self.unload(key)
         if not self.base:
-            await self._bring(MODEL)
+            await self._load_newest(MODEL)
         if not self.version(key):
-            await self._bring(key)
+            await self._load_newest(key)
 
     async def unload(self, key):
         """Unload weights when no run uses them; a model's adapters go with it."""
@@ -189,10 +189,10 @@
 
     def _users(self, key):
         """Return the runs for which an order to unload weights waits if they use them."""
-        waiting = [] if key == MODEL and self.replaces_waiting else self.waiting
+        waiting = [] if key == MODEL and self.replaces_model_while_waiting else self.waiting
         return [*self.runs.values(), *waiting]
 
-    async def _bring(self, key):
+    async def _load_newest(self, key):
         self.ordered = key
         await asyncio.sleep(LOAD_S if key.adapter else MODEL_S)
         self.ordered = None
@@ -234,8 +234,8 @@
 
     def note(self):
         """Keep what it would report now."""
-        runs = [[one.ident, 100, one.made, 5] for one in self.runs.values()]
-        self.past.append((len(self.waiting), runs))
+        runs = [[one.ident, 100, one.events_made, 5] for one in self.runs.values()]
+        self.past_reports.append((len(self.waiting), runs))
 
     # What it serves.
 
@@ -244,8 +244,8 @@
         if not target.startswith("/gradelug/"):
             await self._serve_request(inc)
             return
-        if self.keeps_quiet or self.quiet_calls:
-            self.quiet_calls -= bool(self.quiet_calls)
+        if self.ignores_calls or self.calls_to_ignore:
+            self.calls_to_ignore -= bool(self.calls_to_ignore)
             await asyncio.sleep(5.0)
         if target == "/gradelug/kv-move":
             await self._serve_move(inc)
@@ -256,7 +256,7 @@
                     del engine.kept[path]
             inc.respond(200, [], b"")
         else:
-            queued, runs = self.past[0] if self.past else (0, [])
+            queued, runs = self.past_reports[0] if self.past_reports else (0, [])
             adapters = [f"{key.adapter}@{version}" for key, version in self.holds.items()]
             base = self.base if self.reported_base is None else self.reported_base
             model = {"Name": MODEL.model, "Version": base, "Adapters": adapters}
@@ -278,7 +278,7 @@
             self._answer(inc, "move", 404, {})
             return
         handle = f"h{next(self.world.handles)}"
-        answer = {"handle": handle, "CreateRevision": work.made}
+        answer = {"handle": handle, "CreateRevision": work.events_made}
         if asked["Last"]:
             work.stop.set()
             self.runs.pop(work.ident, None)
@@ -330,22 +330,24 @@
                 ledger.asked.append((self.name, "from", 503))
                 inc.respond(503, not_run, b"")
                 return
-            kept_ident, line, made_under = found
-            if made_under != versions:
-                ledger.wrong.append(f"{ident}: memory of {made_under} goes on under {versions}")
+            kept_ident, line, memory_versions = found
+            if memory_versions != versions:
+                ledger.wrong.append(
+                    f"{ident}: memory of {memory_versions} goes on under {versions}"
+                )
             if inc.header(b"last-event-id") is None:
                 ledger.wrong.append(f"{ident} does not say after which event it goes on")
             if kept_ident != ident:
                 ledger.wrong.append(f"{ident} goes on from the memory of {kept_ident}")
             ledger.asked.append((self.name, "from", 200))
         else:
-            count = ledger.fresh[ident] = ledger.fresh.get(ident, 0) + 1
+            count = ledger.runs_started[ident] = ledger.runs_started.get(ident, 0) + 1
             line = f"{ident}.{count}"
             ledger.asked.append((self.name, "run", 200))
         work = Work(ident, line, after, key, versions)
         self.runs[ident] = work
         if path or after:
-            self.world.check_alone_later(self, ident)
+            self.world.check_single_engine_later(self, ident)
         told = (b"X-Gradelug-Weight-Versions", b"%d" % versions[0])
         inc.begin(200, [*own, told, (b"X-Gradelug-Server-Signature", self.name.encode())])
         self._streaming.add(inc._conn)
@@ -353,34 +355,36 @@
             await self._work(work, backup, inc.send)
         except asyncio.CancelledError:
             self._streaming.discard(inc._conn)
-            keeps = self.keeps_dropped and (self.keeps_waiting or not work.waits)
+            keeps = self.keeps_disconnected_runs and (
+                self.keeps_disconnected_waiting or not work.is_waiting
+            )
             if keeps and not self.dead and not work.stop.is_set():
-                if not work.waits or not self.waits_out:
-                    work.waits = False
+                if not work.is_waiting or not self.resumes_when_memory_frees:
+                    work.is_waiting = False
                     self.runs[ident] = work
-                task = asyncio.create_task(self._work(work, backup, _nowhere))
+                task = asyncio.create_task(self._work(work, backup, _discard))
                 self._tasks.add(task)
             raise
         self._streaming.discard(inc._conn)
-        if work.made >= EVENTS and not work.stop.is_set():
+        if work.events_made >= EVENTS and not work.stop.is_set():
             inc.finish()
 
     async def _work(self, work, backup, send):
         sent_at = self.world.clock()
         try:
-            if work.waits:
+            if work.is_waiting:
                 await self._wait_for_memory(work)
-            while work.made < EVENTS:
+            while work.events_made < EVENTS:
                 await asyncio.sleep(EVENT_S)
                 base = work.versions[0]
                 await self._preempt(work)
-                stalls_s, work.stalls_s = work.stalls_s, 0.0
-                await asyncio.sleep(stalls_s)
+                stall_for_s, work.stall_for_s = work.stall_for_s, 0.0
+                await asyncio.sleep(stall_for_s)
                 if work.stop.is_set() or self.dead:
                     return
-                work.made += 1
-                told = b"" if work.versions[0] == base else CHANGE % work.versions[0]
-                await send(told + b"id: %d\ndata: %b\n\n" % (work.made, work.line.encode()))
+                work.events_made += 1
+                told = b"" if work.versions[0] == base else VERSION_LINE % work.versions[0]
+                await send(told + b"id: %d\ndata: %b\n\n" % (work.events_made, work.line.encode()))
                 if backup and self.world.clock() - sent_at >= BACKUP_S:
                     sent_at = self.world.clock()
                     self._copy(work, backup)
@@ -398,21 +402,21 @@
         if pause_s:
             if self.runs.get(work.ident) is work:
                 del self.runs[work.ident]
-            work.waits = True
-            work.waits_until = self.world.clock() + pause_s
+            work.is_waiting = True
+            work.waiting_until = self.world.clock() + pause_s
             await self._wait_for_memory(work)
 
     async def _wait_for_memory(self, work):
         self.waiting.append(work)
         try:
-            await asyncio.sleep(work.waits_until - self.world.clock())
+            await asyncio.sleep(work.waiting_until - self.world.clock())
             while not self.version(work.key):
                 await asyncio.sleep(TICK_S)
         finally:
             self.waiting.remove(work)
         # What was read under weights that were replaced is read again under the new ones.
         work.versions = self.versions(work.key)
-        work.waits = False
+        work.is_waiting = False
         self.runs[work.ident] = work
 
     def _copy(self, work, backup):
@@ -421,5 +425,5 @@
             target.kept[f"{self.address}/{work.ident}"] = (work.ident, work.line, work.versions)
 
 
-async def _nowhere(data):
+async def _discard(data):
     pass
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -39,7 +39,7 @@
 from world import new_loop
 
 DRAIN_S = 3.0
-AT_WORK_S = 0.4
+MAX_OVERLAP_S = 0.4
 """Two engines must not be at work on a run this long after it went on elsewhere."""
 SPEC = EngineSpec(
     (BaseModel("m", 1000.0, MODEL_S, 1.0),),
@@ -82,7 +82,7 @@
         raise Refused("no engine can be used", 0.5)
 
 
-class Fresh:
+class ProvenConfig:
     """The configuration is known to be the newest."""
 
     config = 1
@@ -150,7 +150,7 @@
             meters,
             clock,
             random.Random(1),
-            Admitter(Fresh()),
+            Admitter(ProvenConfig()),
             Quotas(lambda: None, clock, random.Random(1), LocalShares()),
             lasting=self.lasting,
         )
@@ -187,7 +187,7 @@
     def newest(self, key):
         return self.state.versions.get(key, 1)
 
-    def name_version(self, key, version, ordered=None):
+    def publish_version(self, key, version, ordered=None):
         """Name a version of weights, and order engines with an older one to unload that.
 
         All are ordered that have one, unless some are given.
@@ -195,7 +195,7 @@
         self.state.versions[key] = version
         for engine in self.engines.values() if ordered is None else ordered:
             if engine.lacks(key) and engine.version(key) and not engine.dead:
-                engine.start(engine.drop_older(key))
+                engine.start(engine.unload_older(key))
 
     def leave(self, engine):
         if self.state.replicas.pop(engine.name, None) is not None:
@@ -204,20 +204,22 @@
     def by_address(self, address):
         return next((one for one in self.engines.values() if one.address == address), None)
 
-    def at_work(self, ident):
+    def engines_running(self, ident):
         return [engine for engine in self.engines.values() if ident in engine.runs]
 
-    def check_alone_later(self, engine, ident):
+    def check_single_engine_later(self, engine, ident):
         """See to it that no other engine is still at work after a run went on at one."""
 
         def check():
             others = [
-                one.name for one in self.at_work(ident) if one is not engine and not one.keeps_quiet
+                one.name
+                for one in self.engines_running(ident)
+                if one is not engine and not one.ignores_calls
             ]
-            if engine in self.at_work(ident) and others:
+            if engine in self.engines_running(ident) and others:
                 self.ledger.wrong.append(f"{ident} is at work at {engine.name} and {others}")
 
-        asyncio.get_running_loop().call_later(AT_WORK_S, check)
+        asyncio.get_running_loop().call_later(MAX_OVERLAP_S, check)
 
     def ask(self, ident, deadline_ms=15_000, most=100, model="m/a1"):
         """Send a request and return its client."""
@@ -256,16 +258,16 @@
 
 def events(client):
     """Return the numbers and the lines of the events that a client has."""
-    found = _whole_events(client)
+    found = _complete_events(client)
     return [int(number) for _, number, _ in found], [line.decode() for _, _, line in found]
 
 
 def changes(client):
     """Return the versions named in events, by the event's number."""
-    return {int(number): int(told) for told, number, _ in _whole_events(client) if told}
+    return {int(number): int(told) for told, number, _ in _complete_events(client) if told}
 
 
-def _whole_events(client):
+def _complete_events(client):
     """Return version, number and line of each whole event; nothing else may stand among them."""
     head, _, coming = bytes(client.received).partition(b"\r\n\r\n")
     if status(client) != 200:
@@ -293,4 +295,4 @@
 
 def runner(world, ident):
     """Return the engine at which a request runs."""
-    return world.at_work(ident)[0]
+    return world.engines_running(ident)[0]
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -21,7 +21,7 @@
 )
 from run_world import RunWorld, events, is_whole, run, runner
 
-CALM = EngineWord(0, 2, frozenset({"q1", "q2"}))
+IDLE_REPORT = EngineWord(0, 2, frozenset({"q1", "q2"}))
 
 
 async def begin(world, ident="q1"):
@@ -33,7 +33,7 @@
 
 class TestDecision:
     def test_where_nothing_waits_an_unknown_run_is_gone(self):
-        assert is_gone(CALM, "q9", 1.2)
+        assert is_gone(IDLE_REPORT, "q9", 1.2)
 
     @pytest.mark.parametrize(
         "word",
@@ -49,7 +49,7 @@
         assert not is_gone(word, "q9", 1.2)
 
     def test_a_report_is_older_than_the_newest_events(self):
-        assert not is_gone(CALM, "q9", REPORT_AGE_S - 0.1)
+        assert not is_gone(IDLE_REPORT, "q9", REPORT_AGE_S - 0.1)
 
     def test_a_run_at_work_until_its_break_goes_on_at_once(self):
         assert not may_wait(0.05, 0.3)
@@ -89,7 +89,7 @@
             first.hush()
             await asyncio.sleep(3.0)
             assert is_whole(client)
-            assert world.ledger.fresh == {"q1": 2}
+            assert world.ledger.runs_started == {"q1": 2}
             assert not world.ledger.wrong
 
         run(scenario)
@@ -102,7 +102,7 @@
             first.runs["q1"].pause_s = 1.8
             await asyncio.sleep(6.0)
             assert is_whole(client)
-            assert world.ledger.fresh == {"q1": 1}
+            assert world.ledger.runs_started == {"q1": 1}
             assert ("s0", "move", 404) in world.ledger.asked
 
         run(scenario)
@@ -113,7 +113,7 @@
             client = await begin(world)
             first = runner(world, "q1")
             first.hush()
-            first.keeps_quiet = True
+            first.ignores_calls = True
             await asyncio.sleep(5.0)
             assert is_whole(client)
 
@@ -124,7 +124,7 @@
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped = first.keeps_waiting = True
+            first.keeps_disconnected_runs = first.keeps_disconnected_waiting = True
             first.runs["q1"].pause_s = 1.8
             await asyncio.sleep(6.0)
             assert is_whole(client)
@@ -135,25 +135,27 @@
             run(scenario)
 
 
-class TestBrokenRuns:
-    @pytest.mark.parametrize("waits_out", [True, False])
+class TestRunsWithBrokenStreams:
+    @pytest.mark.parametrize("resumes_when_memory_frees", [True, False])
     @pytest.mark.parametrize("silent_s", [0.1, 0.6])
-    def test_one_that_waits_at_its_engine_does_not_go_on_beside_itself(self, waits_out, silent_s):
+    def test_one_that_waits_at_its_engine_does_not_go_on_beside_itself(
+        self, resumes_when_memory_frees, silent_s
+    ):
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped = first.keeps_waiting = True
-            first.waits_out = waits_out
+            first.keeps_disconnected_runs = first.keeps_disconnected_waiting = True
+            first.resumes_when_memory_frees = resumes_when_memory_frees
             first.runs["q1"].pause_s = 1.0
             await asyncio.sleep(silent_s)
             first.reset()
             await asyncio.sleep(5.0)
             assert is_whole(client)
             assert not world.ledger.wrong
-            if waits_out and silent_s < 0.3:
+            if resumes_when_memory_frees and silent_s < 0.3:
                 # It went on elsewhere at once, and was stopped when it came back.
-                assert world.ledger.fresh == {"q1": 2}
+                assert world.ledger.runs_started == {"q1": 2}
                 assert not any(engine.kept for engine in world.engines.values())
                 assert b'gradelug_left_runs_total{end="stopped"} 1.0' in world.meters.text()
 
@@ -165,13 +167,13 @@
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             for engine in world.engines.values():
-                engine.keeps_dropped = True
+                engine.keeps_disconnected_runs = True
             client = world.ask("q1")
             await asyncio.sleep(0.02)
             first = runner(world, "q1")
             first.hush()
             await asyncio.sleep(1.6)
-            second = next(one for one in world.at_work("q1") if one is not first)
+            second = next(one for one in world.engines_running("q1") if one is not first)
             second.reset()
             await asyncio.sleep(4.0)
             assert is_whole(client)
@@ -203,7 +205,7 @@
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped = True
+            first.keeps_disconnected_runs = True
             first.reset()
             await asyncio.sleep(5.0)
             assert is_whole(client)
@@ -235,6 +237,6 @@
             runner(world, "q1").reset()
             await asyncio.sleep(4.0)
             assert is_whole(client)
-            assert world.ledger.fresh == {"q1": 2}
+            assert world.ledger.runs_started == {"q1": 2}
 
         run(scenario)
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -14,7 +14,7 @@
 from world import new_loop
 
 ALL = list(range(1, EVENTS + 1))
-MOST_CLIENTS = 8
+MAX_CLIENTS = 8
 
 
 class Waiting(Enum):
@@ -23,7 +23,7 @@
     DROPPED = "dropped"
     AT_ONCE = "at once"
     """It goes on at once."""
-    WAITS_OUT = "waits out"
+    WHEN_MEMORY_FREES = "waits out"
     """It goes on when there is memory for it."""
 
 
@@ -52,15 +52,15 @@
         self.world = self.loop.run_until_complete(make())
         self.drops, self.waiting = drops, waiting
         for engine in self.world.engines.values():
-            self.set_up(engine)
+            self.configure(engine)
 
-    def set_up(self, engine):
-        engine.keeps_dropped = not self.drops
-        engine.keeps_waiting = self.waiting is not Waiting.DROPPED
-        engine.waits_out = self.waiting is Waiting.WAITS_OUT
+    def configure(self, engine):
+        engine.keeps_disconnected_runs = not self.drops
+        engine.keeps_disconnected_waiting = self.waiting is not Waiting.DROPPED
+        engine.resumes_when_memory_frees = self.waiting is Waiting.WHEN_MEMORY_FREES
 
     def add(self):
-        self.set_up(self.world.add())
+        self.configure(self.world.add())
 
     def act(self, work):
         async def do():
@@ -75,10 +75,10 @@
 
     def busy(self, at):
         """Return an engine that has runs, if there is one."""
-        at_work = [one for one in self.world.engines.values() if one.runs and not one.dead]
-        return at_work[at % len(at_work)] if at_work else self.engine(at)
+        with_runs = [one for one in self.world.engines.values() if one.runs and not one.dead]
+        return with_runs[at % len(with_runs)] if with_runs else self.engine(at)
 
-    @precondition(lambda self: len(self.clients) < MOST_CLIENTS)
+    @precondition(lambda self: len(self.clients) < MAX_CLIENTS)
     @rule(model=st.sampled_from(["m/a1", "m"]))
     def ask(self, model):
         ident = f"q{len(self.clients)}"
@@ -92,9 +92,9 @@
     def wait(self, delay_s):
         self.loop.run_until_complete(asyncio.sleep(delay_s))
 
-    @rule(at=st.integers(0, 3), torn=st.booleans())
-    def reset(self, at, torn):
-        self.act(lambda: self.engine(at).reset(torn))
+    @rule(at=st.integers(0, 3), mid_event=st.booleans())
+    def reset(self, at, mid_event):
+        self.act(lambda: self.engine(at).reset(mid_event))
 
     @rule(at=st.integers(0, 3))
     def hush(self, at):
@@ -114,17 +114,17 @@
         self.act(self.add)
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
-    @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.3, 1.0, 2.0]), tells=st.booleans())
-    def notice(self, at, left_s, tells):
+    @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.3, 1.0, 2.0]), reports_end=st.booleans())
+    def notice(self, at, left_s, reports_end):
         engine = self.engine(at)
-        self.act(lambda: engine.notice(left_s, tells))
+        self.act(lambda: engine.notice(left_s, reports_end))
         self.act(self.add)
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
     @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.1, 0.3]), ends=st.booleans())
-    def end_while_a_copy_is_on_its_way(self, at, left_s, ends):
+    def end_while_a_copy_is_in_transit(self, at, left_s, ends):
         """Give an engine notice, and end where its runs are copied to, or itself, meanwhile."""
-        if len(self.clients) < MOST_CLIENTS:
+        if len(self.clients) < MAX_CLIENTS:
             self.ask("m/a1")
         self.wait(0.3)
         source = self.busy(at)
@@ -179,13 +179,13 @@
         key=st.sampled_from([KEY, MODEL]),
         ordered=st.none() | st.sets(st.integers(0, 3), max_size=3),
     )
-    def name_next_version(self, key, ordered):
+    def publish_next_version(self, key, ordered):
         """Name a version, and have all engines with an older one unload that, or some of them."""
         world = self.world
         told = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
-        self.act(lambda: world.name_version(key, world.newest(key) + 1, told))
+        self.act(lambda: world.publish_version(key, world.newest(key) + 1, told))
 
-    @precondition(lambda self: len(self.clients) < MOST_CLIENTS)
+    @precondition(lambda self: len(self.clients) < MAX_CLIENTS)
     @rule(
         model=st.sampled_from(["m/a1", "m"]),
         key=st.sampled_from([KEY, MODEL]),
@@ -193,7 +193,7 @@
         delay_s=st.sampled_from([0.0, 0.3, 0.9, 1.2]),
         ordered=st.sampled_from(["all", "one", "others", "none"]),
     )
-    def name_next_version_at_a_break(self, model, key, how, delay_s, ordered):
+    def publish_next_version_at_a_break(self, model, key, how, delay_s, ordered):
         """Break a run's stream or give its engine notice, and name a version at that time."""
         self.ask(model)
         self.wait(0.7)
@@ -211,7 +211,7 @@
             "others": [one for one in engines if one is not broken],
             "none": [],
         }
-        self.act(lambda: world.name_version(key, world.newest(key) + 1, told[ordered]))
+        self.act(lambda: world.publish_version(key, world.newest(key) + 1, told[ordered]))
         self.wait(1.5)
 
     @rule(at=st.integers(0, 3), key=st.sampled_from([KEY, MODEL]))
@@ -221,11 +221,11 @@
         self.act(lambda: engine.start(engine.renew(key)))
 
     @rule(at=st.integers(0, 3), quiet=st.booleans())
-    def keep_quiet(self, at, quiet):
-        self.engine(at).keeps_quiet = quiet
+    def ignore_calls(self, at, quiet):
+        self.engine(at).ignores_calls = quiet
 
     @invariant()
-    def nothing_is_wrong(self):
+    def streams_are_consistent(self):
         if self.world is None:
             return
         assert not self.world.ledger.wrong
@@ -235,7 +235,7 @@
             assert numbers == ALL[: len(numbers)]
             assert all(line.startswith(f"{ident}.") for line in lines)
             assert not is_whole(client) or numbers == ALL or status(client) != 200
-            count = self.world.ledger.fresh.get(ident, 0)
+            count = self.world.ledger.runs_started.get(ident, 0)
             if self.repeat is Repeat.NEVER:
                 assert count <= 1
                 assert len(set(lines)) <= 1
@@ -246,7 +246,7 @@
         try:
             if self.world is not None:
                 self.loop.run_until_complete(asyncio.sleep(25.0))
-                self.nothing_is_wrong()
+                self.streams_are_consistent()
                 for client in self.clients.values():
                     assert client.ended or status(client) != 200 or is_whole(client)
         finally:
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -35,7 +35,7 @@
     return client
 
 
-def assert_went_on(client, ident="q1"):
+def assert_resumed(client, ident="q1"):
     numbers, lines = events(client)
     assert numbers == ALL
     assert set(lines) == {f"{ident}.1"}
@@ -44,20 +44,20 @@
 
 
 class TestBrokenConnections:
-    @pytest.mark.parametrize("torn", [True, False])
-    def test_a_run_goes_on_from_its_copy(self, copied, torn):
+    @pytest.mark.parametrize("mid_event", [True, False])
+    def test_a_run_goes_on_from_its_copy(self, copied, mid_event):
         """307 streams broke by resets on one day of a customer, and none of them went on."""
 
         async def scenario():
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.reset(torn)
+            first.reset(mid_event)
             await asyncio.sleep(0.2)
             assert runner(world, "q1") is not first
             await asyncio.sleep(3.0)
-            assert_went_on(client)
-            assert world.ledger.fresh == {"q1": 1}
+            assert_resumed(client)
+            assert world.ledger.runs_started == {"q1": 1}
             assert not world.ledger.wrong
             assert b"gradelug_run_pause_seconds_count" in world.meters.text()
 
@@ -69,8 +69,8 @@
             client = await begin(world)
             runner(world, "q1").crash()
             await asyncio.sleep(3.0)
-            assert_went_on(client)
-            assert world.ledger.fresh == {"q1": 1}
+            assert_resumed(client)
+            assert world.ledger.runs_started == {"q1": 1}
 
         run(scenario)
 
@@ -82,7 +82,7 @@
             await asyncio.sleep(3.0)
             assert not is_whole(client)
             assert client.ended
-            assert world.ledger.fresh == {"q1": 1}
+            assert world.ledger.runs_started == {"q1": 1}
 
         run(scenario)
 
@@ -105,10 +105,10 @@
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped = True
+            first.keeps_disconnected_runs = True
             first.reset()
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert any(what == "move" and code == 200 for _, what, code in world.ledger.asked)
             assert not world.ledger.wrong
 
@@ -121,7 +121,7 @@
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped = first.keeps_waiting = True
+            first.keeps_disconnected_runs = first.keeps_disconnected_waiting = True
             # Longer than a stream may be silent until it is resumed elsewhere.
             first.runs["q1"].pause_s = 1.8
             await asyncio.sleep(6.0)
@@ -136,10 +136,10 @@
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_dropped, first.quiet_calls = True, 1
+            first.keeps_disconnected_runs, first.calls_to_ignore = True, 1
             first.reset()
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert not world.ledger.wrong
 
         run(scenario)
@@ -153,7 +153,7 @@
             await asyncio.sleep(1.3)
             assert runner(world, "q1") is first
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert not world.ledger.wrong
 
         run(scenario)
@@ -166,7 +166,7 @@
             client = await begin(world)
             runner(world, "q1").runs["q1"].pause_s = 1.8
             await asyncio.sleep(6.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert world.ledger.asked[1][1:] == ("move", 404)
 
         run(scenario)
@@ -180,7 +180,7 @@
                 engine.room = engine is first
             first.hush()
             await asyncio.sleep(4.0)
-            assert_went_on(client)
+            assert_resumed(client)
 
         run(scenario)
 
@@ -196,7 +196,7 @@
             await asyncio.sleep(3.0)
             assert client.ended
             assert not is_whole(client)
-            assert world.ledger.fresh == {"q1": 1}
+            assert world.ledger.runs_started == {"q1": 1}
             assert [code for _, what, code in world.ledger.asked if what == "from"] == [503]
 
         run(scenario)
@@ -211,7 +211,7 @@
             assert runner(world, "q1").name == "s0"
             world.engines["s0"].crash()
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
 
         run(scenario)
 
@@ -287,7 +287,7 @@
             client = await begin(world, "q2")
             runner(world, "q2").reset()
             await asyncio.sleep(2.5)
-            assert_went_on(client, "q2")
+            assert_resumed(client, "q2")
             await asyncio.sleep(60.0)
             await begin(world, "q3")
             assert not any(engine.kept for engine in world.engines.values())
@@ -300,7 +300,7 @@
             world = RunWorld()
             for name in ("s0", "s1"):
                 world.fleet.load(name).running = 10_000
-            world.lasting.pace("llm").mean_tokens = 1_000.0
+            world.lasting.run_statistics("llm").mean_tokens = 1_000.0
             client = world.ask("q1")
             await asyncio.sleep(0.32)
             assert runner(world, "q1").name == "s2"
@@ -312,18 +312,18 @@
 
 class TestEndingEngines:
     @pytest.mark.parametrize("repeat", [Repeat.NEVER, Repeat.RESUME])
-    @pytest.mark.parametrize("tells", [True, False])
-    def test_a_run_that_would_be_cut_is_moved(self, repeat, tells):
+    @pytest.mark.parametrize("reports_end", [True, False])
+    def test_a_run_that_would_be_cut_is_moved(self, repeat, reports_end):
         async def scenario():
             world = RunWorld(repeat=repeat)
             world.handover._drain_s = 0.5
             client = await begin(world)
             first = runner(world, "q1")
-            first.notice(0.5, tells)
+            first.notice(0.5, reports_end)
             await asyncio.sleep(0.45)
             assert runner(world, "q1") is not first
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert not world.ledger.wrong
 
         run(scenario)
@@ -336,7 +336,7 @@
             first.notice(0.6)
             world.leave(first)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
 
         run(scenario)
 
@@ -347,9 +347,9 @@
             first = runner(world, "q1")
             first.copy_s = 0.06
             world.handover._drain_s = 0.1
-            first.notice(0.25, tells=False)
+            first.notice(0.25, reports_end=False)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert [what for _, what, _ in world.ledger.asked] == ["run", "move", "from"]
 
         run(scenario)
@@ -360,7 +360,7 @@
             client = await begin(world)
             runner(world, "q1").notice(3.0)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert not any(what == "move" for _, what, _ in world.ledger.asked)
 
         run(scenario)
@@ -373,7 +373,7 @@
             client = await begin(world)
             world.engines["s0"].notice(0.65)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert not world.ledger.wrong
 
         run(scenario)
@@ -389,7 +389,7 @@
             other.crash()
             first.notice(0.4)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
 
         run(scenario)
 
@@ -407,7 +407,7 @@
             numbers, _ = events(client)
             assert numbers == ALL[: len(numbers)]
             assert len(numbers) >= 22
-            assert world.ledger.fresh == {"q1": 1}
+            assert world.ledger.runs_started == {"q1": 1}
 
         run(scenario)
 
@@ -420,7 +420,7 @@
             first.copy_s = 0.2
             first.notice(0.5)
             await asyncio.sleep(2.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert any(what == "move" and code == 200 for _, what, code in world.ledger.asked)
             assert not any(engine.kept for engine in world.engines.values())
 
@@ -441,7 +441,7 @@
             world.handover._drain_s = 0.5
             world.enter(runner(world, "q1"))
             await asyncio.sleep(4.0)
-            assert_went_on(client)
+            assert_resumed(client)
             assert any(what == "move" and code == 200 for _, what, code in world.ledger.asked)
             assert not any(engine.kept for engine in world.engines.values())
 
@@ -453,10 +453,10 @@
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.keeps_quiet = True
+            first.ignores_calls = True
             first.notice(3.0)
             await asyncio.sleep(3.0)
-            assert_went_on(client)
+            assert_resumed(client)
 
         run(scenario)
 
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -18,7 +18,7 @@
 
 ALL = list(range(1, EVENTS + 1))
 REPORT_LAG_S = 0.35
-NAMED = [
+PUBLISHED = [
     pytest.param("m/a1", KEY, id="adapter"),
     pytest.param("m/a1", MODEL, id="base-of-adapter"),
     pytest.param("m", MODEL, id="base"),
@@ -40,7 +40,7 @@
 
 
 class TestAStoppedRun:
-    @pytest.mark.parametrize(("model", "renewed"), NAMED)
+    @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
     def test_does_not_go_on_under_newer_weights(self, model, renewed):
         """Its engine replaced its weights as soon as it was stopped."""
 
@@ -49,14 +49,14 @@
             client, first = await begin(world, model)
             first.hush()
             await asyncio.sleep(0.9)
-            world.name_version(renewed, 2)
+            world.publish_version(renewed, 2)
             await asyncio.sleep(6.0)
             assert not world.ledger.wrong
             assert client.ended or is_whole(client)
 
         run(scenario)
 
-    @pytest.mark.parametrize(("model", "renewed"), NAMED)
+    @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
     def test_goes_on_where_older_weights_are_still_in_use(self, model, renewed):
         """A newer version that was named takes nothing from a run whose engine has the older."""
 
@@ -126,7 +126,7 @@
             client, first = await begin(world)
             first.hush()
             await asyncio.sleep(0.9)
-            world.name_version(KEY, 2)
+            world.publish_version(KEY, 2)
             await asyncio.sleep(0.5)
             client.transport.close()
             await asyncio.sleep(1.0)
@@ -140,7 +140,7 @@
             client, first = await begin(world)
             first.hush()
             await asyncio.sleep(0.9)
-            world.name_version(MODEL, 2)
+            world.publish_version(MODEL, 2)
             await asyncio.sleep(3.0)
             assert client.ended
             assert not any(engine.kept for engine in world.engines.values())
@@ -153,7 +153,7 @@
             client, first = await begin(world)
             first.hush()
             await asyncio.sleep(0.9)
-            world.name_version(MODEL, 2)
+            world.publish_version(MODEL, 2)
             await asyncio.sleep(6.0)
             assert not world.ledger.wrong
             assert events(client)[0] == ALL
@@ -205,7 +205,7 @@
         """Its engine reports newer weights, so nothing is sent there; one repetition is left."""
 
         async def scenario():
-            with mock.patch.object(run_weights, "JUST_STOPPED_S", 0.0):
+            with mock.patch.object(run_weights, "RECENT_STOP_S", 0.0):
                 world = RunWorld()
                 client, first = await begin(world)
                 first.reported_base = 2
@@ -320,7 +320,7 @@
             client, first = await begin(world)
             world.state.versions[KEY] = 2
             world.state.namings.note(KEY, 2, world.clock() - 4.0)
-            first.runs["q1"].stalls_s = 1.7
+            first.runs["q1"].stall_for_s = 1.7
             await asyncio.sleep(6.0)
             assert is_whole(client)
             assert not [row for row in world.ledger.asked if row[1] == "move"]
@@ -338,7 +338,7 @@
 
 
 class TestACopy:
-    @pytest.mark.parametrize(("model", "renewed"), NAMED)
+    @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
     @pytest.mark.parametrize("at", [0.2, 0.7])
     def test_is_not_used_under_newer_weights(self, copied, model, renewed, at):
         """The engine that received it replaced its weights before or after the break."""
@@ -407,7 +407,7 @@
             world = RunWorld()
             client, first = await begin(world)
             for engine in world.engines.values():
-                engine.quiet_calls = 2
+                engine.calls_to_ignore = 2
             first.crash()
             await asyncio.sleep(4.0)
             assert client.ended
@@ -420,7 +420,7 @@
             world = RunWorld()
             client, first = await begin(world)
             for engine in world.engines.values():
-                engine.quiet_calls = 1
+                engine.calls_to_ignore = 1
             first.crash()
             await asyncio.sleep(4.0)
             assert is_whole(client)
@@ -446,7 +446,7 @@
 
 
 class TestAMove:
-    @pytest.mark.parametrize(("model", "renewed"), NAMED)
+    @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
     def test_goes_to_engines_with_the_weights_of_the_run(self, model, renewed):
         """One engine of two that could take the run has newer weights already."""
 
@@ -508,7 +508,7 @@
         run(scenario)
 
 
-class TestARunThatWasMixed:
+class TestARunUnderOtherWeights:
     def test_is_not_passed_on(self, copied):
         """Its engine's report was older than its weights: the answer's head still tells."""
 
@@ -529,13 +529,13 @@
         run(scenario)
 
 
-class TestAChangeInTheMiddle:
+class TestAVersionChangeDuringARun:
     """A run that waits for memory is read anew under a base model that came meanwhile."""
 
     async def begin_and_change(self, world, replaced):
         """Return the client and engine of a run whose base model is of version 2 from now on."""
         client, first = await begin(world)
-        first.replaces_waiting = True
+        first.replaces_model_while_waiting = True
         first.runs["q1"].pause_s = 1.0
         await asyncio.sleep(0.06)
         assert not first.runs
@@ -628,7 +628,7 @@
         run(scenario)
 
 
-class TestALeftRun:
+class TestAnAbandonedRun:
     def test_is_stopped_after_its_engine_turned_its_request_away(self):
         """An order there waits for the run, which waits for memory; its request gets 503."""
 
@@ -636,7 +636,9 @@
             world = RunWorld(engines=2, repeat=Repeat.RESUME)
             client, first = await begin(world, "m")
             second = next(one for one in world.engines.values() if one is not first)
-            first.keeps_dropped = first.keeps_waiting = first.waits_out = True
+            first.keeps_disconnected_runs = first.keeps_disconnected_waiting = (
+                first.resumes_when_memory_frees
+            ) = True
             first.runs["q1"].pause_s = 0.9
             await asyncio.sleep(0.06)
             first.reset()
