--- a/tests/run_engines.py
+++ b/tests/run_engines.py
@@ -1,4 +1,4 @@
-"""Engines whose runs can be moved, copied and broken, in memory."""
+"""In-memory engines for tests of run recovery: runs can be moved, copied, preempted and broken."""
 
 import asyncio
 import json
@@ -17,26 +17,26 @@
 LOAD_S = 0.3
 MODEL_S = 0.6
 REPORT_AGE_S = 0.3
-"""A report shows what was so long ago."""
+"""Age of the state that a report shows."""
 TICK_S = 0.05
 VERSION_LINE = b"x-gradelug-weight-versions: %d\n"
-"""First line of an event from which on a run's weights are others."""
+"""First line of the event at which the base model of a run changes."""
 
 
 @dataclass(eq=False)
 class Work:
-    """A run at an engine."""
+    """A run on an engine."""
 
     ident: str
     line: str
     events_made: int
     key: AdapterKey = KEY
     versions: tuple = (1, 1)
-    """Of the model and the adapter under which its memory was made."""
+    """Versions of the model and the adapter that produced its memory."""
     pause_s: float = 0.0
-    """It is preempted for so long."""
+    """Time for which it is preempted at the next event, in seconds."""
     stall_for_s: float = 0.0
-    """It makes nothing for so long."""
+    """Time for which it produces nothing, in seconds."""
     is_waiting: bool = False
     waiting_until: float = 0.0
     stop: asyncio.Event = field(default_factory=asyncio.Event)
@@ -44,17 +44,17 @@
 
 @dataclass
 class Ledger:
-    """What the engines saw, and what of it must not be."""
+    """Calls to all engines, and the violations that they detected."""
 
     runs_started: dict = field(default_factory=dict)
-    """How many runs began anew, by request."""
+    """Number of runs started from the prompt, by request."""
     wrong: list = field(default_factory=list)
     asked: list = field(default_factory=list)
-    """Calls and requests: engine, what, status."""
+    """Calls and requests as tuples of engine name, kind and status."""
 
 
 class DelayedWriter:
-    """Delivers what is written to one end of a connection later, in order."""
+    """Delivers data written to one end of a connection after a delay, in order."""
 
     def __init__(self, far, delay_s):
         self._far, self._delay_s = far, delay_s
@@ -69,41 +69,41 @@
 
 
 class RunEngine:
-    """An engine as the platform's pages tell of its runs."""
+    """An engine that implements the platform's interface for moving and stopping runs."""
 
     def __init__(self, world, name, address):
         self.world, self.name, self.address = world, name, address
         self.holds = {KEY: 1}
-        """Adapters, by version."""
+        """Version of each adapter that it holds."""
         self.base = 1
-        """Version of its base model, 0 while it has none."""
+        """Version of its base model; 0 while none is loaded."""
         self.reported_base = None
-        """What it reports instead, if it reports something old."""
+        """Base model version that an outdated report shows; None if reports are current."""
         self.ordered = None
-        """What an order under way is for: the model or an adapter."""
+        """Key of the model or adapter that is being loaded or unloaded, if any."""
         self.runs = {}
         self.kept = {}
-        """Memory of runs that are not at work, by what asks for it."""
+        """Memory of runs that are not executing, by the path that names it in requests."""
         self.room = True
         self.keeps_disconnected_runs = False
-        """Whether a run goes on when its connection closes."""
+        """Whether a run continues when its connection closes."""
         self.keeps_disconnected_waiting = False
-        """Whether one that waits for memory does so, too: no call tells of it."""
+        """Whether this also applies to runs that wait for memory, which no call reports."""
         self.resumes_when_memory_frees = False
-        """Whether such a run goes on only when there is memory again, and not at once."""
+        """Whether a disconnected waiting run resumes only when memory frees, and not at once."""
         self.replaces_model_while_waiting = False
-        """Whether its base model is replaced while runs wait for memory; they are read anew."""
+        """Whether its base model may be replaced while runs wait for memory and are recomputed."""
         self.waiting = []
         """Runs that wait for memory."""
         self.past_reports = deque(maxlen=round(REPORT_AGE_S / TICK_S))
-        """What it would have reported lately."""
+        """States for recent reports, oldest first."""
         self.ignores_calls = False
-        """Whether calls get no answer."""
+        """Whether calls get no response."""
         self.calls_to_ignore = 0
-        """So many calls get no answer."""
+        """Number of further calls that get no response."""
         self.copy_s = COPY_S
         self.receiving = 0
-        """Copies that are on their way to it."""
+        """Number of copies in transit to it."""
         self.dead = False
         self.ends_at = None
         self._tasks = set()
@@ -111,17 +111,17 @@
         self._streaming = set()
         self.server = world.net.serve(address, self.serve, ServerLimits, world.clock)
 
-    # What happens to it.
+    # Faults and orders.
 
     def reset(self, mid_event=False):
-        """Break all connections off, inside an event if so said."""
+        """Abort all connections, optionally in the middle of an event."""
         for conn in list(self.server.connections):
             if mid_event and conn in self._streaming:
                 conn.write(b"9\r\nid: 99\nda\r\n")
             conn.abort()
 
     def hush(self):
-        """Let nothing pass any more over the connections that it has."""
+        """Silently drop all further data on its open connections."""
         for conn in list(self.server.connections):
             conn.transport.write = lambda data: None
             self._silenced.add(conn)
@@ -129,7 +129,7 @@
             conn.transport.peer.write = lambda data: None
 
     def delay(self, delay_s):
-        """Let what it writes arrive later, over the connections that it has."""
+        """Delay the data that it writes to its open connections."""
         for conn in self.server.connections - self._silenced:
             conn.transport.write = DelayedWriter(conn.transport.peer, delay_s).write
 
@@ -147,7 +147,7 @@
         asyncio.get_running_loop().call_later(remaining_s, self.end)
 
     async def renew(self, key):
-        """Load the newest version of weights if it is not there once other orders are done."""
+        """Load the newest version of weights unless pending orders have already provided it."""
         await self._wait_for_orders()
         if self.dead:
             await asyncio.sleep(LOAD_S)
@@ -155,7 +155,7 @@
             await self.load(key)
 
     async def unload_older(self, key):
-        """Unload weights unless their newest version is there once other orders are done."""
+        """Unload an outdated version of weights once pending orders are complete."""
         await self._wait_for_orders()
         if self.lacks(key) and self.version(key):
             await self.unload(key)
@@ -165,7 +165,7 @@
             await asyncio.sleep(TICK_S)
 
     async def load(self, key):
-        """Load the newest version of weights, and of their model if that is not there."""
+        """Load the newest version of weights, and of their model if it is missing."""
         await self._wait_for_orders()
         if self.version(key):
             await self.unload(key)
@@ -175,7 +175,7 @@
             await self._load_newest(key)
 
     async def unload(self, key):
-        """Unload weights when no run uses them; a model's adapters go with it."""
+        """Unload weights once no run uses them; with a model, its adapters are unloaded too."""
         self.ordered = key
         while any(key in (MODEL, work.key) for work in self._users(key)):
             await asyncio.sleep(TICK_S / 10)
@@ -188,7 +188,7 @@
         self.world.enter(self)
 
     def _users(self, key):
-        """Return the runs for which an order to unload weights waits if they use them."""
+        """Return the runs that block the unloading of weights that they use."""
         waiting = [] if key == MODEL and self.replaces_model_while_waiting else self.waiting
         return [*self.runs.values(), *waiting]
 
@@ -204,15 +204,15 @@
             self.world.enter(self)
 
     def lacks(self, key):
-        """Tell whether the newest version of weights is not there."""
+        """Return whether the newest version of weights is missing."""
         return not self.base or self.version(key) < self.world.newest(key)
 
     def version(self, key):
-        """Return the version of weights that it holds, 0 for none."""
+        """Return the version of weights that it holds; 0 for none."""
         return self.base if key == MODEL else self.holds.get(key, 0)
 
     def start(self, work):
-        """Do something beside, until it is lost; return its task."""
+        """Run a coroutine in the background until the engine crashes; return its task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._note_done)
@@ -224,7 +224,7 @@
             self.world.ledger.wrong.append(f"{self.name}: {task.exception()!r}")
 
     def versions(self, key):
-        """Return the versions of the model and of an adapter that it holds."""
+        """Return the held versions of the model and of an adapter."""
         return self.base, self.version(key)
 
     def end(self):
@@ -233,11 +233,11 @@
             self.world.leave(self)
 
     def note(self):
-        """Keep what it would report now."""
+        """Record the current state for later reports."""
         runs = [[one.ident, 100, one.events_made, 5] for one in self.runs.values()]
         self.past_reports.append((len(self.waiting), runs))
 
-    # What it serves.
+    # HTTP interface.
 
     async def serve(self, inc):
         target = inc.target.decode()
@@ -333,12 +333,12 @@
             kept_ident, line, memory_versions = found
             if memory_versions != versions:
                 ledger.wrong.append(
-                    f"{ident}: memory of {memory_versions} goes on under {versions}"
+                    f"{ident}: memory of {memory_versions} resumed under {versions}"
                 )
             if inc.header(b"last-event-id") is None:
-                ledger.wrong.append(f"{ident} does not say after which event it goes on")
+                ledger.wrong.append(f"{ident}: resumed without Last-Event-Id")
             if kept_ident != ident:
-                ledger.wrong.append(f"{ident} goes on from the memory of {kept_ident}")
+                ledger.wrong.append(f"{ident}: resumed from the memory of {kept_ident}")
             ledger.asked.append((self.name, "from", 200))
         else:
             count = ledger.runs_started[ident] = ledger.runs_started.get(ident, 0) + 1
@@ -397,7 +397,7 @@
                 del self.runs[work.ident]
 
     async def _preempt(self, work):
-        """Let a run wait for memory; until then it is not known as one."""
+        """Let a run wait for memory if it is preempted; it is not listed as a run meanwhile."""
         pause_s, work.pause_s = work.pause_s, 0.0
         if pause_s:
             if self.runs.get(work.ident) is work:
@@ -414,7 +414,7 @@
                 await asyncio.sleep(TICK_S)
         finally:
             self.waiting.remove(work)
-        # What was read under weights that were replaced is read again under the new ones.
+        # Its memory is recomputed under the weights that are loaded now.
         work.versions = self.versions(work.key)
         work.is_waiting = False
         self.runs[work.ident] = work
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -1,4 +1,4 @@
-"""A gateway's own code before engines whose runs can be moved, copied and broken, in memory."""
+"""A gateway with in-memory engines whose runs can be moved, copied and broken."""
 
 import asyncio
 import itertools
@@ -40,7 +40,7 @@
 
 DRAIN_S = 3.0
 MAX_OVERLAP_S = 0.4
-"""Two engines must not be at work on a run this long after it went on elsewhere."""
+"""Maximum time for which a resumed run may also execute on its former engine."""
 SPEC = EngineSpec(
     (BaseModel("m", 1000.0, MODEL_S, 1.0),),
     1000.0,
@@ -56,13 +56,13 @@
 
 
 class PlacingDirectory(Directory):
-    """Has the adapter loaded on an engine that is asked for, or on any that may have it."""
+    """Loads the adapter on the first engine that is allowed and usable."""
 
     def __init__(self, world, fleet):
         super().__init__("i", "10.0.0.9:1", fleet, fleet._clock, lambda service: None)
         self._world = world
         self.uses = {}
-        """Requests that use weights, by engine and weights, after each change."""
+        """History of the number of requests that use weights, by engine and weights."""
 
     def _note(self, replica, key, change, tokens=0):
         counts = self.uses.setdefault((replica, key), [0])
@@ -73,7 +73,7 @@
             if rep.name not in excluded and (only is None or rep.name in only):
                 engine = self._world.engines[rep.name]
                 if engine.lacks(key):
-                    # An engine carries an order out whether or not its giver still waits.
+                    # An engine completes an order even if the caller is cancelled.
                     await asyncio.wait({engine.start(engine.renew(key))})
                 else:
                     await asyncio.sleep(LOAD_S)
@@ -83,7 +83,7 @@
 
 
 class ProvenConfig:
-    """The configuration is known to be the newest."""
+    """A configuration that is proven to be current."""
 
     config = 1
     age_s = 0.0
@@ -93,7 +93,7 @@
 
 
 class RunWorld:
-    """A gateway before engines that can be broken."""
+    """A gateway with engines in which faults can be injected."""
 
     def __init__(
         self,
@@ -174,7 +174,7 @@
         return engine
 
     def enter(self, engine, leaving=False):
-        """Enter an engine as it says of itself."""
+        """Write the entry of an engine to the platform state."""
         known = self.state.replicas.get(engine.name)
         leaving = leaving or (known is not None and known.leaving)
         base = {MODEL: engine.base} if engine.base else {}
@@ -188,9 +188,9 @@
         return self.state.versions.get(key, 1)
 
     def publish_version(self, key, version, ordered=None):
-        """Name a version of weights, and order engines with an older one to unload that.
+        """Announce a version of weights, and order engines to unload an older one.
 
-        All are ordered that have one, unless some are given.
+        The order goes to all engines unless `ordered` lists some.
         """
         self.state.versions[key] = version
         for engine in self.engines.values() if ordered is None else ordered:
@@ -208,7 +208,7 @@
         return [engine for engine in self.engines.values() if ident in engine.runs]
 
     def check_single_engine_later(self, engine, ident):
-        """See to it that no other engine is still at work after a run went on at one."""
+        """Check later that a run resumed on one engine no longer executes on another."""
 
         def check():
             others = [
@@ -217,7 +217,7 @@
                 if one is not engine and not one.ignores_calls
             ]
             if engine in self.engines_running(ident) and others:
-                self.ledger.wrong.append(f"{ident} is at work at {engine.name} and {others}")
+                self.ledger.wrong.append(f"{ident} executes on {engine.name} and {others}")
 
         asyncio.get_running_loop().call_later(MAX_OVERLAP_S, check)
 
@@ -235,7 +235,7 @@
 
 
 def run(scenario):
-    """Run a coroutine function on a paused clock of its own, and return what it returns."""
+    """Run a coroutine function on an event loop with simulated time; return its result."""
     loop = new_loop()
     try:
         return loop.run_until_complete(scenario())
@@ -244,7 +244,7 @@
 
 
 def close(loop):
-    """Cancel whatever is left, and close a loop."""
+    """Cancel the remaining tasks of a loop, and close it."""
 
     async def end():
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
@@ -257,27 +257,27 @@
 
 
 def events(client):
-    """Return the numbers and the lines of the events that a client has."""
+    """Return the numbers and the data of the events that a client received."""
     found = _complete_events(client)
     return [int(number) for _, number, _ in found], [line.decode() for _, _, line in found]
 
 
 def changes(client):
-    """Return the versions named in events, by the event's number."""
-    return {int(number): int(told) for told, number, _ in _complete_events(client) if told}
+    """Return the base model versions reported in events, by event number."""
+    return {int(number): int(version) for version, number, _ in _complete_events(client) if version}
 
 
 def _complete_events(client):
-    """Return version, number and line of each whole event; nothing else may stand among them."""
-    head, _, coming = bytes(client.received).partition(b"\r\n\r\n")
+    """Return version, number and data of each event; fail on anything else in the body."""
+    head, _, body = bytes(client.received).partition(b"\r\n\r\n")
     if status(client) != 200:
         return []
     assert b"transfer-encoding: chunked" in head.lower()
     text = b""
-    while coming:
-        size, _, coming = coming.partition(b"\r\n")
-        text += coming[: int(size, 16)]
-        coming = coming[int(size, 16) :].removeprefix(b"\r\n")
+    while body:
+        size, _, body = body.partition(b"\r\n")
+        text += body[: int(size, 16)]
+        body = body[int(size, 16) :].removeprefix(b"\r\n")
     *whole, rest = text.split(b"\n\n")
     assert not rest
     found = [_event_re.fullmatch(event) for event in whole]
@@ -294,5 +294,5 @@
 
 
 def runner(world, ident):
-    """Return the engine at which a request runs."""
+    """Return the engine that executes a request."""
     return world.engines_running(ident)[0]
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -1,4 +1,4 @@
-"""Kept parts of prompts on the platform's wire, at the planner and at gateways."""
+"""Prefix caching: wire format, placement by planners and choice of engine by gateways."""
 
 import asyncio
 
@@ -47,18 +47,18 @@
             (b"5c1e:800,,e440:250", ()),
         ],
     )
-    def test_parts_are_read_and_go_on_as_they_came(self, text, parts):
+    def test_prefixes_are_parsed_and_forwarded_unchanged(self, text, parts):
         async def scenario():
             bench = Bench(
                 route(Repeat.RESUME, True, 2, "llm"), [[[STREAM + END]]], HELD, engine=True
             )
             seen = []
 
-            class Seeing(Kept):
+            class RecordingCache(Kept):
                 def chain(self, req, owner):
                     seen.append(req.parts)
 
-            bench.fleet.kept = Seeing(bench.clock)
+            bench.fleet.kept = RecordingCache(bench.clock)
             bench.client(4000, ADAPTER + HEADERS % text)
             await asyncio.sleep(0.1)
             assert seen == [parts]
@@ -66,13 +66,13 @@
 
         run(scenario)
 
-    def test_a_chain_is_told_as_it_is(self):
+    def test_a_chain_survives_encoding(self):
         assert decode_chain("m/a", encode_chain(CHAIN)) == CHAIN
         assert decode_chain("m/a", encode_chain(None)) is None
 
 
 class KeptBench(PlannerBench):
-    """A planner with two engines that hold an adapter both."""
+    """A planner with two engines that both hold the same adapter."""
 
     async def answer(self, **more):
         ticket = self.ask("a", prompt_tokens=1_460, prefixes=encode_chain(CHAIN), **more)
@@ -99,11 +99,11 @@
 
         run(whole)
 
-    def test_prompts_that_begin_alike_go_to_the_engine_that_keeps_it(self):
+    def test_prompts_with_a_common_prefix_go_to_the_engine_that_caches_it(self):
         async def scenario(bench):
             first = await bench.answer()
             assert first.kept_tokens == 0
-            # Somewhat more is before it there than elsewhere.
+            # That engine has a slightly longer queue.
             bench.load(first.replica, 0)
             told = pb.Load(replica=first.replica, running=2, queued=[500])
             bench.planner.take(bench.gateway, pb.FromGateway(loads=[told]))
@@ -113,7 +113,7 @@
 
         self.play(scenario)
 
-    def test_where_it_would_wait_longer_than_it_reads_it_is_read_again_elsewhere(self):
+    def test_a_long_queue_outweighs_a_cached_prefix(self):
         async def scenario(bench):
             first = await bench.answer()
             bench.load(first.replica, 2)
@@ -123,7 +123,7 @@
 
         self.play(scenario)
 
-    def test_an_engine_that_starts_again_under_its_name_keeps_nothing(self):
+    def test_a_restarted_engine_has_nothing_cached(self):
         async def scenario(bench):
             first = await bench.answer()
             kept = bench.planner.index.kept
@@ -134,7 +134,7 @@
 
         self.play(scenario)
 
-    def test_parts_go_with_their_adapter(self):
+    def test_prefixes_are_dropped_with_their_adapter(self):
         async def scenario(bench):
             first = await bench.answer()
             engine = bench.planner.engines[first.replica]
@@ -144,8 +144,8 @@
 
         self.play(scenario)
 
-    def test_parts_go_with_an_older_version_of_their_adapter(self):
-        """The engine's report tells a newer one in the same place."""
+    def test_prefixes_are_dropped_with_an_older_adapter_version(self):
+        """The engine reports a newer version in place of the older one."""
 
         async def scenario(bench):
             first = await bench.answer()
@@ -157,7 +157,7 @@
 
         self.play(scenario)
 
-    def test_what_all_gateways_send_makes_parts_give_way(self):
+    def test_prompts_of_all_gateways_evict_prefixes(self):
         async def scenario(bench):
             first = await bench.answer()
             use = pb.Use(replica=first.replica, model="m", adapter="a", started_tokens=20_000)
@@ -166,7 +166,7 @@
 
         self.play(scenario)
 
-    def test_it_sends_where_gateways_that_do_not_ask_send_such_prompts(self):
+    def test_planner_and_gateways_choose_the_same_engine(self):
         async def scenario(bench):
             fleet = new_fleet()
             del fleet.state.replicas["e2"]
@@ -185,7 +185,7 @@
 
         self.play(scenario)
 
-    def test_of_many_engines_with_a_base_model_few_keep_the_same_parts(self):
+    def test_few_of_many_engines_cache_the_same_prefixes(self):
         async def scenario():
             bench = KeptBench(80, spec=ROOM_SPEC, room=EngineRoom(ReadingSpeeds()))
             await asyncio.sleep(1.0)
@@ -204,7 +204,7 @@
 
         run(scenario)
 
-    def test_one_that_names_no_parts_is_placed_as_before(self):
+    def test_a_request_without_prefixes_is_credited_nothing(self):
         async def scenario(bench):
             await bench.answer()
             ticket = bench.ask("a", prompt_tokens=1_460)
@@ -236,7 +236,7 @@
 
 
 class TestGateway:
-    def test_gateways_that_know_nothing_agree_on_an_engine(self):
+    def test_gateways_without_observations_agree_on_an_engine(self):
         chains = [chain_of("m/a", "", (PromptPart(f"p{n}", 900), PARTS[2])) for n in range(30)]
         for chain in chains:
             work = Work(1_150, 0, 80, chain)
@@ -248,7 +248,7 @@
         ]
         assert set(names) == {"e0", "e1", "e2"}
 
-    def test_with_old_news_they_agree_once_they_know_that_a_chain_is_rare(self):
+    def test_gateways_with_old_state_agree_on_rare_chains(self):
         fleets = [new_fleet(has_room=True) for _ in range(4)]
         chosen = []
         for fleet in fleets:
@@ -259,13 +259,13 @@
             chosen.append(last)
         assert len(set(chosen)) == 1
 
-    def test_a_longer_queue_goes_before_what_is_kept(self):
+    def test_a_longer_queue_outweighs_cached_prefixes(self):
         fleet = new_fleet()
         home = fleet.choose(fleet.usable("llm"), work=WORK).name
         fleet.load(home).others = ToldLoad(3, 0, (4_000,))
         assert fleet.choose(fleet.usable("llm"), work=WORK).name != home
 
-    def test_what_was_sent_and_what_a_planner_tells_need_not_be_read(self):
+    def test_sent_and_reported_prefixes_are_credited(self):
         fleet = new_fleet()
         assert fleet.kept.at("e0", WORK).reading_tokens == 1_460
         fleet.kept.note_sent("e0", WORK, 60_000, 1)
@@ -276,14 +276,14 @@
         fleet.kept._clock.now += KEPT_S + 1
         assert fleet.kept.at("e0", WORK).reading_tokens == 1_460
 
-    def test_an_engine_that_starts_again_is_not_credited(self):
+    def test_a_restarted_engine_is_not_credited(self):
         fleet = new_fleet()
         fleet.kept.note_sent("e0", WORK, 60_000, 1)
         fleet.state.replicas["e0"] = Replica("e0", "llm", "e0:1", "hall", born=2)
         fleet.note_lives()
         assert fleet.kept.at("e0", WORK).kept_tokens == 0
 
-    def test_parts_go_with_weights_that_left_and_stay_with_those_told_again(self):
+    def test_prefixes_are_dropped_only_with_removed_weights(self):
         fleet = new_fleet()
         for name in ("e0", "e1"):
             fleet.kept.note_sent(name, WORK, 60_000, 1)
@@ -294,7 +294,7 @@
         assert fleet.kept.at("e0", WORK).kept_tokens == 0
 
     @pytest.mark.parametrize(
-        "tell",
+        "report",
         [
             lambda fleet: fleet.set_holdings("e0", {KEY: 2}),
             lambda fleet: fleet.add_holding("e0", KEY, 2),
@@ -302,13 +302,13 @@
         ],
         ids=["holdings", "answer", "homes"],
     )
-    def test_parts_go_with_an_older_version_that_is_told_to_be_replaced(self, tell):
+    def test_prefixes_are_dropped_when_a_newer_version_is_reported(self, report):
         fleet = new_fleet()
         fleet.kept.note_sent("e0", WORK, 60_000, 1)
-        tell(fleet)
+        report(fleet)
         assert fleet.kept.at("e0", WORK).kept_tokens == 0
 
-    def test_what_is_booked_at_the_planner_is_not_counted_twice(self):
+    def test_load_reserved_by_the_planner_is_not_counted_twice(self):
         async def scenario():
             fleet = new_fleet()
             clock = asyncio.get_running_loop().time
@@ -325,19 +325,19 @@
         run(scenario)
 
     @pytest.mark.parametrize("is_on", [True, False])
-    def test_it_can_be_switched_off(self, is_on):
+    def test_prefix_caching_can_be_disabled(self, is_on):
         fleet = new_fleet(is_on)
         assert (fleet.kept.chain(request(), "") is not None) is is_on
         assert fleet.kept.chain(request(()), "") is None
 
-    def test_what_was_read_for_an_organisation_is_not_credited_to_another(self):
+    def test_prefixes_are_not_shared_between_organisations(self):
         fleet = new_fleet()
         one, two = (fleet.kept.chain(request(), owner) for owner in ("one", "two"))
         fleet.kept.note_sent("e0", Work(1_460, 0, 80, one), 60_000, 1)
         assert fleet.kept.at("e0", Work(1_460, 0, 80, one)).kept_tokens == 1_210
         assert fleet.kept.at("e0", Work(1_460, 0, 80, two)).kept_tokens == 0
 
-    def test_queues_hold_what_is_to_be_read_and_are_empty_again(self):
+    def test_queues_count_uncached_tokens_and_return_to_zero(self):
         async def scenario():
             bench = Bench(route(Repeat.RESUME, True, 2, "llm"), [[[STREAM]]], HELD, engine=True)
             bench.fleet.kept = Kept(bench.clock)
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -1,4 +1,4 @@
-"""Runs that were left at engines that may still have them."""
+"""Runs that were abandoned on engines that may still execute them."""
 
 import asyncio
 import math
@@ -32,31 +32,31 @@
 
 
 class TestDecision:
-    def test_where_nothing_waits_an_unknown_run_is_gone(self):
+    def test_an_unknown_run_has_ended_if_nothing_is_queued(self):
         assert is_gone(IDLE_REPORT, "q9", 1.2)
 
     @pytest.mark.parametrize(
-        "word",
+        "report",
         [
             EngineWord(1, 2, frozenset({"q1", "q2"})),
             EngineWord(0, 3, frozenset({"q1", "q2"})),
             EngineWord(0, 2, frozenset({"q1", "q9"})),
             None,
         ],
-        ids=["one waits", "one is being read", "it runs again", "nothing is told"],
+        ids=["one queued", "one in prefill", "runs again", "no report"],
     )
-    def test_otherwise_it_may_be_there(self, word):
-        assert not is_gone(word, "q9", 1.2)
+    def test_an_unknown_run_may_still_exist_otherwise(self, report):
+        assert not is_gone(report, "q9", 1.2)
 
     def test_a_report_is_older_than_the_newest_events(self):
         assert not is_gone(IDLE_REPORT, "q9", REPORT_AGE_S - 0.1)
 
-    def test_a_run_at_work_until_its_break_goes_on_at_once(self):
+    def test_only_a_run_silent_before_its_break_may_be_queued(self):
         assert not may_wait(0.05, 0.3)
         assert may_wait(0.6, 0.3)
 
-    def test_a_burst_that_fills_engines_leaves_few_calls(self):
-        """300 streams are left within a second, and none is gone for certain until 15 s later."""
+    def test_a_burst_of_abandoned_runs_causes_few_calls(self):
+        """300 runs are abandoned within a second, and none has certainly ended for 15 s."""
         calls, urgent = 0, 0
         for _ in range(300):
             at = 0.0
@@ -65,11 +65,11 @@
                 calls += 1
                 urgent += at < REPORT_AGE_S
         assert calls <= 300 * 15
-        # Before two engines may not be at work any more the calls lie close together.
+        # Calls are frequent while two engines may still execute the same request.
         assert urgent >= 300 * 0.4 / ASK_S
 
-    def test_what_was_left_before_it_began_is_asked_for_seldom(self):
-        """Hundreds of them wait at full engines, and no event of theirs can come twice yet."""
+    def test_runs_not_resumed_elsewhere_are_polled_rarely(self):
+        """Hundreds may be queued on full engines, and cannot duplicate events yet."""
         at, calls = 0.0, 0
         while at < 15.0:
             at += next_ask_s(at, math.inf)
@@ -78,8 +78,8 @@
 
 
 class TestSilentRuns:
-    def test_where_nothing_waits_a_run_that_is_not_known_is_resumed_elsewhere(self):
-        """Its last events were lost on a link that fell silent; its engine ended it."""
+    def test_an_unknown_run_is_resumed_elsewhere_if_nothing_is_queued(self):
+        """Its engine completed it, but the last events were lost on a silent link."""
 
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
@@ -94,7 +94,7 @@
 
         run(scenario)
 
-    def test_while_others_wait_there_it_is_waited_for(self):
+    def test_a_run_is_awaited_while_its_engine_has_a_queue(self):
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
@@ -107,7 +107,7 @@
 
         run(scenario)
 
-    def test_an_engine_that_is_lost_is_not_waited_for(self):
+    def test_an_unresponsive_engine_is_not_awaited(self):
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
@@ -119,7 +119,7 @@
 
         run(scenario)
 
-    def test_a_copy_does_not_go_on_beside_a_run_that_waits(self):
+    def test_a_copy_is_not_resumed_while_the_run_is_queued(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -138,9 +138,7 @@
 class TestRunsWithBrokenStreams:
     @pytest.mark.parametrize("resumes_when_memory_frees", [True, False])
     @pytest.mark.parametrize("silent_s", [0.1, 0.6])
-    def test_one_that_waits_at_its_engine_does_not_go_on_beside_itself(
-        self, resumes_when_memory_frees, silent_s
-    ):
+    def test_a_queued_run_does_not_execute_twice(self, resumes_when_memory_frees, silent_s):
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
@@ -154,15 +152,15 @@
             assert is_whole(client)
             assert not world.ledger.wrong
             if resumes_when_memory_frees and silent_s < 0.3:
-                # It went on elsewhere at once, and was stopped when it came back.
+                # It was resumed elsewhere at once, and stopped when it left the queue.
                 assert world.ledger.runs_started == {"q1": 2}
                 assert not any(engine.kept for engine in world.engines.values())
                 assert b'gradelug_left_runs_total{end="stopped"} 1.0' in world.meters.text()
 
         run(scenario)
 
-    def test_a_run_left_before_its_first_event_does_not_go_on_beside_its_successor(self):
-        """Found by the state machine: the first sending met a silent link."""
+    def test_a_run_abandoned_before_its_first_event_is_stopped(self):
+        """The first attempt is sent over a silent link, and its engine keeps the run."""
 
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
@@ -181,7 +179,7 @@
 
         run(scenario)
 
-    def test_an_engine_that_dropped_it_is_asked_until_it_says_that_nothing_waits(self):
+    def test_polling_ends_when_the_engine_reports_an_empty_queue(self):
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
@@ -194,7 +192,7 @@
 
         run(scenario)
 
-    def test_answers_that_are_lost_are_asked_for_again(self):
+    def test_calls_without_response_are_retried(self):
         async def lost(self, source, request_id, target, last):
             if source.name == "s0" and len(calls) < 4:
                 calls.append(request_id)
@@ -216,7 +214,7 @@
         with mock.patch.object(PlatformRuns, "move", lost):
             run(scenario)
 
-    def test_engines_that_move_no_runs_are_asked_for_none(self):
+    def test_engines_that_cannot_move_runs_are_not_polled(self):
         async def scenario():
             with mock.patch.object(run_world, "SPEC", replace(run_world.SPEC, moves=False)):
                 world = RunWorld(repeat=Repeat.RESUME, replicas=3)
@@ -228,8 +226,8 @@
 
         run(scenario)
 
-    def test_where_it_goes_on_it_is_left_alone(self):
-        """With one replica allowed the request is resumed where it was."""
+    def test_a_run_is_not_stopped_on_the_engine_that_resumes_it(self):
+        """With one replica allowed, the request is resumed on the same engine."""
 
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=1)
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -1,4 +1,4 @@
-"""Streams under breaks of all kinds: none loses an event, has one twice, or runs twice at once."""
+"""State machine test of run recovery: no stream loses or repeats an event or runs twice at once."""
 
 import asyncio
 from enum import Enum
@@ -18,17 +18,17 @@
 
 
 class Waiting(Enum):
-    """What becomes of a run that waits for memory when its connection closes."""
+    """Behaviour of a run that is queued for memory when its connection closes."""
 
     DROPPED = "dropped"
     AT_ONCE = "at once"
-    """It goes on at once."""
+    """It continues at once."""
     WHEN_MEMORY_FREES = "waits out"
-    """It goes on when there is memory for it."""
+    """It continues when memory frees."""
 
 
 class Breaks(RuleBasedStateMachine):
-    """Breaks of all kinds over streams that must not be run twice, or may be resumed."""
+    """Injects faults into streams that may or may not be resumed by another run."""
 
     def __init__(self):
         super().__init__()
@@ -74,7 +74,7 @@
         return alive[at % len(alive)]
 
     def busy(self, at):
-        """Return an engine that has runs, if there is one."""
+        """Return an engine that has runs if there is one, else any engine."""
         with_runs = [one for one in self.world.engines.values() if one.runs and not one.dead]
         return with_runs[at % len(with_runs)] if with_runs else self.engine(at)
 
@@ -123,7 +123,7 @@
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
     @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.1, 0.3]), ends=st.booleans())
     def end_while_a_copy_is_in_transit(self, at, left_s, ends):
-        """Give an engine notice, and end where its runs are copied to, or itself, meanwhile."""
+        """Give an engine notice, then end the target of its copies and optionally the engine."""
         if len(self.clients) < MAX_CLIENTS:
             self.ask("m/a1")
         self.wait(0.3)
@@ -139,7 +139,7 @@
                 return
 
     def end_target(self, left_s):
-        """Give notice to an engine that receives a copy; tell whether there is one."""
+        """Give notice to an engine that receives a copy; return whether there is one."""
         targets = (one for one in self.world.engines.values() if one.receiving and not one.dead)
         target = next(targets, None)
         if target is None:
@@ -156,7 +156,7 @@
     @precondition(lambda self: self.clients)
     @rule(then=st.sampled_from(["wait", "reset", "hush"]))
     def run_out_of_memory(self, then):
-        """Have all runs wait for memory, for longer than a stream may be silent."""
+        """Queue all runs for memory, for longer than a stream may stall."""
         engines = [one for one in self.world.engines.values() if not one.dead]
         for engine in engines:
             for work in engine.runs.values():
@@ -180,7 +180,7 @@
         ordered=st.none() | st.sets(st.integers(0, 3), max_size=3),
     )
     def publish_next_version(self, key, ordered):
-        """Name a version, and have all engines with an older one unload that, or some of them."""
+        """Announce a version, and order all or some engines with an older one to unload it."""
         world = self.world
         told = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
         self.act(lambda: world.publish_version(key, world.newest(key) + 1, told))
@@ -194,7 +194,7 @@
         ordered=st.sampled_from(["all", "one", "others", "none"]),
     )
     def publish_next_version_at_a_break(self, model, key, how, delay_s, ordered):
-        """Break a run's stream or give its engine notice, and name a version at that time."""
+        """Break a run's stream or give its engine notice, and announce a version then."""
         self.ask(model)
         self.wait(0.7)
         world, broken = self.world, self.busy(0)
@@ -216,7 +216,7 @@
 
     @rule(at=st.integers(0, 3), key=st.sampled_from([KEY, MODEL]))
     def load(self, at, key):
-        """Have an engine load the newest version of weights, in place of an older one."""
+        """Order an engine to replace weights by their newest version."""
         engine = self.engine(at)
         self.act(lambda: engine.start(engine.renew(key)))
 
@@ -231,7 +231,7 @@
         assert not self.world.ledger.wrong
         for ident, client in self.clients.items():
             numbers, lines = events(client)
-            # None lost, none twice, none of another request or another run.
+            # No event is lost, repeated, or from another request or run.
             assert numbers == ALL[: len(numbers)]
             assert all(line.startswith(f"{ident}.") for line in lines)
             assert not is_whole(client) or numbers == ALL or status(client) != 200
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -1,4 +1,4 @@
-"""Runs that go on: breaks, silences, lost engines, notices, moves that fail halfway."""
+"""Recovery of runs after broken or stalled streams, engine crashes, notices and failed moves."""
 
 import asyncio
 from unittest import mock
@@ -22,13 +22,13 @@
 
 @pytest.fixture
 def copied():
-    """Every stream is copied, whatever the risk."""
+    """Copy every stream, whatever the risk of a break."""
     with mock.patch.object(runs_module, "wants_copy", return_value=True):
         yield
 
 
 async def begin(world, ident="q1", **more):
-    """Send a request and return its client when some events have come."""
+    """Send a request and return its client after some events were received."""
     client = world.ask(ident, **more)
     await asyncio.sleep(0.67)
     assert len(events(client)[0]) > 3
@@ -45,8 +45,8 @@
 
 class TestBrokenConnections:
     @pytest.mark.parametrize("mid_event", [True, False])
-    def test_a_run_goes_on_from_its_copy(self, copied, mid_event):
-        """307 streams broke by resets on one day of a customer, and none of them went on."""
+    def test_a_broken_run_is_resumed_from_its_copy(self, copied, mid_event):
+        """Connection resets interrupt many streams in bursts; each must be resumed, not cut."""
 
         async def scenario():
             world = RunWorld()
@@ -63,7 +63,7 @@
 
         run(scenario)
 
-    def test_a_run_outlives_its_engine(self, copied):
+    def test_a_run_is_resumed_after_an_engine_crash(self, copied):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -86,7 +86,7 @@
 
         run(scenario)
 
-    def test_switched_off_nothing_is_copied_or_moved(self, copied):
+    def test_without_recovery_nothing_is_copied_or_moved(self, copied):
         async def scenario():
             world = RunWorld(lasting=False)
             client = await begin(world)
@@ -99,7 +99,7 @@
         run(scenario)
 
     def test_an_engine_that_still_runs_it_is_stopped_first(self, copied):
-        """Most engines drop a request whose connection closes; not all."""
+        """Most engines drop a request whose connection closes, but not all."""
 
         async def scenario():
             world = RunWorld()
@@ -114,23 +114,23 @@
 
         run(scenario)
 
-    def test_a_run_that_waits_unseen_is_not_resumed_beside_itself(self):
-        """Found by the state machine of `test_run_breaks`."""
+    def test_a_queued_run_is_not_resumed_while_it_may_continue(self):
+        """A disconnected run may be queued for memory on its engine, which no call reports."""
 
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             await begin(world)
             first = runner(world, "q1")
             first.keeps_disconnected_runs = first.keeps_disconnected_waiting = True
-            # Longer than a stream may be silent until it is resumed elsewhere.
+            # Longer than the silence after which a stream is resumed elsewhere.
             first.runs["q1"].pause_s = 1.8
             await asyncio.sleep(6.0)
             assert not world.ledger.wrong
 
         run(scenario)
 
-    def test_an_engine_that_did_not_answer_is_asked_to_stop_it_once_more(self, copied):
-        """Links silence kept connections: the first call over one of them is lost."""
+    def test_an_unanswered_stop_request_is_retried_once(self, copied):
+        """Links drop idle pooled connections silently, so the first call over one is lost."""
 
         async def scenario():
             world = RunWorld()
@@ -144,7 +144,7 @@
 
         run(scenario)
 
-    def test_a_silent_stream_is_stopped_at_its_engine_and_goes_on_there(self):
+    def test_a_stalled_run_is_stopped_and_resumed_on_its_engine(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -158,8 +158,8 @@
 
         run(scenario)
 
-    def test_a_run_that_waits_for_memory_is_waited_for(self):
-        """Its engine knows no run until it is read anew; five streams of a day were left for it."""
+    def test_a_run_that_is_queued_for_memory_is_awaited(self):
+        """Until the run is recomputed its engine reports none, and it must not be abandoned."""
 
         async def scenario():
             world = RunWorld()
@@ -171,7 +171,7 @@
 
         run(scenario)
 
-    def test_where_no_other_engine_has_room_it_goes_on_where_it_was_stopped(self):
+    def test_without_capacity_elsewhere_it_is_resumed_where_it_was_stopped(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -184,7 +184,7 @@
 
         run(scenario)
 
-    def test_a_copy_that_is_not_there_ends_it_as_one_that_may_have_run(self, copied):
+    def test_a_missing_copy_ends_the_request_without_another_run(self, copied):
         async def scenario():
             world = RunWorld(replicas=3)
             client = await begin(world)
@@ -201,7 +201,7 @@
 
         run(scenario)
 
-    def test_where_the_copy_is_the_weights_are_loaded_first(self, copied):
+    def test_weights_are_loaded_first_on_the_engine_with_the_copy(self, copied):
         async def scenario():
             world = RunWorld(engines=2)
             other = world.engines["s1"]
@@ -215,9 +215,9 @@
 
         run(scenario)
 
-    def test_without_an_event_there_is_no_memory_to_go_on_from(self, copied):
-        """Asked for it, 145 of 145 engines had none in trials, and those that lost answers ran the
-        request anew."""
+    def test_without_an_event_no_memory_is_requested(self, copied):
+        """Engines have no copy yet, and those that lose responses would run the request from the
+        start."""
 
         async def scenario():
             world = RunWorld()
@@ -230,7 +230,7 @@
 
         run(scenario)
 
-    def test_so_soon_after_its_first_event_no_copy_is_counted_on(self, copied):
+    def test_shortly_after_its_first_event_no_copy_is_requested(self, copied):
         async def scenario():
             world = RunWorld()
             client = world.ask("q1")
@@ -242,7 +242,7 @@
 
         run(scenario)
 
-    def test_without_a_repetition_to_spend_nothing_is_asked(self, copied):
+    def test_without_retry_budget_nothing_is_requested(self, copied):
         async def scenario():
             world = RunWorld(budget=0.0)
             client = await begin(world)
@@ -253,7 +253,7 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_stops_its_run(self, copied):
+    def test_a_run_is_not_resumed_after_its_caller_disconnects(self, copied):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -275,8 +275,8 @@
 
         run(scenario)
 
-    def test_copies_begin_when_streams_break_and_end_when_they_no_longer_do(self):
-        """A day's resets come in bursts; between them a copy of each run would save nobody."""
+    def test_copies_start_and_end_with_the_risk_of_breaks(self):
+        """Resets come in bursts; copies between them would be of no use."""
 
         async def scenario():
             world = RunWorld()
@@ -295,7 +295,7 @@
         assert LEAST_RISK > 0
         run(scenario)
 
-    def test_a_copy_goes_where_there_is_room(self, copied):
+    def test_a_copy_is_sent_only_to_an_engine_with_capacity(self, copied):
         async def scenario():
             world = RunWorld()
             for name in ("s0", "s1"):
@@ -313,7 +313,7 @@
 class TestEndingEngines:
     @pytest.mark.parametrize("repeat", [Repeat.NEVER, Repeat.RESUME])
     @pytest.mark.parametrize("reports_end", [True, False])
-    def test_a_run_that_would_be_cut_is_moved(self, repeat, reports_end):
+    def test_a_run_that_would_be_interrupted_is_moved(self, repeat, reports_end):
         async def scenario():
             world = RunWorld(repeat=repeat)
             world.handover._drain_s = 0.5
@@ -328,7 +328,7 @@
 
         run(scenario)
 
-    def test_one_whose_entry_goes_without_a_notice_is_asked_how_long_it_has(self):
+    def test_an_engine_removed_without_notice_is_queried_for_its_end(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -354,7 +354,7 @@
 
         run(scenario)
 
-    def test_a_run_that_ends_in_time_is_left(self):
+    def test_a_run_that_ends_in_time_is_not_moved(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -378,7 +378,7 @@
 
         run(scenario)
 
-    def test_a_target_that_is_lost_leaves_the_copy_that_it_had(self, copied):
+    def test_an_existing_copy_is_used_when_the_move_target_crashes(self, copied):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -393,7 +393,7 @@
 
         run(scenario)
 
-    def test_room_that_goes_halfway_leaves_the_run_where_it_is(self):
+    def test_without_capacity_elsewhere_a_run_stays_on_its_engine(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -448,7 +448,7 @@
         with mock.patch.object(PlatformRuns, "move", late):
             run(scenario)
 
-    def test_an_engine_that_does_not_answer_is_no_harm(self):
+    def test_an_unresponsive_engine_does_not_interrupt_its_run(self):
         async def scenario():
             world = RunWorld()
             client = await begin(world)
@@ -461,14 +461,14 @@
         run(scenario)
 
 
-def test_how_long_a_run_holds_its_slot_is_learned_from_its_first_event():
+def test_slot_hold_time_starts_at_the_first_event():
     async def scenario():
         world = RunWorld()
         room = world.fleet.room = EngineRoom(world.fleet.speeds)
         client = await begin(world)
         await asyncio.sleep(4.0)
         assert is_whole(client)
-        # 40 events at 0.05 s hold it longer than is taken before any is seen.
+        # 40 events at 0.05 s take longer than the default hold time.
         assert room.hold_s("llm") > FIRST_HOLD_S
 
     run(scenario)
@@ -476,7 +476,7 @@
 
 class TestSwitch:
     @pytest.mark.parametrize("is_on", [True, False])
-    def test_the_feature_decides_whether_runs_go_on(self, is_on):
+    def test_the_feature_enables_run_recovery(self, is_on):
         async def scenario():
             features = frozenset({Feature.LASTING_RUNS} if is_on else ())
             addresses = Addresses("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -1,4 +1,4 @@
-"""Runs go on under the weights that made their memory, or not from it."""
+"""Runs are resumed only under the weight versions that produced their memory."""
 
 import asyncio
 import itertools
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def copied():
-    """Every stream is copied, whatever the risk."""
+    """Copy every stream, whatever the risk of a break."""
     with mock.patch.object(runs_module, "wants_copy", return_value=True):
         yield
 
@@ -41,8 +41,8 @@
 
 class TestAStoppedRun:
     @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
-    def test_does_not_go_on_under_newer_weights(self, model, renewed):
-        """Its engine replaced its weights as soon as it was stopped."""
+    def test_is_not_resumed_under_newer_weights(self, model, renewed):
+        """Its engine replaces the weights as soon as the run is stopped."""
 
         async def scenario():
             world = RunWorld()
@@ -57,8 +57,8 @@
         run(scenario)
 
     @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
-    def test_goes_on_where_older_weights_are_still_in_use(self, model, renewed):
-        """A newer version that was named takes nothing from a run whose engine has the older."""
+    def test_is_resumed_where_older_weights_are_still_in_use(self, model, renewed):
+        """The announcement of a newer version must not affect a run whose engine has the older."""
 
         async def scenario():
             world = RunWorld()
@@ -72,8 +72,8 @@
 
         run(scenario)
 
-    def test_goes_on_at_the_engine_that_received_its_memory(self):
-        """Its own engine replaced the weights; another one still has them, and the memory."""
+    def test_is_resumed_on_the_engine_that_received_its_memory(self):
+        """Its own engine replaced the weights; another one still has both weights and memory."""
 
         async def scenario():
             world = RunWorld()
@@ -89,7 +89,7 @@
 
         run(scenario)
 
-    def test_does_not_go_on_at_an_engine_that_received_its_memory_and_has_newer_weights(self):
+    def test_is_not_resumed_on_a_receiving_engine_with_newer_weights(self):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -98,7 +98,7 @@
             world.state.versions[MODEL] = 2
             for engine in world.engines.values():
                 if engine is not first:
-                    # Its entry in the platform's store is older.
+                    # Its entry in the platform's store is outdated.
                     engine.base = 2
             first.start(first.unload(MODEL))
             await asyncio.sleep(5.0)
@@ -107,8 +107,8 @@
 
         run(scenario)
 
-    def test_keeps_its_weights_in_use_until_it_goes_on(self):
-        """An engine whose weights nobody uses may be ordered to replace them."""
+    def test_keeps_its_weights_in_use_until_it_is_resumed(self):
+        """An engine may be ordered to replace weights that are not in use."""
 
         async def scenario():
             world = RunWorld()
@@ -120,7 +120,7 @@
 
         run(scenario)
 
-    def test_keeps_no_weights_in_use_when_its_caller_leaves(self):
+    def test_releases_its_weights_when_its_caller_disconnects(self):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -134,7 +134,7 @@
 
         run(scenario)
 
-    def test_frees_its_memory_if_nothing_goes_on_from_it(self):
+    def test_frees_its_memory_if_it_cannot_be_resumed(self):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -161,14 +161,14 @@
 
         run(scenario)
 
-    def test_goes_on_at_another_engine_although_its_own_has_unheard_newer_weights(self):
-        """Its engine was asked again and again to load what it could not have any more."""
+    def test_is_resumed_elsewhere_if_its_engine_has_unannounced_newer_weights(self):
+        """Guards against repeated load requests for a version that cannot be loaded any more."""
 
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
             first.hush()
-            # Named elsewhere; here its engine's entry alone tells.
+            # Not announced to this gateway; only the entry of the engine shows it.
             world.newest = lambda key: 2 if key == KEY else 1
 
             async def renew():
@@ -183,8 +183,8 @@
 
         run(scenario)
 
-    def test_goes_on_from_the_copy_received_as_it_grew(self, copied):
-        """Its engine renewed its weights, and no engine had room for memory when it was stopped."""
+    def test_is_resumed_from_its_backup_copy(self, copied):
+        """Its engine replaced the weights, and no engine had capacity when the run was stopped."""
 
         async def scenario():
             world = RunWorld()
@@ -201,8 +201,8 @@
 
         run(scenario)
 
-    def test_pays_for_the_sendings_that_are_made(self):
-        """Its engine reports newer weights, so nothing is sent there; one repetition is left."""
+    def test_uses_retry_budget_only_for_requests_that_are_sent(self):
+        """Its engine reports newer weights, so nothing is sent there; one retry is left."""
 
         async def scenario():
             with mock.patch.object(run_weights, "RECENT_STOP_S", 0.0):
@@ -218,7 +218,7 @@
 
         run(scenario)
 
-    def test_frees_its_memory_if_no_repetition_is_left(self):
+    def test_frees_its_memory_without_retry_budget(self):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -231,8 +231,8 @@
 
         run(scenario)
 
-    def test_keeps_its_versions_when_it_goes_on(self):
-        """Stopped once more it must be checked again."""
+    def test_keeps_its_versions_when_it_is_resumed(self):
+        """They must be checked again if the run is stopped a second time."""
 
         async def scenario():
             world = RunWorld()
@@ -244,13 +244,13 @@
 
         run(scenario)
 
-    def test_is_checked_although_its_engine_lacked_the_adapter_at_first(self):
-        """After a first rejection its version was not asked for, so nothing could be checked."""
+    def test_is_checked_although_its_engine_first_lacked_the_adapter(self):
+        """A request repeated after a rejection must still name the version that is checked."""
 
         async def scenario():
             world = RunWorld()
             for engine in world.engines.values():
-                # Their entries still list it.
+                # Their entries still list the adapter.
                 engine.holds.clear()
             client = world.ask("q1")
             await asyncio.sleep(0.8)
@@ -270,8 +270,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("copy_s", [0.02, 0.2])
-    def test_is_checked_although_its_engine_loads_fast(self, copy_s):
-        """The answer to the stop comes after its memory was copied."""
+    def test_is_checked_on_an_engine_that_loads_fast(self, copy_s):
+        """The response to the stop request arrives after the memory was copied."""
 
         async def scenario():
             with (
@@ -296,10 +296,10 @@
 
 
 class TestARunUnderAnOlderAdapter:
-    """A version that was named must be in use by requests that begin within a bound."""
+    """Requests that start a bounded time after an announcement must use the new version."""
 
-    @pytest.mark.parametrize(("replaced_s", "goes_on"), [(2.9, True), (3.1, False)])
-    def test_does_not_begin_again_too_late(self, copied, replaced_s, goes_on):
+    @pytest.mark.parametrize(("replaced_s", "is_resumed"), [(2.9, True), (3.1, False)])
+    def test_is_resumed_only_within_the_version_deadline(self, copied, replaced_s, is_resumed):
         async def scenario():
             world = RunWorld(version_s=5.0)
             client, first = await begin(world)
@@ -307,13 +307,13 @@
             world.state.namings.note(KEY, 2, world.clock() - replaced_s)
             first.crash()
             await asyncio.sleep(4.0)
-            assert is_whole(client) is goes_on
-            assert (("from", 200) in {row[1:] for row in world.ledger.asked}) is goes_on
+            assert is_whole(client) is is_resumed
+            assert (("from", 200) in {row[1:] for row in world.ledger.asked}) is is_resumed
 
         run(scenario)
 
-    def test_is_not_stopped_when_it_could_not_go_on(self):
-        """It falls silent for some time and goes on by itself."""
+    def test_is_not_stopped_if_it_could_not_be_resumed(self):
+        """Its stream stalls for some time and continues."""
 
         async def scenario():
             world = RunWorld(version_s=5.0)
@@ -327,7 +327,7 @@
 
         run(scenario)
 
-    def test_counts_from_the_first_newer_version(self):
+    def test_deadline_counts_from_the_first_newer_version(self):
         namings = Namings()
         for version, at in ((2, 1.0), (3, 4.0), (4, 9.0)):
             namings.note(KEY, version, at)
@@ -341,7 +341,7 @@
     @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
     @pytest.mark.parametrize("at", [0.2, 0.7])
     def test_is_not_used_under_newer_weights(self, copied, model, renewed, at):
-        """The engine that received it replaced its weights before or after the break."""
+        """The engine that received it replaces its weights before or after the break."""
 
         async def scenario():
             world = RunWorld()
@@ -358,7 +358,7 @@
 
         run(scenario)
 
-    def test_is_used_where_its_weights_are(self, copied):
+    def test_is_used_on_an_engine_with_its_weights(self, copied):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -370,8 +370,8 @@
 
         run(scenario)
 
-    def test_is_checked_after_a_connection_is_there(self, copied):
-        """A report of weights is 0.35 s old; opening a connection may take as long again."""
+    def test_is_checked_after_the_connection_is_open(self, copied):
+        """A report of weights is 0.35 s old, and opening a connection may take as long again."""
 
         async def scenario():
             world = RunWorld()
@@ -400,8 +400,8 @@
 
         run(scenario)
 
-    def test_is_not_used_if_its_engine_does_not_tell_its_weights(self, copied):
-        """Only the engine knows the base model's version, which no request can name."""
+    def test_is_not_used_if_its_engine_does_not_report_weights(self, copied):
+        """Requests with an adapter cannot name the base model version; only the engine knows it."""
 
         async def scenario():
             world = RunWorld()
@@ -415,7 +415,7 @@
 
         run(scenario)
 
-    def test_is_used_if_its_engine_tells_its_weights_at_the_second_call(self, copied):
+    def test_is_used_if_its_engine_reports_weights_at_the_second_call(self, copied):
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
@@ -429,8 +429,8 @@
 
 
 class TestEnginesWithTheWeights:
-    def test_those_of_the_newest_version_are_told_by_planners(self):
-        """An engine's own entry is older than what its planner tells."""
+    def test_those_of_the_newest_version_come_from_planners(self):
+        """The entry of an engine is older than the state that its planner reports."""
         fleet = new_fleet()
         for name, rep in list(fleet.state.replicas.items()):
             fleet.state.replicas[name] = replace(rep, holdings=(Holding(FLEET_KEY, 1),))
@@ -447,8 +447,8 @@
 
 class TestAMove:
     @pytest.mark.parametrize(("model", "renewed"), PUBLISHED)
-    def test_goes_to_engines_with_the_weights_of_the_run(self, model, renewed):
-        """One engine of two that could take the run has newer weights already."""
+    def test_targets_engines_with_the_weights_of_the_run(self, model, renewed):
+        """One of the two candidate engines already has newer weights."""
 
         async def scenario():
             world = RunWorld()
@@ -469,8 +469,8 @@
 
         run(scenario)
 
-    def test_is_not_made_where_only_newer_weights_are(self):
-        """Stopped for it, the run could go on nowhere; left alone it may end before its engine."""
+    def test_is_not_made_if_only_newer_weights_are_available(self):
+        """A stopped run could not be resumed; left alone it may complete before its engine ends."""
 
         async def scenario():
             world = RunWorld()
@@ -478,9 +478,9 @@
             world.state.versions[MODEL] = 2
             for engine in world.engines.values():
                 if engine is not first:
-                    # Its entry in the platform's store is older.
+                    # Its entry in the platform's store is outdated.
                     engine.base = 2
-            # Long enough for the run, and short enough for a move to be due.
+            # Long enough for the run to complete, and short enough for a move to be due.
             first.notice(1.6)
             await asyncio.sleep(4.0)
             assert not world.ledger.wrong
@@ -489,8 +489,8 @@
 
         run(scenario)
 
-    def test_is_not_made_to_newer_weights_that_were_loaded_for_it(self):
-        """The newer version was not heard of here."""
+    def test_is_not_made_to_newer_weights_loaded_for_it(self):
+        """The newer version was not announced to this gateway."""
 
         async def scenario():
             world = RunWorld()
@@ -509,8 +509,8 @@
 
 
 class TestARunUnderOtherWeights:
-    def test_is_not_passed_on(self, copied):
-        """Its engine's report was older than its weights: the answer's head still tells."""
+    def test_sends_no_events_to_the_caller(self, copied):
+        """The engine's report was outdated, but the response head shows the actual version."""
 
         async def scenario():
             world = RunWorld()
@@ -530,10 +530,10 @@
 
 
 class TestAVersionChangeDuringARun:
-    """A run that waits for memory is read anew under a base model that came meanwhile."""
+    """A run queued for memory is recomputed under a base model loaded in the meantime."""
 
     async def begin_and_change(self, world, replaced):
-        """Return the client and engine of a run whose base model is of version 2 from now on."""
+        """Return the client and engine of a run whose base model has just become version 2."""
         client, first = await begin(world)
         first.replaces_model_while_waiting = True
         first.runs["q1"].pause_s = 1.0
@@ -552,7 +552,7 @@
         assert list(changes(client).values()) == [2]
         return client, first
 
-    def test_reaches_the_caller(self):
+    def test_is_reported_to_the_caller(self):
         async def scenario():
             world = RunWorld()
             client, _ = await self.begin_and_change(world, "one")
@@ -564,7 +564,7 @@
 
         run(scenario)
 
-    def test_a_stop_after_it_goes_on_under_the_new_weights(self):
+    def test_a_run_stopped_after_it_is_resumed_under_the_new_weights(self):
         async def scenario():
             world = RunWorld()
             client, first = await self.begin_and_change(world, "one")
@@ -577,8 +577,8 @@
 
         run(scenario)
 
-    def test_a_stop_after_it_does_not_go_on_under_the_old_weights(self):
-        """Its engine has no weights any more; the others have the memory, and the old weights."""
+    def test_a_run_stopped_after_it_is_not_resumed_under_the_old_weights(self):
+        """Its engine has no weights left; the others have the memory and the old weights."""
 
         async def scenario():
             world = RunWorld()
@@ -597,7 +597,7 @@
         run(scenario)
 
     def test_a_copy_is_not_used_after_it(self, copied):
-        """Whether what was sent before is sent anew is not told."""
+        """Engines do not report whether memory copied before the change is copied again."""
 
         async def scenario():
             world = RunWorld()
@@ -612,7 +612,7 @@
         run(scenario)
 
     def test_a_copy_before_it_is_not_used_under_the_new_weights(self, copied):
-        """Nothing was sent to the engine with the copy since; it has the new weights, too."""
+        """The copy was not updated since the change, and its engine has the new weights too."""
 
         async def scenario():
             world = RunWorld()
@@ -629,8 +629,8 @@
 
 
 class TestAnAbandonedRun:
-    def test_is_stopped_after_its_engine_turned_its_request_away(self):
-        """An order there waits for the run, which waits for memory; its request gets 503."""
+    def test_is_stopped_after_its_engine_rejected_its_request(self):
+        """An unload order waits for the queued run meanwhile, so its request gets status 503."""
 
         async def scenario():
             world = RunWorld(engines=2, repeat=Repeat.RESUME)
