--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -1,6 +1,6 @@
 """Replication of adapters to further engines before the slots of their holders are used up.
 
-Each planner runs it regularly for the adapters whose requests started since the last run.
+The planner records each request that starts and checks at regular intervals.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         Estimates of engine speeds and of how long requests hold a slot.
     """
 
-    __slots__ = ("_requested", "_planner", "_room", "_terms")
+    __slots__ = ("_planner", "_requested", "_room", "_terms")
 
     def __init__(self, planner: Planner, terms: Terms, room: EngineRoom) -> None:
         self._planner = planner
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -32,7 +32,7 @@
         Samples candidate engines where there are many.
     """
 
-    __slots__ = ("_clock", "_fleet", "_run_statistics", "_rng", "_weights")
+    __slots__ = ("_clock", "_fleet", "_rng", "_run_statistics", "_weights")
 
     def __init__(
         self,
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -103,7 +103,7 @@
             message.speeds.add(replica=replica, step_ms=MS * pause_s, samples=events)
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Apply the reported slow engines; engines that are no longer reported expire."""
+        """Apply the reported slow engines; the others expire."""
         now, usual = self._clock(), self._speeds.speed(self._service)
         for reported in message.speeds:
             if reported.tokens_per_s > 0:
@@ -161,7 +161,7 @@
             log.info("engine is slow", replica=replica, times=round(slow[replica], 2))
         for replica in sorted(self._slow - slow.keys()):
             news.speeds.add(replica=replica, tokens_per_s=usual)
-            log.info("engine is no longer slow", replica=replica)
+            log.info("engine speed is back to normal", replica=replica)
         self._slow = frozenset(slow)
 
     def forget(self, replica: str) -> None:
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -229,7 +229,7 @@
         """Ask an engine to copy a run's memory; retry if it is busy or does not respond."""
         reply = MoveReply(MoveOutcome.LOST)
         for _ in range(MOVE_ATTEMPTS):
-            began = self._clock()
+            asked_at = self._clock()
             reply = await self._transport.move(run.replica, run.job.req.id, target, last)
             log.info(
                 "run moved" if last else "run copied",
@@ -239,7 +239,7 @@
                 outcome=reply.outcome.value,
                 events=reply.events,
                 last_event=run.job.events.last_event,
-                took_s=round(self._clock() - began, 3),
+                took_s=round(self._clock() - asked_at, 3),
             )
             if reply.outcome not in (MoveOutcome.BUSY, MoveOutcome.LOST):
                 break
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/kept.py
@@ -1,6 +1,6 @@
-"""Prefix caching: estimates of the prompt tokens that an engine has cached and need not read.
+"""Prefix caching: estimates of the prompt tokens that an engine need not prefill again.
 
-Engines keep the computed prefixes of prompts for later prompts that begin alike. Gateways and
+Engines cache the computed prefixes of prompts for later prompts that begin alike. Gateways and
 planners estimate from the requests that they send which engine has which prefixes cached, and take
 that into account when they choose an engine.
 """
@@ -59,8 +59,8 @@
 
     def at(self, replica: str, work: Work) -> Work:
         """Return the work of a request on a given engine, less the tokens cached there."""
-        kept = self.parts.kept_tokens(replica, work.chain, self._clock())
-        return work if kept == work.kept_tokens else replace(work, kept_tokens=kept)
+        cached = self.parts.kept_tokens(replica, work.chain, self._clock())
+        return work if cached == work.kept_tokens else replace(work, kept_tokens=cached)
 
     def at_each(
         self, replicas: t.Collection[Replica], work: Work, speed: float
@@ -91,10 +91,10 @@
 
     def at_least(self, replica: str, work: Work, home: str, speed: float) -> Work:
         """Return the work of a request on an engine, assuming that its home has it cached."""
-        at = self.at(replica, work)
+        known = self.at(replica, work)
         if work.chain is None or replica != home:
-            return at
-        return replace(work, kept_tokens=tokens_at_home(work.chain, at.kept_tokens, speed))
+            return known
+        return replace(work, kept_tokens=tokens_at_home(work.chain, known.kept_tokens, speed))
 
     def mark(self, work: Work, engines: int, rng: random.Random) -> int | None:
         """Return the digest that selects an engine for a request; None for a random choice."""
@@ -132,8 +132,8 @@
     """Return a sample of many engines, part of which is the same for all prompts of a chain."""
     if chain is None:
         return rng.sample(found, count)
-    own = random.Random(chain.prefixes[-1].mark).sample(found, CHAIN_SAMPLE_SIZE)
-    return [*own, *rng.sample(found, count - CHAIN_SAMPLE_SIZE)]
+    common = random.Random(chain.prefixes[-1].mark).sample(found, CHAIN_SAMPLE_SIZE)
+    return [*common, *rng.sample(found, count - CHAIN_SAMPLE_SIZE)]
 
 
 def encode_chain(chain: Chain | None) -> list[pb.Prefix]:
@@ -147,7 +147,7 @@
     """Return the chain of a request to a planner; None if it has none."""
     if not prefixes:
         return None
-    return Chain(weights, tuple(Prefix(told.mark, told.tokens) for told in prefixes))
+    return Chain(weights, tuple(Prefix(prefix.mark, prefix.tokens) for prefix in prefixes))
 
 
 def add_gauges(
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -37,7 +37,7 @@
         Time at which it was abandoned, by the runtime's clock.
     """
 
-    __slots__ = ("is_paused", "job", "abandoned_at", "replica", "target", "resumed", "resumed_at")
+    __slots__ = ("abandoned_at", "is_paused", "job", "replica", "resumed", "resumed_at", "target")
 
     def __init__(self, job: Job, replica: Replica, target: Replica, abandoned_at: float) -> None:
         self.job = job
@@ -64,7 +64,7 @@
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_by_request", "_meters", "_transport")
+    __slots__ = ("_by_request", "_clock", "_meters", "_transport")
 
     def __init__(
         self, transport: RunTransport, meters: Meters, clock: t.Callable[[], float]
@@ -76,7 +76,7 @@
         """Abandoned runs and their polling tasks, by request identifier and replica name."""
 
     async def is_gone(self, job: Job, replica: Replica) -> bool:
-        """Return whether a run unknown to its engine has certainly ended; it may be queued."""
+        """Return whether a run that its engine does not report has ended, and is not queued."""
         report = await self._transport.word(replica)
         has_ended = is_gone(report, job.req.id, self._clock() - job.event_at)
         log.info(
@@ -153,12 +153,12 @@
             self._meters.left_run("stopped")
             await self._transport.free(replica, reply.handle)
             return True
-        is_over = reply.outcome is MoveOutcome.UNREACHED or (
+        has_ended = reply.outcome is MoveOutcome.UNREACHED or (
             reply.outcome is MoveOutcome.NO_RUN and await self._has_ended_since(run)
         )
-        if is_over:
+        if has_ended:
             self._meters.left_run("gone")
-        return is_over
+        return has_ended
 
     async def _has_ended_since(self, run: AbandonedRun) -> bool:
         if self._clock() - run.abandoned_at < REPORT_AGE_S:
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -35,7 +35,7 @@
         return starting + RUNNING_REQUEST_COST * (self.running + self.others.running)
 
     def busyness(self) -> Busyness:
-        """Return the load in the form used to estimate engine waiting times."""
+        """Return the load in the form that estimates of waiting times take."""
         running = self.running + self.others.running
         starting = self.starting + self.others.starting
         queued = add_queues([self.queued, self.others.queued])
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -101,10 +101,10 @@
         """Return the versions of an adapter and its base model on an engine, as last reported."""
         if key is None:
             return WeightVersions()
-        told = self._fleet.told_version
-        adapter = told(replica.name, key) if key.adapter else None
+        last_version = self._fleet.told_version
+        adapter = last_version(replica.name, key) if key.adapter else None
         return WeightVersions(
-            told(replica.name, AdapterKey(key.model)) or NOT_TOLD, adapter or NOT_TOLD
+            last_version(replica.name, AdapterKey(key.model)) or NOT_TOLD, adapter or NOT_TOLD
         )
 
     def may_provide(self, rep: Replica, versions: WeightVersions, key: AdapterKey | None) -> bool:
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -58,27 +58,27 @@
     """
 
     __slots__ = (
-        "stop_outcome",
-        "began_at",
+        "sent_at",
+        "copy_failed",
+        "events_before",
         "first_at",
         "handover",
-        "is_gone",
+        "has_weight_mismatch",
         "is_abandoned",
+        "is_gone",
         "job",
         "replica",
         "reported",
-        "events_before",
-        "stopped",
         "resumed_from",
+        "stop_outcome",
+        "stopped",
         "versions",
-        "has_weight_mismatch",
-        "copy_failed",
     )
 
-    def __init__(self, job: Job, replica: Replica, began_at: float) -> None:
+    def __init__(self, job: Job, replica: Replica, sent_at: float) -> None:
         self.job = job
         self.replica = replica
-        self.began_at = began_at
+        self.sent_at = sent_at
         self.first_at: float | None = None
         """Time at which the first event was received."""
         self.events_before = job.events.last_event
@@ -142,13 +142,13 @@
     """
 
     __slots__ = (
+        "_abandoned",
         "_clock",
         "_fleet",
         "_has_retry",
-        "_abandoned",
         "_meters",
-        "_run_statistics",
         "_records",
+        "_run_statistics",
         "_transport",
         "runs",
         "targets",
@@ -273,7 +273,7 @@
         )
 
     def leave(self, run: Run) -> None:
-        """Stop tracking a run whose stream is no longer read."""
+        """Stop tracking a run when reading of its stream has ended."""
         self._abandoned.note_attempt_ended(run.job, run.replica)
         runs = self.runs.get(run.replica.name)
         if runs is None:
@@ -372,9 +372,9 @@
     def _watch_abandoned(self, run: Run) -> None:
         """Make sure that a run resumed elsewhere does not continue on its former engine."""
         job, spec = run.job, run.job.service.engine
-        is_certain = run.is_gone or run.stop_outcome is MoveOutcome.UNREACHED
+        has_certainly_ended = run.is_gone or run.stop_outcome is MoveOutcome.UNREACHED
         has_new_copy = job.copy is not None and job.copy is not job.used
-        if has_new_copy or is_certain or not self._can_resume_elsewhere(job):
+        if has_new_copy or has_certainly_ended or not self._can_resume_elsewhere(job):
             return
         if spec is None or not spec.moves:
             return
@@ -403,7 +403,7 @@
         target = self._choose_stop_target(run)
         if target is None:
             return None
-        began = self._clock()
+        asked_at = self._clock()
         reply = await self._transport.move(source, job.req.id, target, True)
         if reply.outcome is MoveOutcome.LOST:
             # Links drop idle pooled connections silently; the second call opens a new one.
@@ -417,7 +417,7 @@
             events=reply.events,
             last_event=job.events.last_event,
             memory=run.versions.text,
-            took_s=round(self._clock() - began, 3),
+            took_s=round(self._clock() - asked_at, 3),
         )
         if not reply.handle:
             return None
@@ -427,7 +427,13 @@
         # The engine held the weights until it stopped the run; they may be replaced from now on.
         elsewhere = target if reply.outcome is MoveOutcome.COPIED else None
         return Copy(
-            CopyKind.STOPPED, source.address, reply.handle, source, run.versions, began, elsewhere
+            CopyKind.STOPPED,
+            source.address,
+            reply.handle,
+            source,
+            run.versions,
+            asked_at,
+            elsewhere,
         )
 
     def _choose_stop_target(self, run: Run) -> Replica | None:
@@ -441,7 +447,7 @@
 
     def _record_stream(self, run: Run, broken: bool) -> None:
         now = self._clock()
-        lasted_s = now - (run.began_at if run.first_at is None else run.first_at)
+        lasted_s = now - (run.sent_at if run.first_at is None else run.first_at)
         # A copy cannot help with a break before the first event.
         counts = broken and run.first_at is not None
         self._break_record(run.replica.service).note(run.replica.name, counts, lasted_s, now)
--- a/tests/run_engines.py
+++ b/tests/run_engines.py
@@ -49,6 +49,7 @@
     runs_started: dict = field(default_factory=dict)
     """Number of runs started from the prompt, by request."""
     wrong: list = field(default_factory=list)
+    """Descriptions of the violations."""
     asked: list = field(default_factory=list)
     """Calls and requests as tuples of engine name, kind and status."""
 
@@ -84,7 +85,7 @@
         self.runs = {}
         self.kept = {}
         """Memory of runs that are not executing, by the path that names it in requests."""
-        self.room = True
+        self.has_capacity = True
         self.keeps_disconnected_runs = False
         """Whether a run continues when its connection closes."""
         self.keeps_disconnected_waiting = False
@@ -92,7 +93,7 @@
         self.resumes_when_memory_frees = False
         """Whether a disconnected waiting run resumes only when memory frees, and not at once."""
         self.replaces_model_while_waiting = False
-        """Whether its base model may be replaced while runs wait for memory and are recomputed."""
+        """Whether its base model may be replaced while runs wait for memory."""
         self.waiting = []
         """Runs that wait for memory."""
         self.past_reports = deque(maxlen=round(REPORT_AGE_S / TICK_S))
@@ -283,7 +284,7 @@
             work.stop.set()
             self.runs.pop(work.ident, None)
             self.kept[f"{self.address}/{handle}"] = (work.ident, work.line, work.versions)
-        if target is None or target.dead or not target.room:
+        if target is None or target.dead or not target.has_capacity:
             self._answer(inc, "move", 503, answer if asked["Last"] else {})
             return
         target.receiving += 1
@@ -348,8 +349,8 @@
         self.runs[ident] = work
         if path or after:
             self.world.check_single_engine_later(self, ident)
-        told = (b"X-Gradelug-Weight-Versions", b"%d" % versions[0])
-        inc.begin(200, [*own, told, (b"X-Gradelug-Server-Signature", self.name.encode())])
+        version_header = (b"X-Gradelug-Weight-Versions", b"%d" % versions[0])
+        inc.begin(200, [*own, version_header, (b"X-Gradelug-Server-Signature", self.name.encode())])
         self._streaming.add(inc._conn)
         try:
             await self._work(work, backup, inc.send)
@@ -383,8 +384,10 @@
                 if work.stop.is_set() or self.dead:
                     return
                 work.events_made += 1
-                told = b"" if work.versions[0] == base else VERSION_LINE % work.versions[0]
-                await send(told + b"id: %d\ndata: %b\n\n" % (work.events_made, work.line.encode()))
+                version_line = b"" if work.versions[0] == base else VERSION_LINE % work.versions[0]
+                await send(
+                    version_line + b"id: %d\ndata: %b\n\n" % (work.events_made, work.line.encode())
+                )
                 if backup and self.world.clock() - sent_at >= BACKUP_S:
                     sent_at = self.world.clock()
                     self._copy(work, backup)
@@ -421,7 +424,7 @@
 
     def _copy(self, work, backup):
         target = self.world.by_address(backup)
-        if target is not None and not target.dead and target.room:
+        if target is not None and not target.dead and target.has_capacity:
             target.kept[f"{self.address}/{work.ident}"] = (work.ident, work.line, work.versions)
 
 
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -105,8 +105,8 @@
             assert first.kept_tokens == 0
             # That engine has a slightly longer queue.
             bench.load(first.replica, 0)
-            told = pb.Load(replica=first.replica, running=2, queued=[500])
-            bench.planner.take(bench.gateway, pb.FromGateway(loads=[told]))
+            load = pb.Load(replica=first.replica, running=2, queued=[500])
+            bench.planner.take(bench.gateway, pb.FromGateway(loads=[load]))
             second = await bench.answer()
             assert (second.replica, second.kept_tokens) == (first.replica, 1_210)
             assert list(second.load.queued) == [500 + 250]
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -69,7 +69,7 @@
         assert urgent >= 300 * 0.4 / ASK_S
 
     def test_runs_not_resumed_elsewhere_are_polled_rarely(self):
-        """Hundreds may be queued on full engines, and cannot duplicate events yet."""
+        """Hundreds of them may be queued on full engines; they cannot duplicate events yet."""
         at, calls = 0.0, 0
         while at < 15.0:
             at += next_ask_s(at, math.inf)
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -97,7 +97,7 @@
         self.act(lambda: self.engine(at).reset(mid_event))
 
     @rule(at=st.integers(0, 3))
-    def hush(self, at):
+    def silence_engine(self, at):
         self.act(self.engine(at).hush)
 
     @rule(at=st.integers(0, 3), delay_s=st.sampled_from([0.05, 0.2]))
@@ -105,11 +105,11 @@
         self.act(lambda: self.engine(at).delay(delay_s))
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
-    @rule(at=st.integers(0, 3), told=st.booleans())
-    def crash(self, at, told):
+    @rule(at=st.integers(0, 3), is_reported=st.booleans())
+    def crash(self, at, is_reported):
         engine = self.engine(at)
         self.act(engine.crash)
-        if told:
+        if is_reported:
             self.world.leave(engine)
         self.act(self.add)
 
@@ -167,9 +167,9 @@
                 self.act(engine.reset if then == "reset" else engine.hush)
         self.wait(1.5)
 
-    @rule(at=st.integers(0, 3), room=st.booleans())
-    def fill(self, at, room):
-        self.engine(at).room = room
+    @rule(at=st.integers(0, 3), has_capacity=st.booleans())
+    def fill(self, at, has_capacity):
+        self.engine(at).has_capacity = has_capacity
 
     @rule(at=st.integers(0, 3))
     def lose_memory(self, at):
@@ -182,8 +182,8 @@
     def publish_next_version(self, key, ordered):
         """Announce a version, and order all or some engines with an older one to unload it."""
         world = self.world
-        told = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
-        self.act(lambda: world.publish_version(key, world.newest(key) + 1, told))
+        engines = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
+        self.act(lambda: world.publish_version(key, world.newest(key) + 1, engines))
 
     @precondition(lambda self: len(self.clients) < MAX_CLIENTS)
     @rule(
@@ -205,13 +205,15 @@
             self.act(broken.hush if how == "hush" else broken.reset)
         self.wait(delay_s)
         engines = list(world.engines.values())
-        told = {
+        engines_to_order = {
             "all": engines,
             "one": [broken],
             "others": [one for one in engines if one is not broken],
             "none": [],
         }
-        self.act(lambda: world.publish_version(key, world.newest(key) + 1, told[ordered]))
+        self.act(
+            lambda: world.publish_version(key, world.newest(key) + 1, engines_to_order[ordered])
+        )
         self.wait(1.5)
 
     @rule(at=st.integers(0, 3), key=st.sampled_from([KEY, MODEL]))
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -177,7 +177,7 @@
             client = await begin(world)
             first = runner(world, "q1")
             for engine in world.engines.values():
-                engine.room = engine is first
+                engine.has_capacity = engine is first
             first.hush()
             await asyncio.sleep(4.0)
             assert_resumed(client)
@@ -191,7 +191,7 @@
             first = runner(world, "q1")
             for engine in world.engines.values():
                 engine.kept.clear()
-                engine.room = False
+                engine.has_capacity = False
             first.crash()
             await asyncio.sleep(3.0)
             assert client.ended
@@ -385,7 +385,7 @@
             first = runner(world, "q1")
             held = next(one for one in world.engines.values() if one.kept)
             other = next(one for one in world.engines.values() if one not in (first, held))
-            held.room = False
+            held.has_capacity = False
             other.crash()
             first.notice(0.4)
             await asyncio.sleep(3.0)
@@ -399,7 +399,7 @@
             client = await begin(world)
             first = runner(world, "q1")
             for engine in world.engines.values():
-                engine.room = False
+                engine.has_capacity = False
             first.notice(0.9)
             await asyncio.sleep(3.0)
             assert client.ended
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -190,7 +190,7 @@
             world = RunWorld()
             client, first = await begin(world)
             for engine in world.engines.values():
-                engine.room = False
+                engine.has_capacity = False
             first.hush()
             await asyncio.sleep(0.9)
             world.state.versions[KEY] = 2
@@ -617,7 +617,7 @@
         async def scenario():
             world = RunWorld()
             for engine in world.engines.values():
-                asyncio.get_running_loop().call_later(0.7, setattr, engine, "room", False)
+                asyncio.get_running_loop().call_later(0.7, setattr, engine, "has_capacity", False)
             client, first = await self.begin_and_change(world, "all")
             assert any(engine.kept for engine in world.engines.values())
             first.crash()
