--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -1,7 +1,8 @@
 """Stops abandoned runs, so that no request runs on two engines at once.
 
-An engine may keep or requeue a run whose stream broke. After the request was resumed on another
-engine, the former engine is polled until it has stopped the run or reports that it has none.
+An engine may keep or requeue a run whose stream broke. `LastingRuns` passes such a run on when its
+request is to be resumed. Its engine is then polled, most often right after the request was sent to
+another engine, until it has stopped the run or certainly has none.
 """
 
 from __future__ import annotations
