--- a/tests/run_engines.py
+++ b/tests/run_engines.py
@@ -1,4 +1,4 @@
-"""Engines whose runs can be moved, copied and broken, in memory."""
+"""In-memory engines for tests of run recovery: runs can be moved, copied, preempted and broken."""
 
 import asyncio
 import json
@@ -17,44 +17,45 @@
 LOAD_S = 0.3
 MODEL_S = 0.6
 REPORT_AGE_S = 0.3
-"""A report shows what was so long ago."""
+"""Age of the state that a report shows."""
 TICK_S = 0.05
-CHANGE = b"x-gradelug-weight-versions: %d\n"
-"""First line of an event from which on a run's weights are others."""
+VERSION_LINE = b"x-gradelug-weight-versions: %d\n"
+"""First line of the event at which the base model of a run changes."""
 
 
 @dataclass(eq=False)
 class Work:
-    """A run at an engine."""
+    """A run on an engine."""
 
     ident: str
     line: str
-    made: int
+    events_made: int
     key: AdapterKey = KEY
     versions: tuple = (1, 1)
-    """Of the model and the adapter under which its memory was made."""
+    """Versions of the model and the adapter that produced its memory."""
     pause_s: float = 0.0
-    """It is preempted for so long."""
-    stalls_s: float = 0.0
-    """It makes nothing for so long."""
-    waits: bool = False
-    waits_until: float = 0.0
+    """Time for which it is preempted at the next event, in seconds."""
+    stall_for_s: float = 0.0
+    """Time for which it produces nothing, in seconds."""
+    is_waiting: bool = False
+    waiting_until: float = 0.0
     stop: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 @dataclass
 class Ledger:
-    """What the engines saw, and what of it must not be."""
+    """Calls to all engines, and the violations that they detected."""
 
-    fresh: dict = field(default_factory=dict)
-    """How many runs began anew, by request."""
+    runs_started: dict = field(default_factory=dict)
+    """Number of runs started from the prompt, by request."""
     wrong: list = field(default_factory=list)
+    """Descriptions of the violations."""
     asked: list = field(default_factory=list)
-    """Calls and requests: engine, what, status."""
+    """Calls and requests as tuples of engine name, kind and status."""
 
 
-class Late:
-    """Delivers what is written to one end of a connection later, in order."""
+class DelayedWriter:
+    """Delivers data written to one end of a connection after a delay, in order."""
 
     def __init__(self, far, delay_s):
         self._far, self._delay_s = far, delay_s
@@ -69,69 +70,69 @@
 
 
 class RunEngine:
-    """An engine as the platform's pages tell of its runs."""
+    """An engine that implements the platform's interface for moving and stopping runs."""
 
     def __init__(self, world, name, address):
         self.world, self.name, self.address = world, name, address
         self.holds = {KEY: 1}
-        """Adapters, by version."""
+        """Version of each adapter that it holds."""
         self.base = 1
-        """Version of its base model, 0 while it has none."""
+        """Version of its base model; 0 while none is loaded."""
         self.reported_base = None
-        """What it reports instead, if it reports something old."""
+        """Base model version that an outdated report shows; None if reports are current."""
         self.ordered = None
-        """What an order under way is for: the model or an adapter."""
+        """Key of the model or adapter that is being loaded or unloaded, if any."""
         self.runs = {}
         self.kept = {}
-        """Memory of runs that are not at work, by what asks for it."""
-        self.room = True
-        self.keeps_dropped = False
-        """Whether a run goes on when its connection closes."""
-        self.keeps_waiting = False
-        """Whether one that waits for memory does so, too: no call tells of it."""
-        self.waits_out = False
-        """Whether such a run goes on only when there is memory again, and not at once."""
-        self.replaces_waiting = False
-        """Whether its base model is replaced while runs wait for memory; they are read anew."""
+        """Memory of runs that are not executing, by the path that names it in requests."""
+        self.has_capacity = True
+        self.keeps_disconnected_runs = False
+        """Whether a run continues when its connection closes."""
+        self.keeps_disconnected_waiting = False
+        """Whether this also applies to runs that wait for memory, which no call reports."""
+        self.resumes_when_memory_frees = False
+        """Whether a disconnected waiting run resumes only when memory frees, and not at once."""
+        self.replaces_model_while_waiting = False
+        """Whether its base model may be replaced while runs wait for memory."""
         self.waiting = []
         """Runs that wait for memory."""
-        self.past = deque(maxlen=round(REPORT_AGE_S / TICK_S))
-        """What it would have reported lately."""
-        self.keeps_quiet = False
-        """Whether calls get no answer."""
-        self.quiet_calls = 0
-        """So many calls get no answer."""
+        self.past_reports = deque(maxlen=round(REPORT_AGE_S / TICK_S))
+        """States for recent reports, oldest first."""
+        self.ignores_calls = False
+        """Whether calls get no response."""
+        self.calls_to_ignore = 0
+        """Number of further calls that get no response."""
         self.copy_s = COPY_S
         self.receiving = 0
-        """Copies that are on their way to it."""
+        """Number of copies in transit to it."""
         self.dead = False
         self.ends_at = None
         self._tasks = set()
-        self._hushed = set()
+        self._silenced = set()
         self._streaming = set()
         self.server = world.net.serve(address, self.serve, ServerLimits, world.clock)
 
-    # What happens to it.
+    # Faults and orders.
 
-    def reset(self, torn=False):
-        """Break all connections off, inside an event if so said."""
+    def reset(self, mid_event=False):
+        """Abort all connections, optionally in the middle of an event."""
         for conn in list(self.server.connections):
-            if torn and conn in self._streaming:
+            if mid_event and conn in self._streaming:
                 conn.write(b"9\r\nid: 99\nda\r\n")
             conn.abort()
 
     def hush(self):
-        """Let nothing pass any more over the connections that it has."""
+        """Silently drop all further data on its open connections."""
         for conn in list(self.server.connections):
             conn.transport.write = lambda data: None
-            self._hushed.add(conn)
+            self._silenced.add(conn)
             conn.transport.peer.peer = conn.transport.peer
             conn.transport.peer.write = lambda data: None
 
     def delay(self, delay_s):
-        """Let what it writes arrive later, over the connections that it has."""
-        for conn in self.server.connections - self._hushed:
-            conn.transport.write = Late(conn.transport.peer, delay_s).write
+        """Delay the data that it writes to its open connections."""
+        for conn in self.server.connections - self._silenced:
+            conn.transport.write = DelayedWriter(conn.transport.peer, delay_s).write
 
     def crash(self):
         self.dead = True
@@ -141,21 +142,21 @@
         for task in self._tasks:
             task.cancel()
 
-    def notice(self, remaining_s, tells=True):
-        self.ends_at = self.world.clock() + remaining_s if tells else None
+    def notice(self, remaining_s, reports_end=True):
+        self.ends_at = self.world.clock() + remaining_s if reports_end else None
         self.world.enter(self, leaving=True)
         asyncio.get_running_loop().call_later(remaining_s, self.end)
 
     async def renew(self, key):
-        """Load the newest version of weights if it is not there once other orders are done."""
+        """Load the newest version of weights unless pending orders have already provided it."""
         await self._wait_for_orders()
         if self.dead:
             await asyncio.sleep(LOAD_S)
         elif self.lacks(key):
             await self.load(key)
 
-    async def drop_older(self, key):
-        """Unload weights unless their newest version is there once other orders are done."""
+    async def unload_older(self, key):
+        """Unload an outdated version of weights once pending orders are complete."""
         await self._wait_for_orders()
         if self.lacks(key) and self.version(key):
             await self.unload(key)
@@ -165,17 +166,17 @@
             await asyncio.sleep(TICK_S)
 
     async def load(self, key):
-        """Load the newest version of weights, and of their model if that is not there."""
+        """Load the newest version of weights, and of their model if it is missing."""
         await self._wait_for_orders()
         if self.version(key):
             await self.unload(key)
         if not self.base:
-            await self._bring(MODEL)
+            await self._load_newest(MODEL)
         if not self.version(key):
-            await self._bring(key)
+            await self._load_newest(key)
 
     async def unload(self, key):
-        """Unload weights when no run uses them; a model's adapters go with it."""
+        """Unload weights once no run uses them; with a model, its adapters are unloaded too."""
         self.ordered = key
         while any(key in (MODEL, work.key) for work in self._users(key)):
             await asyncio.sleep(TICK_S / 10)
@@ -188,11 +189,11 @@
         self.world.enter(self)
 
     def _users(self, key):
-        """Return the runs for which an order to unload weights waits if they use them."""
-        waiting = [] if key == MODEL and self.replaces_waiting else self.waiting
+        """Return the runs that block the unloading of weights that they use."""
+        waiting = [] if key == MODEL and self.replaces_model_while_waiting else self.waiting
         return [*self.runs.values(), *waiting]
 
-    async def _bring(self, key):
+    async def _load_newest(self, key):
         self.ordered = key
         await asyncio.sleep(LOAD_S if key.adapter else MODEL_S)
         self.ordered = None
@@ -204,15 +205,15 @@
             self.world.enter(self)
 
     def lacks(self, key):
-        """Tell whether the newest version of weights is not there."""
+        """Return whether the newest version of weights is missing."""
         return not self.base or self.version(key) < self.world.newest(key)
 
     def version(self, key):
-        """Return the version of weights that it holds, 0 for none."""
+        """Return the version of weights that it holds; 0 for none."""
         return self.base if key == MODEL else self.holds.get(key, 0)
 
     def start(self, work):
-        """Do something beside, until it is lost; return its task."""
+        """Run a coroutine in the background until the engine crashes; return its task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._note_done)
@@ -224,7 +225,7 @@
             self.world.ledger.wrong.append(f"{self.name}: {task.exception()!r}")
 
     def versions(self, key):
-        """Return the versions of the model and of an adapter that it holds."""
+        """Return the held versions of the model and of an adapter."""
         return self.base, self.version(key)
 
     def end(self):
@@ -233,19 +234,19 @@
             self.world.leave(self)
 
     def note(self):
-        """Keep what it would report now."""
-        runs = [[one.ident, 100, one.made, 5] for one in self.runs.values()]
-        self.past.append((len(self.waiting), runs))
+        """Record the current state for later reports."""
+        runs = [[one.ident, 100, one.events_made, 5] for one in self.runs.values()]
+        self.past_reports.append((len(self.waiting), runs))
 
-    # What it serves.
+    # HTTP interface.
 
     async def serve(self, inc):
         target = inc.target.decode()
         if not target.startswith("/gradelug/"):
             await self._serve_request(inc)
             return
-        if self.keeps_quiet or self.quiet_calls:
-            self.quiet_calls -= bool(self.quiet_calls)
+        if self.ignores_calls or self.calls_to_ignore:
+            self.calls_to_ignore -= bool(self.calls_to_ignore)
             await asyncio.sleep(5.0)
         if target == "/gradelug/kv-move":
             await self._serve_move(inc)
@@ -256,7 +257,7 @@
                     del engine.kept[path]
             inc.respond(200, [], b"")
         else:
-            queued, runs = self.past[0] if self.past else (0, [])
+            queued, runs = self.past_reports[0] if self.past_reports else (0, [])
             adapters = [f"{key.adapter}@{version}" for key, version in self.holds.items()]
             base = self.base if self.reported_base is None else self.reported_base
             model = {"Name": MODEL.model, "Version": base, "Adapters": adapters}
@@ -278,12 +279,12 @@
             self._answer(inc, "move", 404, {})
             return
         handle = f"h{next(self.world.handles)}"
-        answer = {"handle": handle, "CreateRevision": work.made}
+        answer = {"handle": handle, "CreateRevision": work.events_made}
         if asked["Last"]:
             work.stop.set()
             self.runs.pop(work.ident, None)
             self.kept[f"{self.address}/{handle}"] = (work.ident, work.line, work.versions)
-        if target is None or target.dead or not target.room:
+        if target is None or target.dead or not target.has_capacity:
             self._answer(inc, "move", 503, answer if asked["Last"] else {})
             return
         target.receiving += 1
@@ -330,57 +331,63 @@
                 ledger.asked.append((self.name, "from", 503))
                 inc.respond(503, not_run, b"")
                 return
-            kept_ident, line, made_under = found
-            if made_under != versions:
-                ledger.wrong.append(f"{ident}: memory of {made_under} goes on under {versions}")
+            kept_ident, line, memory_versions = found
+            if memory_versions != versions:
+                ledger.wrong.append(
+                    f"{ident}: memory of {memory_versions} resumed under {versions}"
+                )
             if inc.header(b"last-event-id") is None:
-                ledger.wrong.append(f"{ident} does not say after which event it goes on")
+                ledger.wrong.append(f"{ident}: resumed without Last-Event-Id")
             if kept_ident != ident:
-                ledger.wrong.append(f"{ident} goes on from the memory of {kept_ident}")
+                ledger.wrong.append(f"{ident}: resumed from the memory of {kept_ident}")
             ledger.asked.append((self.name, "from", 200))
         else:
-            count = ledger.fresh[ident] = ledger.fresh.get(ident, 0) + 1
+            count = ledger.runs_started[ident] = ledger.runs_started.get(ident, 0) + 1
             line = f"{ident}.{count}"
             ledger.asked.append((self.name, "run", 200))
         work = Work(ident, line, after, key, versions)
         self.runs[ident] = work
         if path or after:
-            self.world.check_alone_later(self, ident)
-        told = (b"X-Gradelug-Weight-Versions", b"%d" % versions[0])
-        inc.begin(200, [*own, told, (b"X-Gradelug-Server-Signature", self.name.encode())])
+            self.world.check_single_engine_later(self, ident)
+        version_header = (b"X-Gradelug-Weight-Versions", b"%d" % versions[0])
+        inc.begin(200, [*own, version_header, (b"X-Gradelug-Server-Signature", self.name.encode())])
         self._streaming.add(inc._conn)
         try:
             await self._work(work, backup, inc.send)
         except asyncio.CancelledError:
             self._streaming.discard(inc._conn)
-            keeps = self.keeps_dropped and (self.keeps_waiting or not work.waits)
+            keeps = self.keeps_disconnected_runs and (
+                self.keeps_disconnected_waiting or not work.is_waiting
+            )
             if keeps and not self.dead and not work.stop.is_set():
-                if not work.waits or not self.waits_out:
-                    work.waits = False
+                if not work.is_waiting or not self.resumes_when_memory_frees:
+                    work.is_waiting = False
                     self.runs[ident] = work
-                task = asyncio.create_task(self._work(work, backup, _nowhere))
+                task = asyncio.create_task(self._work(work, backup, _discard))
                 self._tasks.add(task)
             raise
         self._streaming.discard(inc._conn)
-        if work.made >= EVENTS and not work.stop.is_set():
+        if work.events_made >= EVENTS and not work.stop.is_set():
             inc.finish()
 
     async def _work(self, work, backup, send):
         sent_at = self.world.clock()
         try:
-            if work.waits:
+            if work.is_waiting:
                 await self._wait_for_memory(work)
-            while work.made < EVENTS:
+            while work.events_made < EVENTS:
                 await asyncio.sleep(EVENT_S)
                 base = work.versions[0]
                 await self._preempt(work)
-                stalls_s, work.stalls_s = work.stalls_s, 0.0
-                await asyncio.sleep(stalls_s)
+                stall_for_s, work.stall_for_s = work.stall_for_s, 0.0
+                await asyncio.sleep(stall_for_s)
                 if work.stop.is_set() or self.dead:
                     return
-                work.made += 1
-                told = b"" if work.versions[0] == base else CHANGE % work.versions[0]
-                await send(told + b"id: %d\ndata: %b\n\n" % (work.made, work.line.encode()))
+                work.events_made += 1
+                version_line = b"" if work.versions[0] == base else VERSION_LINE % work.versions[0]
+                await send(
+                    version_line + b"id: %d\ndata: %b\n\n" % (work.events_made, work.line.encode())
+                )
                 if backup and self.world.clock() - sent_at >= BACKUP_S:
                     sent_at = self.world.clock()
                     self._copy(work, backup)
@@ -393,33 +400,33 @@
                 del self.runs[work.ident]
 
     async def _preempt(self, work):
-        """Let a run wait for memory; until then it is not known as one."""
+        """Let a run wait for memory if it is preempted; it is not listed as a run meanwhile."""
         pause_s, work.pause_s = work.pause_s, 0.0
         if pause_s:
             if self.runs.get(work.ident) is work:
                 del self.runs[work.ident]
-            work.waits = True
-            work.waits_until = self.world.clock() + pause_s
+            work.is_waiting = True
+            work.waiting_until = self.world.clock() + pause_s
             await self._wait_for_memory(work)
 
     async def _wait_for_memory(self, work):
         self.waiting.append(work)
         try:
-            await asyncio.sleep(work.waits_until - self.world.clock())
+            await asyncio.sleep(work.waiting_until - self.world.clock())
             while not self.version(work.key):
                 await asyncio.sleep(TICK_S)
         finally:
             self.waiting.remove(work)
-        # What was read under weights that were replaced is read again under the new ones.
+        # Its memory is recomputed under the weights that are loaded now.
         work.versions = self.versions(work.key)
-        work.waits = False
+        work.is_waiting = False
         self.runs[work.ident] = work
 
     def _copy(self, work, backup):
         target = self.world.by_address(backup)
-        if target is not None and not target.dead and target.room:
+        if target is not None and not target.dead and target.has_capacity:
             target.kept[f"{self.address}/{work.ident}"] = (work.ident, work.line, work.versions)
 
 
-async def _nowhere(data):
+async def _discard(data):
     pass
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -1,4 +1,4 @@
-"""Streams under breaks of all kinds: none loses an event, has one twice, or runs twice at once."""
+"""State machine test of run recovery: no stream loses or repeats an event or runs twice at once."""
 
 import asyncio
 from enum import Enum
@@ -14,21 +14,21 @@
 from world import new_loop
 
 ALL = list(range(1, EVENTS + 1))
-MOST_CLIENTS = 8
+MAX_CLIENTS = 8
 
 
 class Waiting(Enum):
-    """What becomes of a run that waits for memory when its connection closes."""
+    """Behaviour of a run that is queued for memory when its connection closes."""
 
     DROPPED = "dropped"
     AT_ONCE = "at once"
-    """It goes on at once."""
-    WAITS_OUT = "waits out"
-    """It goes on when there is memory for it."""
+    """It continues at once."""
+    WHEN_MEMORY_FREES = "waits out"
+    """It continues when memory frees."""
 
 
 class Breaks(RuleBasedStateMachine):
-    """Breaks of all kinds over streams that must not be run twice, or may be resumed."""
+    """Injects faults into streams that may or may not be resumed by another run."""
 
     def __init__(self):
         super().__init__()
@@ -52,15 +52,15 @@
         self.world = self.loop.run_until_complete(make())
         self.drops, self.waiting = drops, waiting
         for engine in self.world.engines.values():
-            self.set_up(engine)
+            self.configure(engine)
 
-    def set_up(self, engine):
-        engine.keeps_dropped = not self.drops
-        engine.keeps_waiting = self.waiting is not Waiting.DROPPED
-        engine.waits_out = self.waiting is Waiting.WAITS_OUT
+    def configure(self, engine):
+        engine.keeps_disconnected_runs = not self.drops
+        engine.keeps_disconnected_waiting = self.waiting is not Waiting.DROPPED
+        engine.resumes_when_memory_frees = self.waiting is Waiting.WHEN_MEMORY_FREES
 
     def add(self):
-        self.set_up(self.world.add())
+        self.configure(self.world.add())
 
     def act(self, work):
         async def do():
@@ -74,11 +74,11 @@
         return alive[at % len(alive)]
 
     def busy(self, at):
-        """Return an engine that has runs, if there is one."""
-        at_work = [one for one in self.world.engines.values() if one.runs and not one.dead]
-        return at_work[at % len(at_work)] if at_work else self.engine(at)
+        """Return an engine that has runs if there is one, else any engine."""
+        with_runs = [one for one in self.world.engines.values() if one.runs and not one.dead]
+        return with_runs[at % len(with_runs)] if with_runs else self.engine(at)
 
-    @precondition(lambda self: len(self.clients) < MOST_CLIENTS)
+    @precondition(lambda self: len(self.clients) < MAX_CLIENTS)
     @rule(model=st.sampled_from(["m/a1", "m"]))
     def ask(self, model):
         ident = f"q{len(self.clients)}"
@@ -92,12 +92,12 @@
     def wait(self, delay_s):
         self.loop.run_until_complete(asyncio.sleep(delay_s))
 
-    @rule(at=st.integers(0, 3), torn=st.booleans())
-    def reset(self, at, torn):
-        self.act(lambda: self.engine(at).reset(torn))
+    @rule(at=st.integers(0, 3), mid_event=st.booleans())
+    def reset(self, at, mid_event):
+        self.act(lambda: self.engine(at).reset(mid_event))
 
     @rule(at=st.integers(0, 3))
-    def hush(self, at):
+    def silence_engine(self, at):
         self.act(self.engine(at).hush)
 
     @rule(at=st.integers(0, 3), delay_s=st.sampled_from([0.05, 0.2]))
@@ -105,26 +105,26 @@
         self.act(lambda: self.engine(at).delay(delay_s))
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
-    @rule(at=st.integers(0, 3), told=st.booleans())
-    def crash(self, at, told):
+    @rule(at=st.integers(0, 3), is_reported=st.booleans())
+    def crash(self, at, is_reported):
         engine = self.engine(at)
         self.act(engine.crash)
-        if told:
+        if is_reported:
             self.world.leave(engine)
         self.act(self.add)
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
-    @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.3, 1.0, 2.0]), tells=st.booleans())
-    def notice(self, at, left_s, tells):
+    @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.3, 1.0, 2.0]), reports_end=st.booleans())
+    def notice(self, at, left_s, reports_end):
         engine = self.engine(at)
-        self.act(lambda: engine.notice(left_s, tells))
+        self.act(lambda: engine.notice(left_s, reports_end))
         self.act(self.add)
 
     @precondition(lambda self: sum(not one.dead for one in self.world.engines.values()) > 2)
     @rule(at=st.integers(0, 3), left_s=st.sampled_from([0.1, 0.3]), ends=st.booleans())
-    def end_while_a_copy_is_on_its_way(self, at, left_s, ends):
-        """Give an engine notice, and end where its runs are copied to, or itself, meanwhile."""
-        if len(self.clients) < MOST_CLIENTS:
+    def end_while_a_copy_is_in_transit(self, at, left_s, ends):
+        """Give an engine notice, then end the target of its copies and optionally the engine."""
+        if len(self.clients) < MAX_CLIENTS:
             self.ask("m/a1")
         self.wait(0.3)
         source = self.busy(at)
@@ -139,7 +139,7 @@
                 return
 
     def end_target(self, left_s):
-        """Give notice to an engine that receives a copy; tell whether there is one."""
+        """Give notice to an engine that receives a copy; return whether there is one."""
         targets = (one for one in self.world.engines.values() if one.receiving and not one.dead)
         target = next(targets, None)
         if target is None:
@@ -156,7 +156,7 @@
     @precondition(lambda self: self.clients)
     @rule(then=st.sampled_from(["wait", "reset", "hush"]))
     def run_out_of_memory(self, then):
-        """Have all runs wait for memory, for longer than a stream may be silent."""
+        """Queue all runs for memory, for longer than a stream may stall."""
         engines = [one for one in self.world.engines.values() if not one.dead]
         for engine in engines:
             for work in engine.runs.values():
@@ -167,9 +167,9 @@
                 self.act(engine.reset if then == "reset" else engine.hush)
         self.wait(1.5)
 
-    @rule(at=st.integers(0, 3), room=st.booleans())
-    def fill(self, at, room):
-        self.engine(at).room = room
+    @rule(at=st.integers(0, 3), has_capacity=st.booleans())
+    def fill(self, at, has_capacity):
+        self.engine(at).has_capacity = has_capacity
 
     @rule(at=st.integers(0, 3))
     def lose_memory(self, at):
@@ -179,13 +179,13 @@
         key=st.sampled_from([KEY, MODEL]),
         ordered=st.none() | st.sets(st.integers(0, 3), max_size=3),
     )
-    def name_next_version(self, key, ordered):
-        """Name a version, and have all engines with an older one unload that, or some of them."""
+    def publish_next_version(self, key, ordered):
+        """Announce a version, and order all or some engines with an older one to unload it."""
         world = self.world
-        told = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
-        self.act(lambda: world.name_version(key, world.newest(key) + 1, told))
+        engines = None if ordered is None else [self.engine(at) for at in sorted(ordered)]
+        self.act(lambda: world.publish_version(key, world.newest(key) + 1, engines))
 
-    @precondition(lambda self: len(self.clients) < MOST_CLIENTS)
+    @precondition(lambda self: len(self.clients) < MAX_CLIENTS)
     @rule(
         model=st.sampled_from(["m/a1", "m"]),
         key=st.sampled_from([KEY, MODEL]),
@@ -193,8 +193,8 @@
         delay_s=st.sampled_from([0.0, 0.3, 0.9, 1.2]),
         ordered=st.sampled_from(["all", "one", "others", "none"]),
     )
-    def name_next_version_at_a_break(self, model, key, how, delay_s, ordered):
-        """Break a run's stream or give its engine notice, and name a version at that time."""
+    def publish_next_version_at_a_break(self, model, key, how, delay_s, ordered):
+        """Break a run's stream or give its engine notice, and announce a version then."""
         self.ask(model)
         self.wait(0.7)
         world, broken = self.world, self.busy(0)
@@ -205,37 +205,39 @@
             self.act(broken.hush if how == "hush" else broken.reset)
         self.wait(delay_s)
         engines = list(world.engines.values())
-        told = {
+        engines_to_order = {
             "all": engines,
             "one": [broken],
             "others": [one for one in engines if one is not broken],
             "none": [],
         }
-        self.act(lambda: world.name_version(key, world.newest(key) + 1, told[ordered]))
+        self.act(
+            lambda: world.publish_version(key, world.newest(key) + 1, engines_to_order[ordered])
+        )
         self.wait(1.5)
 
     @rule(at=st.integers(0, 3), key=st.sampled_from([KEY, MODEL]))
     def load(self, at, key):
-        """Have an engine load the newest version of weights, in place of an older one."""
+        """Order an engine to replace weights by their newest version."""
         engine = self.engine(at)
         self.act(lambda: engine.start(engine.renew(key)))
 
     @rule(at=st.integers(0, 3), quiet=st.booleans())
-    def keep_quiet(self, at, quiet):
-        self.engine(at).keeps_quiet = quiet
+    def ignore_calls(self, at, quiet):
+        self.engine(at).ignores_calls = quiet
 
     @invariant()
-    def nothing_is_wrong(self):
+    def streams_are_consistent(self):
         if self.world is None:
             return
         assert not self.world.ledger.wrong
         for ident, client in self.clients.items():
             numbers, lines = events(client)
-            # None lost, none twice, none of another request or another run.
+            # No event is lost, repeated, or from another request or run.
             assert numbers == ALL[: len(numbers)]
             assert all(line.startswith(f"{ident}.") for line in lines)
             assert not is_whole(client) or numbers == ALL or status(client) != 200
-            count = self.world.ledger.fresh.get(ident, 0)
+            count = self.world.ledger.runs_started.get(ident, 0)
             if self.repeat is Repeat.NEVER:
                 assert count <= 1
                 assert len(set(lines)) <= 1
@@ -246,7 +248,7 @@
         try:
             if self.world is not None:
                 self.loop.run_until_complete(asyncio.sleep(25.0))
-                self.nothing_is_wrong()
+                self.streams_are_consistent()
                 for client in self.clients.values():
                     assert client.ended or status(client) != 200 or is_whole(client)
         finally:
