--- a/packages/policy/src/gradelug_policy/cells.py
+++ b/packages/policy/src/gradelug_policy/cells.py
@@ -15,7 +15,7 @@
 
 import xxhash
 
-MOST_IN_CELL = 32
+MAX_CELL_ENGINES = 32
 """Engines of a cell at most: among some sixteen to thirty the best is nearly as good as the best of
 all, and to look at them takes a part of a millisecond."""
 HASH_BITS = 64
@@ -34,10 +34,10 @@
         Engines of a cell at most.
     """
 
-    __slots__ = ("_cells", "_most", "_names")
+    __slots__ = ("_cells", "_max_engines", "_names")
 
-    def __init__(self, most: int = MOST_IN_CELL) -> None:
-        self._most = most
+    def __init__(self, most: int = MAX_CELL_ENGINES) -> None:
+        self._max_engines = most
         self._cells: dict[str, dict[str, str]] = {"": {}}
         """Engines and their hashes, by the bits with which the hashes begin."""
         self._names: dict[str, str] = {}
@@ -57,10 +57,10 @@
         """Take an engine in."""
         if name in self._names:
             return
-        bits = self._names[name] = _bits(name)
+        bits = self._names[name] = _hash_bits(name)
         cell = self._find(bits)
         self._cells[cell][name] = bits
-        while len(self._cells[cell]) > self._most and len(cell) < HASH_BITS:
+        while len(self._cells[cell]) > self._max_engines and len(cell) < HASH_BITS:
             self._split(cell)
             cell = self._find(bits)
 
@@ -76,7 +76,7 @@
 
     def cell(self, name: str) -> str:
         """Return the cell that an engine is in, or would be in as the cells are now."""
-        return self._find(self._names.get(name) or _bits(name))
+        return self._find(self._names.get(name) or _hash_bits(name))
 
     def rank(self, key: str) -> list[str]:
         """Return the cells of an adapter, the first one first; those of more engines get more."""
@@ -108,14 +108,14 @@
     def _join(self, parent: str) -> bool:
         """Make two cells one if they have become small enough; False if they are not."""
         first, second = self._cells.get(parent + "0"), self._cells.get(parent + "1")
-        if first is None or second is None or len(first) + len(second) > self._most:
+        if first is None or second is None or len(first) + len(second) > self._max_engines:
             return False
         del self._cells[parent + "0"], self._cells[parent + "1"]
         self._cells[parent] = first | second
         return True
 
 
-def _bits(name: str) -> str:
+def _hash_bits(name: str) -> str:
     return f"{xxhash.xxh3_64_intdigest(name.encode()):0{HASH_BITS}b}"
 
 
--- a/packages/policy/src/gradelug_policy/chain_homes.py
+++ b/packages/policy/src/gradelug_policy/chain_homes.py
@@ -1,9 +1,9 @@
-"""Where all instances send the same prompts, though none tells the others what it sent.
+"""Assigns prompt prefixes to engines by hashing, without coordination between gateways.
 
-The load that it answers: many gateways, each of which sends few of the prompts that have their
-first parts in common, so that none knows by itself which engine keeps them. They agree by hashing:
-each engine has a random number for each chain, the same for all who ask (rendezvous hashing), and
-one engine more or less moves only the chains that were drawn to it.
+Each of many gateways sends few of the prompts that share a prefix, so none knows by itself which
+engine has the prefix cached. They agree by rendezvous hashing: each pair of engine and prefix has a
+pseudorandom number that is the same on every gateway, and adding or removing an engine moves only
+the prefixes that are assigned to it.
 """
 
 from __future__ import annotations
@@ -13,39 +13,40 @@
 from collections import OrderedDict, deque
 from hashlib import blake2b
 
-from .kept_parts import MARK_BYTES, Chain
-
-SPLIT = 8.0
-"""A chain that makes up a part of the requests for its weights is split into so many times that
-part of the engines, each with a draw of its own, so that no chain of which there are many requests
-goes to one engine alone. Replayed with one chain for all and news of 0.26 s, 40 requests a second:
-99 in 100 first events come within 0.151 s by chance alone, 0.161 with 8, 0.172 with 4; unsplit, 16%
-take more than 0.25 s. With 132 chains and ten gateways 18.4% of shared tokens are read again by
-chance alone, 13.6% with 8, 10.9% with 4."""
-RECENT = 32
-"""Requests for some weights from which the part of a chain is taken."""
-MOST_WEIGHTS = 500
-"""Weights of which the newest requests are remembered, 1.5 kB each."""
-MOST = 1 << 8 * MARK_BYTES
-STEP = 0x9E3779B97F4A7C15
-"""Odd, so that all splits of a chain differ; the golden part of the range spreads them."""
+from .kept_parts import DIGEST_BYTES, Chain
+
+SPLIT_FACTOR = 8.0
+"""A chain that accounts for a share of the requests for its weights is split into this factor times
+its share of the engines, each split hashed separately, so that a frequent chain does not overload
+one engine. In simulation with a single chain, engine state 0.26 s old and 40 requests per second,
+the 99th percentile of first events is 0.151 s with random choice, 0.161 s with a factor of 8 and
+0.172 s with 4; unsplit, 16% take more than 0.25 s. With 132 chains and ten gateways, random choice
+processes 18.4% of the shared tokens again, a factor of 8 13.6% and one of 4 10.9%."""
+RECENT_REQUESTS = 32
+"""Latest requests for some weights from which the share of a chain is computed."""
+MAX_WEIGHTS = 500
+"""Weights whose latest requests are stored, at 1.5 kB each."""
+DIGEST_RANGE = 1 << 8 * DIGEST_BYTES
+SPLIT_STRIDE = 0x9E3779B97F4A7C15
+"""Odd, so that all splits of a chain differ; the golden section of the range spreads them
+evenly."""
 
 
 def home_of(chain: Chain, engines: t.Iterable[str]) -> str:
-    """Return the engine of some that is the home of a chain, empty if there is none."""
+    """Return the engine that a chain is assigned to, empty if there are no engines."""
     mark = chain.prefixes[-1].mark
-    return max(engines, key=lambda engine: draw(engine, mark), default="")
+    return max(engines, key=lambda engine: uniform_hash(engine, mark), default="")
 
 
-def draw(engine: str, mark: int) -> float:
-    """Return the number of an engine for a mark, above 0 and at most 1."""
-    key = mark.to_bytes(MARK_BYTES)
-    drawn = blake2b(engine.encode(), digest_size=MARK_BYTES, key=key).digest()
-    return (int.from_bytes(drawn) + 1) / MOST
+def uniform_hash(engine: str, mark: int) -> float:
+    """Return the pseudorandom number of an engine and a digest, above 0 and at most 1."""
+    key = mark.to_bytes(DIGEST_BYTES)
+    hashed = blake2b(engine.encode(), digest_size=DIGEST_BYTES, key=key).digest()
+    return (int.from_bytes(hashed) + 1) / DIGEST_RANGE
 
 
 class ChainShares:
-    """Learns which part of the requests for some weights begin alike."""
+    """Tracks the share of each chain in the latest requests for its weights."""
 
     __slots__ = ("_recent",)
 
@@ -53,14 +54,15 @@
         self._recent: OrderedDict[str, deque[int]] = OrderedDict()
 
     def note(self, chain: Chain) -> float:
-        """Count a request and return its chain's part of those for its weights, above 0.
+        """Add a request and return the share of its chain among those for its weights, above 0.
 
-        What was not seen yet is taken for frequent: to split a rare chain costs little.
+        The first chain of some weights counts as frequent, since splitting a rare chain costs
+        little.
         """
         mark = chain.prefixes[-1].mark
-        recent = self._recent.setdefault(chain.weights, deque(maxlen=RECENT))
+        recent = self._recent.setdefault(chain.weights, deque(maxlen=RECENT_REQUESTS))
         self._recent.move_to_end(chain.weights)
-        if len(self._recent) > MOST_WEIGHTS:
+        if len(self._recent) > MAX_WEIGHTS:
             self._recent.popitem(last=False)
         share = (recent.count(mark) + 1) / (len(recent) + 1)
         recent.append(mark)
@@ -68,18 +70,18 @@
 
 
 def split_mark(chain: Chain, share: float, engines: int, chance: float) -> int:
-    """Return the mark by which a request of a chain is drawn to an engine.
+    """Return the digest by which a request of a chain is assigned to an engine.
 
     Parameters
     ----------
     chain : Chain
-        What it has in common with others.
+        Prefixes that the prompt shares with others.
     share : float
-        Part of the requests for its weights that have it.
+        Share of the chain among the requests for its weights, 0 to 1.
     engines : int
-        How many have the weights.
+        Number of engines that hold the weights.
     chance : float
-        Drawn for the request, from 0 to less than 1.
+        Random number of the request, from 0 to less than 1.
     """
-    splits = math.ceil(SPLIT * share * engines)
-    return (chain.prefixes[-1].mark + math.floor(chance * splits) * STEP) % MOST
+    splits = math.ceil(SPLIT_FACTOR * share * engines)
+    return (chain.prefixes[-1].mark + math.floor(chance * splits) * SPLIT_STRIDE) % DIGEST_RANGE
--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_room.py
@@ -1,12 +1,14 @@
-"""Room on model engines: which one runs a request, who waits, when an adapter gets another copy.
+"""Estimates the capacity of model engines and the gain of replicating an adapter.
 
-The load that it answers: engines of few slots, much-used adapters on some of them. An engine whose
-slots are all taken lets an urgent request displace a run in the middle of its stream, makes the
-others queue and rejects those beyond; meanwhile engines without the adapter have slots to spare.
-So a request for which there is no slot is held where it was to be placed, until a run has ended or
-another copy is there; and the copy is brought before the slots of the holders are used up.
+Engines have few slots, and popular adapters are resident on few engines. An engine whose slots are
+all taken lets an urgent request preempt a run in the middle of its stream, queues further requests
+and rejects those beyond its queue, while engines without the adapter have free slots. The gateway
+and the planner therefore use these estimates to hold a request that finds no free slot until a run
+ends or another copy of its adapter is loaded, and to load that copy before the slots of the engines
+that hold the adapter are used up.
 
-Slots and memory are told by each service's configuration; how long a run holds a slot is learned.
+Slots and memory come from the configuration of each service; the time that a run occupies a slot is
+learned.
 """
 
 from __future__ import annotations
@@ -19,48 +21,53 @@
 from .reading import URGENCIES, Busyness, ReadingSpeeds, Work, first_event_s
 
 FIRST_HOLD_S = 1.5
-"""How long a run holds its slot as long as nothing was seen: some 100 tokens at 15 ms."""
-HOLD_WEIGHT = 0.05
-"""Share of the newest run in the mean time that a slot is held. The first count no more: those
-that end first are the short ones."""
-LEAST_HOLD_S = 0.05
-"""A shorter mean would say that a full engine is as good as a free one."""
+"""Time that a run occupies its slot, assumed until a run has ended: about 100 tokens at 15 ms."""
+HOLD_TIME_WEIGHT = 0.05
+"""Weight of the newest run in the mean time that a slot is occupied. The first runs get no greater
+weight, since those that end first are the short ones."""
+MIN_HOLD_TIME_S = 0.05
+"""With a shorter mean a full engine would be rated as good as a free one."""
 COPY_USE_S = 4.0
-"""Requests of the coming seconds that a copy is brought for; demand moves within seconds."""
-COPY_SLACK_S = 0.2
-"""From the need of a copy until requests go there, beyond its load: the next look for needs, and
-the news of what runs."""
-SPREAD = 2.0
-"""Requests that arrive within a time are taken for their mean and so many times its root."""
+"""Period whose requests justify loading a copy; demand shifts within seconds."""
+COPY_START_DELAY_S = 0.2
+"""Delay besides the load itself until a copy that is needed receives requests: the next periodic
+check, and the propagation of engine state."""
+DEMAND_DEVIATIONS = 2.0
+"""Expected arrivals in a period are the mean plus this many standard deviations (square roots of
+the mean)."""
 HOLD_S = 0.3
-"""A request is held this long at most for room, from its question on; then it queues at an engine.
-Longer, and more of them are late than are spared: an engine takes the next one at once when a run
-ends, the holder only when it has heard of it."""
-MOVE_MARGIN_S = 0.1
-"""An engine that is to load the adapter first must be better by this: the place costs others."""
+"""Longest time that a request is held for a free slot, from its placement request on; then it
+queues at an engine. Holding longer makes more requests late than it helps: an engine starts its
+next queued request as soon as a run ends, a held request starts only after that end was
+reported."""
+LOAD_ELSEWHERE_MARGIN_S = 0.1
+"""An engine that first has to load the adapter must be faster by this, since the adapter slot that
+it takes costs other requests."""
 EQUAL = URGENCIES // 2
-"""Urgency of all requests at engines whose slots are what is short. By rank, an urgent request at a
-full batch stops another in the middle of its stream, which then pauses beyond its bound and is read
-anew; and those of less rank see queues that others do not, so that engines fill unevenly."""
-READS_LEAST = 1.5
-READS_MOST = 2.0
-"""Slots are what is short if reading for a full batch takes at most so many times as long as a run
-holds its slot, and reading is if it takes more than the second; a full batch steps slower than the
-mean from which the time of a run was learned, so that it is more than 1."""
-ONE_HELD = 1.0
-"""Of runs that hold nothing that is known each is taken for one token: no division by zero."""
+"""Urgency of all requests at engines that are bound by their slots. With urgencies by rank, an
+urgent request at a full batch preempts another in the middle of its stream, which then exceeds its
+longest allowed pause and has its prompt processed again; and requests of lower rank are placed by
+longer queues than others, so that engines fill unevenly."""
+SLOT_BOUND_ENTER_RATIO = 1.5
+SLOT_BOUND_EXIT_RATIO = 2.0
+"""Bounds, with hysteresis, of the ratio between the prefill time of a full batch and the time that
+a run occupies its slot: an engine becomes slot bound below the first and prefill bound from the
+second on. They exceed 1 because a full batch steps slower than the mean from which the run time was
+learned."""
+MIN_RUN_TOKENS = 1.0
+"""Tokens assumed of a run of unknown memory; avoids a division by zero."""
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What an engine can run at once.
+    """Concurrent requests and memory that an engine offers.
 
     Parameters
     ----------
     slots : int
-        Requests; 0 if it is not known, and then they are not reckoned with.
+        Concurrent requests; 0 if unknown, then slots are ignored.
     memory_tokens : int
-        Tokens of prompts and answers; 0 likewise.
+        Tokens of prompts and answers that fit in memory; 0 if unknown, then memory is ignored.
     """
 
     slots: int = 0
@@ -68,160 +75,173 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pace:
-    """How fast an engine works.
+class EngineRates:
+    """How fast an engine processes prompts and completes runs.
 
     Parameters
     ----------
     tokens_per_s : float
-        Prompts that it reads, in tokens a second.
+        Prefill speed, in tokens per second.
     hold_s : float
-        How long a run holds its slot, in seconds.
+        Mean time that a run occupies a slot, in seconds.
     """
 
     tokens_per_s: float
     hold_s: float = FIRST_HOLD_S
 
 
-class HoldTime:
-    """Learns how long a run of a service holds its slot: while it is read and makes its answer."""
+class MeanHoldTime:
+    """Learns how long runs of a service occupy a slot, for both prefill and decoding."""
 
     __slots__ = ("seconds",)
 
     def __init__(self) -> None:
         self.seconds = FIRST_HOLD_S
-        """The mean, in seconds."""
+        """Exponentially weighted mean, in seconds."""
 
     def note(self, held_s: float) -> None:
-        """Learn from a run that ended well."""
-        self.seconds = max(LEAST_HOLD_S, self.seconds + HOLD_WEIGHT * (held_s - self.seconds))
+        """Add a run that succeeded and occupied its slot for `held_s` seconds."""
+        self.seconds = max(
+            MIN_HOLD_TIME_S, self.seconds + HOLD_TIME_WEIGHT * (held_s - self.seconds)
+        )
 
 
-def room_wait_s(busy: Busyness, work: Work, terms: Terms, pace: Pace) -> float:
-    """Return the time until there are a slot and memory for a request, in seconds.
+def capacity_wait_s(busy: Busyness, work: Work, terms: Terms, pace: EngineRates) -> float:
+    """Return the time until a slot and enough memory are free for a request, in seconds.
 
-    Runs end evenly, one of `n` each `hold_s / n`, and each gives back its part of the memory.
-    """
+    Assumes that `n` runs end at even intervals of `hold_s / n`, each of which frees an equal part
+    of the memory."""
     ends = 0.0
     if terms.slots:
         ends = float(max(0, busy.held - terms.slots + 1))
     if terms.memory_tokens:
         excess = busy.memory_tokens + work.memory_tokens - terms.memory_tokens
-        each = max(ONE_HELD, busy.memory_tokens / max(1, busy.held))
-        ends = max(ends, math.ceil(max(0, excess) / each))
+        run_tokens = max(MIN_RUN_TOKENS, busy.memory_tokens / max(1, busy.held))
+        ends = max(ends, math.ceil(max(0, excess) / run_tokens))
     if not ends:
         return 0.0
     running = min(busy.held, terms.slots) if terms.slots else busy.held
     return ends * pace.hold_s / max(1, running)
 
 
-def expected_s(busy: Busyness, work: Work, terms: Terms, pace: Pace) -> float:
-    """Return the time until a request's first event, in seconds, its wait for room included."""
-    reading_s = first_event_s(busy, work, pace.tokens_per_s)
-    return reading_s + room_wait_s(busy, work, terms, pace)
+def expected_s(busy: Busyness, work: Work, terms: Terms, pace: EngineRates) -> float:
+    """Return the time until a request's first event, in seconds, with its wait for capacity."""
+    prefill_s = first_event_s(busy, work, pace.tokens_per_s)
+    return prefill_s + capacity_wait_s(busy, work, terms, pace)
 
 
-def has_room(busy: Busyness, work: Work, terms: Terms, pace: Pace, news_s: float = 0.0) -> bool:
-    """Tell whether a request can go to an engine without displacing another or queueing.
+def has_room(
+    busy: Busyness, work: Work, terms: Terms, pace: EngineRates, state_age_s: float = 0.0
+) -> bool:
+    """Return whether an engine can start a request without preempting another or queueing it.
 
     Parameters
     ----------
-    news_s : float
-        Age of what is known of the engine, in seconds: runs that have ended meanwhile count as
-        room, or slots would stay empty as long as the news take.
+    state_age_s : float
+        Age of the known engine state, in seconds. Runs expected to end within it count as free
+        capacity; otherwise slots would stay empty for as long as reports take to arrive.
     """
-    return room_wait_s(busy, work, terms, pace) <= news_s
+    return capacity_wait_s(busy, work, terms, pace) <= state_age_s
 
 
 def free_slots(busy: Busyness, terms: Terms) -> int:
-    """Return how many more requests an engine could run now."""
+    """Return how many slots of an engine are free."""
     return max(0, terms.slots - busy.held)
 
 
 def copy_gain_s(
     holders: t.Collection[Busyness], rate: float, load_s: float, terms: Terms, hold_s: float
 ) -> float:
-    """Return what another copy of an adapter would save, in seconds of waiting of all requests.
+    """Return the total waiting time that another copy of an adapter would save, in seconds.
 
-    It is 0 as long as the slots that are free at its holders last for those who come until the copy
-    would be there.
+    It is 0 while the free slots of the engines that hold the adapter suffice for the requests
+    expected until the copy would be loaded.
 
     Parameters
     ----------
     holders : collection of Busyness
-        What the engines do that have the adapter or are loading it.
+        Load of each engine that holds or is loading the adapter.
     rate : float
-        Requests a second for it.
+        Requests per second for the adapter.
     load_s : float
-        Expected time of a load, in seconds.
+        Expected duration of a load, in seconds.
     terms : Terms
-        What each of them can run.
+        Capacity of each of these engines.
     hold_s : float
-        How long a run holds its slot, in seconds.
+        Mean time that a run occupies a slot, in seconds.
     """
     if not terms.slots or not holders:
         return 0.0
-    coming = rate * (load_s + COPY_SLACK_S)
-    short = coming + SPREAD * math.sqrt(coming) - sum(free_slots(busy, terms) for busy in holders)
-    if short <= 0:
+    arrivals = rate * (load_s + COPY_START_DELAY_S)
+    missing_slots = (
+        arrivals
+        + DEMAND_DEVIATIONS * math.sqrt(arrivals)
+        - sum(free_slots(busy, terms) for busy in holders)
+    )
+    if missing_slots <= 0:
         return 0.0
-    wait_s = hold_s * max(1.0, short) / (terms.slots * len(holders))
+    wait_s = hold_s * max(1.0, missing_slots) / (terms.slots * len(holders))
     return wait_s * rate * COPY_USE_S
 
 
 class EngineRoom:
-    """What was learned of engines at work, and what they can be expected to do.
+    """Learned speeds and run times of engines, and the estimates derived from them.
 
     Parameters
     ----------
     speeds : ReadingSpeeds
-        How fast engines read, by service.
-    paces : EnginePaces
-        Which engines are slower than the others of their service.
+        Prefill speeds by service.
+    paces : EnginePaces, optional
+        Detector of engines that are slower than the others of their service; a new one by default.
     """
 
-    __slots__ = ("_holds", "_read_bound", "_speeds", "paces")
+    __slots__ = ("_hold_times", "_prefill_bound", "_speeds", "paces")
 
     def __init__(self, speeds: ReadingSpeeds, paces: EnginePaces | None = None) -> None:
         self._speeds = speeds
-        self._holds: dict[str, HoldTime] = {}
-        self._read_bound: set[str] = set()
-        """Services whose engines run out of time to read first."""
+        self._hold_times: dict[str, MeanHoldTime] = {}
+        self._prefill_bound: set[str] = set()
+        """Services whose engines are limited by prefill rather than by slots."""
         self.paces = paces or EnginePaces()
 
     def with_own_paces(self) -> EngineRoom:
-        """Return a room with the same times, which learns for itself which engines are slow."""
+        """Return an instance that shares the learned times but detects slow engines separately."""
         room = EngineRoom(self._speeds)
-        room._holds = self._holds
+        room._hold_times = self._hold_times
         return room
 
     def note_run(self, service: str, held_s: float) -> None:
-        """Learn how long a run that ended well held its slot, in seconds."""
-        self._holds.setdefault(service, HoldTime()).note(held_s)
+        """Add the time, in seconds, that a successful run of a service occupied its slot."""
+        self._hold_times.setdefault(service, MeanHoldTime()).note(held_s)
 
     def is_slot_bound(self, service: str, terms: Terms) -> bool:
-        """Tell whether engines run out of slots before they run out of time to read.
-
-        With all slots taken, an engine reads so many mean prompts in the time that a run holds its
-        slot. If it could read about as many, slots are what is short, and who is urgent must not
-        take the slot of a run; if not, prompts queue while slots are free, and the urgent are read
-        first. Where it is near, it stays as it was: urgent and equal requests beside each other
-        would displace the equal ones.
+        """Return whether the engines of a service are limited by slots rather than by prefill.
+
+        With all slots taken, an engine has to process one mean prompt per slot in the time that a
+        run occupies its slot. If its prefill speed suffices for about that, slots are the
+        bottleneck, and an urgent request must not preempt a run; otherwise prompts queue while
+        slots are free, and urgent ones are processed first. Between the two ratios the previous
+        result is kept: while requests of ranked and of equal urgency run on one engine, the former
+        preempt the latter.
         """
         if not terms.slots:
             return False
-        asked = terms.slots * self._speeds.mean_prompt(service)
-        read = self._speeds.speed(service) * self.hold_s(service)
-        is_bound = asked < (READS_LEAST if service in self._read_bound else READS_MOST) * read
-        (self._read_bound.discard if is_bound else self._read_bound.add)(service)
+        needed_tokens = terms.slots * self._speeds.mean_prompt(service)
+        prefill_capacity_tokens = self._speeds.speed(service) * self.hold_s(service)
+        is_bound = (
+            needed_tokens
+            < (SLOT_BOUND_ENTER_RATIO if service in self._prefill_bound else SLOT_BOUND_EXIT_RATIO)
+            * prefill_capacity_tokens
+        )
+        (self._prefill_bound.discard if is_bound else self._prefill_bound.add)(service)
         return is_bound
 
     def hold_s(self, service: str) -> float:
-        """Return how long a run of a service holds its slot, in seconds."""
-        known = self._holds.get(service)
-        return known.seconds if known is not None else FIRST_HOLD_S
+        """Return the mean time that a run of a service occupies its slot, in seconds."""
+        hold_time = self._hold_times.get(service)
+        return hold_time.seconds if hold_time is not None else FIRST_HOLD_S
 
-    def pace(self, service: str, replica: str, now: float) -> Pace:
-        """Return how fast an engine works."""
+    def pace(self, service: str, replica: str, now: float) -> EngineRates:
+        """Return the expected rates of an engine, with its slowness applied."""
         slowness = self.paces.slowness(service, replica, now)
-        return Pace(self._speeds.speed(service) / slowness, self.hold_s(service) * slowness)
+        return EngineRates(self._speeds.speed(service) / slowness, self.hold_s(service) * slowness)
--- a/packages/policy/src/gradelug_policy/kept_parts.py
+++ b/packages/policy/src/gradelug_policy/kept_parts.py
@@ -1,13 +1,14 @@
-"""Which parts of prompts engines keep, so that what is kept need not be read again.
+"""Tracks which prompt prefixes engines have in their prefix caches.
 
-The load that it answers: many prompts begin with the same few parts, and several engines hold the
-same adapter. An engine keeps what it has read for one adapter until memory runs out, and reads a
-part anew unless all parts before it are kept as well. Sent anywhere, a prompt is read whole at each
-engine; what is read holds up the first events of all that wait there.
+Many prompts begin with the same few parts, and several engines hold the same adapter. An engine
+caches what it has processed for an adapter until memory runs out, and a part is reusable only if
+all parts before it are cached as well. If requests are placed without regard to this, every engine
+processes every prompt whole, which delays the first events of all requests queued there.
 
-What an engine keeps is reckoned from what was sent there. It is a count of tokens that need not be
-read, so that it compares with the queue of an engine by itself, in seconds: where the engine that
-keeps the parts is busier than others by more than reading them takes, others read them again.
+The contents of a cache are estimated from the requests sent to the engine. The result is a count of
+tokens that need no prefill, which compares directly, in seconds, with the queue of an engine: where
+the engine with the cached prefix is busier than others by more than its prefill takes, another
+engine processes the prefix again.
 """
 
 from __future__ import annotations
@@ -17,43 +18,43 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-MARK_BYTES = 8
-"""Of 100,000 chains two have the same mark with a chance of 3e-10."""
-KEPT_PART = 0.8
-"""Part of an engine's memory that keeps parts which nothing uses: runs take the rest. An engine
-with all slots taken holds a third in prompts; their answers, and runs older than the part, are not
-seen in what was sent since. Too much, and parts are credited that are gone: their requests are
-expected too early. Too little, and parts are read again."""
+DIGEST_BYTES = 8
+"""Two of 100,000 chains share a digest with a probability of 3e-10."""
+CACHE_MEMORY_FRACTION = 0.8
+"""Fraction of an engine's memory that can hold cached parts of ended runs; active runs take the
+rest. With all slots taken, prompts occupy a third; their answers, and runs older than a part, do
+not show in the tokens sent since the part was used. A greater fraction credits parts that were
+evicted, so that first events are expected too early; with a smaller one cached parts are processed
+again."""
 KEPT_S = 30.0
-"""Nothing is taken for kept that was not used for so long, also at an engine that reads little:
-what it reads for others may not have been told."""
-MOST_CHAINS = 128
-"""Parts remembered for each engine, at 136 bytes measured: 10 MB for 600 engines. An engine whose
-memory holds 40 prompts of three parts keeps 80 shared ones at the most."""
-READ_WEIGHT = 2.0
-"""What need not be read counts so many times in a choice: it would hold up its own request, and
-those that come meanwhile. Replayed with 1, 2, 3 and 5 times (one chooser, 40 requests a second at
-twelve engines): 11.5, 9.9, 9.0 and 8.4% of shared tokens read again, mean first event after 64.3,
-64.0, 63.9 and 64.1 ms, so that it saves little beyond."""
-
-
-HOME_S = 0.2
-"""A chain that is not known to be kept at its home draws a request there as if this were spared at
-the most, in seconds: as much as a caller with a target of 0.8 s can wait for nothing. Replayed with
-parts of 2,800 tokens, 20 requests a second at twelve engines: mean first event after 107 ms (117
-without homes, 108 unbounded, 117 with 0.15 s), 0.9% after more than 0.25 s (0.4, 1.3, 0.8)."""
+"""A part unused for this long counts as evicted even at an engine with little traffic: prompts that
+others sent there may not have been reported."""
+MAX_CACHED_PREFIXES = 128
+"""Prefixes tracked per engine, at 136 bytes each: 10 MB for 600 engines. An engine whose memory
+holds 40 prompts of three parts caches 80 shared ones at most."""
+PREFILL_WEIGHT = 2.0
+"""Weight of cached tokens in the choice of an engine: their prefill would delay both its own
+request and those that arrive meanwhile. In simulation (one planner, 40 requests per second at
+twelve engines) weights of 1, 2, 3 and 5 process 11.5, 9.9, 9.0 and 8.4% of the shared tokens again,
+with mean first events after 64.3, 64.0, 63.9 and 64.1 ms, so greater weights gain little."""
+MAX_PREFERENCE_CREDIT_S = 0.2
+"""Greatest saving that is assumed at the preferred engine of a chain that is not known to be cached
+there: the time that a caller with a target of 0.8 s can afford to lose if it is not. In simulation
+(parts of 2,800 tokens, 20 requests per second at twelve engines) first events come after 107 ms in
+the mean (117 without preferred engines, 108 unbounded, 117 with 0.15 s), 0.9% of them after more
+than 0.25 s (0.4, 1.3, 0.8)."""
 
 
 @dataclass(slots=True, frozen=True)
 class PromptPart:
-    """A part of a prompt, as its caller names it.
+    """A part of a prompt, with the identifier that its caller gave it.
 
     Parameters
     ----------
     name : str
-        The same for the same content.
+        Identifier; equal for equal content.
     tokens : int
-        Its length.
+        Length of the part.
     """
 
     name: str
@@ -62,14 +63,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Prefix:
-    """The first parts of a prompt, together.
+    """A number of leading parts of a prompt.
 
     Parameters
     ----------
     mark : int
-        Digest of their names, of the weights and of whose they are.
+        Digest of the part names, the weights and the owner.
     tokens : int
-        Length of all of them.
+        Total length of the parts.
     """
 
     mark: int
@@ -78,14 +79,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Chain:
-    """What of a prompt may be kept for others.
+    """The prefixes of a prompt that other prompts may reuse.
 
     Parameters
     ----------
     weights : str
-        For which model and adapter.
+        Model and adapter that the prompt is for.
     prefixes : tuple of Prefix
-        The first part, the first two, and so on.
+        Prefixes of one part, of two parts, and so on.
     """
 
     weights: str
@@ -93,25 +94,25 @@
 
     @property
     def tokens(self) -> int:
-        """Length of all parts, in tokens."""
+        """Length of the longest prefix, in tokens."""
         return self.prefixes[-1].tokens if self.prefixes else 0
 
 
 def chain_of(weights: str, owner: str, parts: t.Sequence[PromptPart]) -> Chain | None:
-    """Return what of a prompt may be kept for others, None if there is nothing.
+    """Return the reusable prefixes of a prompt, None if there are none.
 
     Parameters
     ----------
     weights : str
-        For which model and adapter it is read.
+        Model and adapter that process the prompt.
     owner : str
-        The organisation whose prompt it is, empty if nobody's. What was read for one is never taken
-        for kept for another: nothing tells which parts are an organisation's own.
+        Organisation that owns the prompt, empty if none. A prefix cached for one organisation is
+        never credited to another, since parts private to an organisation can't be recognised.
     parts : sequence of PromptPart
-        All of the prompt, in order. The last one belongs to the request itself.
+        All parts of the prompt in order. The last one is specific to the request and excluded.
     """
     prefixes, tokens = [], 0
-    digest = blake2b(f"{owner}\0{weights}".encode(), digest_size=MARK_BYTES)
+    digest = blake2b(f"{owner}\0{weights}".encode(), digest_size=DIGEST_BYTES)
     for part in parts[:-1]:
         digest.update(f"\0{part.name}:{part.tokens}".encode())
         tokens += part.tokens
@@ -120,83 +121,85 @@
 
 
 @dataclass(slots=True)
-class _Use:
-    """When a part was used last: after so many tokens sent to its engine, and by the clock."""
+class _LastUse:
+    """Last use of a prefix: total tokens sent to the engine by then, and the time."""
 
     sent: float
     at: float
 
 
-class _EngineParts:
-    """What one engine keeps, by weights and mark."""
+class _EngineCache:
+    """Estimated prefix cache of one engine, by weights and digest."""
 
-    __slots__ = ("count", "most_sent", "pruned_at", "sent", "uses")
+    __slots__ = ("count", "max_tokens_since_use", "pruned_at", "sent", "uses")
 
     def __init__(self) -> None:
         self.sent = 0.0
-        """Tokens of all prompts sent to it."""
-        self.most_sent = math.inf
-        """After so many more a part that was not used meanwhile is gone."""
-        self.uses: dict[str, dict[int, _Use]] = {}
+        """Total tokens of all prompts sent to the engine."""
+        self.max_tokens_since_use = math.inf
+        """Prompt tokens sent since its last use after which a prefix counts as evicted."""
+        self.uses: dict[str, dict[int, _LastUse]] = {}
         self.count = 0
         self.pruned_at = -math.inf
-        """When it was looked last for what is gone."""
+        """Time of the last removal of evicted prefixes."""
 
     def note(self, weights: str, mark: int, now: float) -> None:
-        """Note that a part is used."""
-        marks = self.uses.setdefault(weights, {})
-        self.count += mark not in marks
-        marks[mark] = _Use(self.sent, now)
+        """Record the use of a prefix."""
+        last_uses = self.uses.setdefault(weights, {})
+        self.count += mark not in last_uses
+        last_uses[mark] = _LastUse(self.sent, now)
 
-    def is_kept(self, use: _Use, now: float) -> bool:
-        """Tell whether a part is still there."""
-        return self.sent - use.sent <= self.most_sent and now - use.at <= KEPT_S
+    def is_cached(self, use: _LastUse, now: float) -> bool:
+        """Return whether a prefix with this last use is presumably still cached."""
+        return self.sent - use.sent <= self.max_tokens_since_use and now - use.at <= KEPT_S
 
     def forget(self, weights: str) -> None:
-        """Forget what was kept for some weights."""
+        """Remove all prefixes cached for some weights."""
         self.count -= len(self.uses.pop(weights, ()))
 
     def prune(self, now: float) -> None:
-        """Forget what is gone, and the older half if that does not suffice."""
+        """Remove evicted prefixes, and the older half of the rest if there are still too many."""
         self.pruned_at = now
-        self._keep(lambda use: self.is_kept(use, now))
-        if self.count > MOST_CHAINS:
-            sent = sorted(use.sent for marks in self.uses.values() for use in marks.values())
-            middle = sent[len(sent) // 2]
-            self._keep(lambda use: use.sent > middle)
-
-    def _keep(self, is_kept: t.Callable[[_Use], bool]) -> None:
-        kept = {
-            weights: {mark: use for mark, use in marks.items() if is_kept(use)}
-            for weights, marks in self.uses.items()
+        self._retain(lambda use: self.is_cached(use, now))
+        if self.count > MAX_CACHED_PREFIXES:
+            sent = sorted(
+                use.sent for last_uses in self.uses.values() for use in last_uses.values()
+            )
+            median_sent = sent[len(sent) // 2]
+            self._retain(lambda use: use.sent > median_sent)
+
+    def _retain(self, is_retained: t.Callable[[_LastUse], bool]) -> None:
+        retained = {
+            weights: {mark: use for mark, use in last_uses.items() if is_retained(use)}
+            for weights, last_uses in self.uses.items()
         }
-        self.uses = {weights: marks for weights, marks in kept.items() if marks}
+        self.uses = {weights: last_uses for weights, last_uses in retained.items() if last_uses}
         self.count = sum(map(len, self.uses.values()))
 
 
 class KeptParts:
-    """What engines keep, from what was sent to them."""
+    """Estimates the prefix caches of engines from the requests sent to them."""
 
     __slots__ = ("_engines", "credited", "reread", "seen_part", "shared")
 
     def __init__(self) -> None:
-        self._engines: dict[str, _EngineParts] = {}
+        self._engines: dict[str, _EngineCache] = {}
         self.seen_part = 1.0
-        """Part of what is sent to engines that is noted here; the rest is reckoned as like it."""
+        """Fraction of the traffic to engines that is recorded here; the rest is extrapolated."""
         self.shared = 0
-        """Tokens of parts that others may have had read, of all requests sent."""
+        """Total tokens of reusable prefixes in all requests sent."""
         self.credited = 0
-        """Those of them that were taken for kept."""
+        """Tokens among them that were assumed to be cached at the chosen engine."""
         self.reread = 0
-        """Those that were taken for kept by another engine, where it was chosen."""
+        """Tokens processed again because an engine with more of them cached was not chosen."""
 
     @property
     def size(self) -> int:
-        """Parts that are remembered."""
+        """Number of prefixes tracked."""
         return sum(parts.count for parts in self._engines.values())
 
     def kept_tokens(self, engine: str, chain: Chain | None, now: float) -> int:
-        """Return how many tokens of a chain an engine need not read, as far as is known."""
+        """Return the tokens of a chain that an engine is assumed to have cached."""
         parts = self._engines.get(engine)
         if chain is None or parts is None:
             return 0
@@ -206,67 +209,69 @@
         tokens = 0
         for prefix in chain.prefixes:
             use = uses.get(prefix.mark)
-            if use is None or not parts.is_kept(use, now):
+            if use is None or not parts.is_cached(use, now):
                 break
             tokens = prefix.tokens
         return tokens
 
     def note(self, engine: str, chain: Chain | None, now: float, tokens: int = -1) -> None:
-        """Note that an engine keeps a chain, or its first tokens."""
+        """Record that an engine caches a chain, or only prefixes of up to `tokens` tokens."""
         if chain is None or tokens == 0:
             return
-        parts = self._engines.setdefault(engine, _EngineParts())
+        parts = self._engines.setdefault(engine, _EngineCache())
         for prefix in chain.prefixes:
             if tokens < 0 or prefix.tokens <= tokens:
                 parts.note(chain.weights, prefix.mark, now)
-        if parts.count > MOST_CHAINS:
+        if parts.count > MAX_CACHED_PREFIXES:
             parts.prune(now)
 
     def note_sent(self, engine: str, tokens: int, memory_tokens: int) -> None:
-        """Note that prompts were sent to an engine: parts that were used before give way.
+        """Record prompts sent to an engine, which evict prefixes used before.
 
         Parameters
         ----------
         engine : str
-            Which.
+            Name of the engine.
         tokens : int
-            Length of the prompts.
+            Total length of the prompts.
         memory_tokens : int
-            What its memory holds; 0 if that is not known, and then time alone tells.
+            Capacity of the engine's memory; 0 if unknown, then prefixes expire by time alone.
         """
         if tokens:
-            parts = self._engines.setdefault(engine, _EngineParts())
+            parts = self._engines.setdefault(engine, _EngineCache())
             parts.sent += tokens / self.seen_part
-            parts.most_sent = KEPT_PART * memory_tokens if memory_tokens else math.inf
+            parts.max_tokens_since_use = (
+                CACHE_MEMORY_FRACTION * memory_tokens if memory_tokens else math.inf
+            )
 
-    def note_credit(self, chain: Chain | None, kept: int, most: int = 0) -> None:
-        """Count a request that is sent.
+    def note_credit(self, chain: Chain | None, cached: int, max_cached: int = 0) -> None:
+        """Add a sent request to the token counters.
 
         Parameters
         ----------
         chain : Chain or None
-            How it begins.
+            Reusable prefixes of the prompt.
         kept : int
-            Tokens that are taken for kept where it goes.
+            Tokens assumed to be cached at the chosen engine.
         most : int
-            Tokens that are taken for kept at the engine that keeps most of it.
+            Tokens assumed to be cached at the engine with the most of them.
         """
         self.shared += chain.tokens if chain is not None else 0
-        self.credited += kept
-        self.reread += max(0, most - kept)
+        self.credited += cached
+        self.reread += max(0, max_cached - cached)
 
     def forget(self, engine: str) -> None:
-        """Forget an engine that is gone or has begun another life."""
+        """Drop the state of an engine that was removed or restarted."""
         self._engines.pop(engine, None)
 
     def forget_weights(self, engine: str, weights: str) -> None:
-        """Forget what an engine kept for weights that left it."""
+        """Drop the prefixes that an engine cached for weights it has unloaded."""
         parts = self._engines.get(engine)
         if parts is not None:
             parts.forget(weights)
 
     def forget_gone(self, engines: t.Container[str], now: float) -> None:
-        """Forget all engines but some, and what these keep no more, now and then."""
+        """Drop all engines but the given ones and, periodically, their evicted prefixes."""
         for engine in [engine for engine in self._engines if engine not in engines]:
             del self._engines[engine]
         for parts in self._engines.values():
@@ -275,21 +280,21 @@
 
 
 def tokens_at_home(chain: Chain, known: int, tokens_per_s: float) -> int:
-    """Return how many tokens of a chain its home is taken to keep, for a choice.
+    """Return the tokens of a chain to assume cached at its preferred engine when choosing one.
 
     Parameters
     ----------
     chain : Chain
-        How a prompt begins.
+        Reusable prefixes of the prompt.
     known : int
-        Tokens of it that are known to be kept there.
+        Tokens of the chain that are known to be cached there.
     tokens_per_s : float
-        How fast engines read.
+        Prefill speed of the engines, in tokens per second.
     """
-    most = known + int(HOME_S * tokens_per_s / READ_WEIGHT)
-    return max(known, min(chain.tokens, most))
+    limit = known + int(MAX_PREFERENCE_CREDIT_S * tokens_per_s / PREFILL_WEIGHT)
+    return max(known, min(chain.tokens, limit))
 
 
-def held_up_s(kept_tokens: int, tokens_per_s: float) -> float:
-    """Return how long others would be held up by reading what is kept, in seconds."""
-    return (READ_WEIGHT - 1) * kept_tokens / tokens_per_s
+def held_up_s(cached_tokens: int, tokens_per_s: float) -> float:
+    """Return the delay of other requests that cached tokens avoid, in seconds."""
+    return (PREFILL_WEIGHT - 1) * cached_tokens / tokens_per_s
--- a/packages/policy/src/gradelug_policy/lasting_runs.py
+++ b/packages/policy/src/gradelug_policy/lasting_runs.py
@@ -22,22 +22,22 @@
 LEAST_RISK = 0.02
 """A copy moves the memory of a whole run. Below this risk of a break, fifty runs are moved or more
 so that one goes on."""
-LEAST_LEFT_S = 0.4
+MIN_REMAINING_S = 0.4
 """A run that ends sooner is over before its copy is of use, which is sent some times a second."""
 ROOM_PART = 0.6
 """A copy must not take room from requests: it goes where no more than this part of the memory is
 in use with it. The rest is for what callers send there before news of it arrive."""
 ANY_ROOM = 1.0
 """A run that its engine stops may take what room there is: its memory is used at once."""
-FIRST_TOKEN_S = 0.012
+DEFAULT_TOKEN_S = 0.012
 """Time for a token until a run was observed: the users' engines make one in 8 to 20 ms."""
 MEAN_WEIGHT = 0.05
 MOVE_MARGIN_S = 0.35
 """Moves begin so long before the last moment: a call's answer, a packet lost, news of the notice
 that is some hundred ms old."""
-SETUP_S = 0.005
+MOVE_SETUP_S = 0.005
 """Time of a move besides the sending of the memory."""
-BIT = 8e-6
+MEGABITS_PER_BYTE = 8e-6
 """Megabits in a byte."""
 
 
@@ -64,10 +64,10 @@
 
     def copy_s(self, tokens: int) -> float:
         """Return how long sending the memory of so many tokens takes a link, in seconds."""
-        return SETUP_S + tokens * self.token_bytes * BIT / self.link_mbps
+        return MOVE_SETUP_S + tokens * self.token_bytes * MEGABITS_PER_BYTE / self.link_mbps
 
 
-class _Decayed:
+class _DecayedBreakRate:
     """Breaks and time of streams, of which older ones count less."""
 
     __slots__ = ("_at", "_breaks", "_prior_s", "_time_s")
@@ -79,15 +79,15 @@
         self._at = -math.inf
 
     def note(self, breaks: int, time_s: float, now: float) -> None:
-        self._fade(now)
+        self._decay_to(now)
         self._breaks += breaks
         self._time_s += time_s
 
     def per_s(self, now: float) -> float:
-        self._fade(now)
+        self._decay_to(now)
         return self._breaks / (self._prior_s + self._time_s)
 
-    def _fade(self, now: float) -> None:
+    def _decay_to(self, now: float) -> None:
         if now > self._at:
             factor = math.exp2((self._at - now) / HALF_LIFE_S)
             self._breaks *= factor
@@ -105,14 +105,14 @@
     __slots__ = ("_engines", "_service")
 
     def __init__(self) -> None:
-        self._service = _Decayed(SERVICE_PRIOR_S)
-        self._engines: dict[str, _Decayed] = {}
+        self._service = _DecayedBreakRate(SERVICE_PRIOR_S)
+        self._engines: dict[str, _DecayedBreakRate] = {}
 
     def note(self, engine: str, broken: bool, lasted_s: float, now: float) -> None:
         """Take a stream into account that ended, or broke, after it had lasted for some seconds."""
         self._service.note(broken, lasted_s, now)
         if engine not in self._engines:
-            self._engines[engine] = _Decayed(ENGINE_PRIOR_S)
+            self._engines[engine] = _DecayedBreakRate(ENGINE_PRIOR_S)
         self._engines[engine].note(broken, lasted_s, now)
 
     def risk(self, engine: str, left_s: float, now: float) -> float:
@@ -133,7 +133,7 @@
     __slots__ = ("mean_tokens", "token_s")
 
     def __init__(self) -> None:
-        self.token_s = FIRST_TOKEN_S
+        self.token_s = DEFAULT_TOKEN_S
         """Seconds for a token."""
         self.mean_tokens = 0.0
         """Tokens that a run has in its engine's memory at its end."""
@@ -179,7 +179,7 @@
     left_s : float
         How long it is expected to last, in seconds.
     """
-    return risk >= LEAST_RISK and left_s >= LEAST_LEFT_S
+    return risk >= LEAST_RISK and left_s >= MIN_REMAINING_S
 
 
 def choose_target(targets: t.Iterable[CopyTarget], most_used: float = ROOM_PART) -> str | None:
@@ -199,7 +199,7 @@
     """Its engine may still run it: it is stopped there, and goes on from what is kept."""
     BACKUP = "backup"
     """From the copy that another engine received as it grew."""
-    AFRESH = "afresh"
+    NEW_RUN = "afresh"
     """A new run goes on after the last event; only where callers allow it."""
     END = "end"
     """Not at all: it may have run."""
@@ -224,7 +224,7 @@
     can_stop: bool
     has_backup: bool
     repeatable: bool
-    has_budget: bool
+    has_retry_budget: bool
 
 
 def choose_way(broken: Broken) -> Way:
@@ -233,13 +233,13 @@
     An engine that may still run it is asked first: two must not be at work, and what it keeps is
     whole, while a copy lacks what came last.
     """
-    if not broken.has_budget:
+    if not broken.has_retry_budget:
         return Way.END
     if broken.can_stop:
         return Way.STOP
     if broken.has_backup:
         return Way.BACKUP
-    return Way.AFRESH if broken.repeatable else Way.END
+    return Way.NEW_RUN if broken.repeatable else Way.END
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/policy/src/gradelug_policy/left_runs.py
+++ b/packages/policy/src/gradelug_policy/left_runs.py
@@ -16,9 +16,9 @@
 ASK_S = 0.05
 """How often a left run is asked for after its request went on elsewhere: within 0.4 s one of both
 must have stopped, and a call takes some ms."""
-URGENT_S = 0.45
+URGENT_POLL_WINDOW_S = 0.45
 """For so long a left run is asked for often."""
-RELAXED_S = 0.2
+MIN_RELAXED_POLL_INTERVAL_S = 0.2
 """The shortest pause between calls when nothing goes on elsewhere yet, or some time ago: then only
 the work done in vain counts. Later pauses are as long as the time since the run was left."""
 
@@ -75,7 +75,7 @@
     return silent_s > gap_s
 
 
-def next_ask_s(left_s: float, went_on_s: float) -> float:
+def next_ask_s(left_s: float, since_resumed_s: float) -> float:
     """Return the pause until a left run is asked for again, in seconds.
 
     Parameters
@@ -85,6 +85,6 @@
     went_on_s : float
         Time since its request was last sent to go on elsewhere, in seconds.
     """
-    if went_on_s < URGENT_S:
+    if since_resumed_s < URGENT_POLL_WINDOW_S:
         return ASK_S
-    return max(RELAXED_S, left_s)
+    return max(MIN_RELAXED_POLL_INTERVAL_S, left_s)
--- a/packages/policy/src/gradelug_policy/placement.py
+++ b/packages/policy/src/gradelug_policy/placement.py
@@ -7,11 +7,11 @@
 
 import xxhash
 
-SMALL_FLEET = 16
+SMALL_FLEET_ENGINES = 16
 """Up to this many engines, all are considered for every request."""
-STRANGERS = 6
+NON_HOLDER_CANDIDATES = 6
 """In a larger fleet, engines that do not hold the adapter but are considered all the same."""
-STRIDE = 7919
+CANDIDATE_STRIDE = 7919
 """Prime, so that the strangers are spread over any fleet."""
 
 
@@ -106,12 +106,12 @@
         In a small fleet that is every engine; in a large one those that hold the adapter and a
         few others, the same for every router, among which a cold adapter finds its place.
         """
-        if len(self.views) <= SMALL_FLEET:
+        if len(self.views) <= SMALL_FLEET_ENGINES:
             return self.views
         start = xxhash.xxh3_64_intdigest(key.encode())
         found = {view.name: view for view in self._holders.get(key, ())}
-        for step in range(STRANGERS):
-            view = self.views[(start + step * STRIDE) % len(self.views)]
+        for step in range(NON_HOLDER_CANDIDATES):
+            view = self.views[(start + step * CANDIDATE_STRIDE) % len(self.views)]
             found[view.name] = view
         return list(found.values())
 
--- a/packages/policy/src/gradelug_policy/plain.py
+++ b/packages/policy/src/gradelug_policy/plain.py
@@ -16,14 +16,14 @@
 SPEED_POWER = 1.5
 """A replica that takes twice as long gets a third of the requests, not half: it is also the one
 whose answers come late."""
-NEAR = 1.1
+SAME_HALL_FACTOR = 1.1
 """A replica in the gateway's hall gets a tenth more, since bytes between halls have a price. More
 would show in the shares of the replicas, as gateways are not spread evenly."""
-FAILING_POWER = 4.0
-LEAST_PART = 0.05
+SUCCESS_POWER = 4.0
+MIN_HEALTH_FACTOR = 0.05
 """A replica that fails 45% of its requests gets a tenth of its share, and no less than this part:
 where it is the last that works it is not given up."""
-MOST_SAVED = 2.0
+MAX_DUE_REQUESTS = 2.0
 """Requests that a replica which was passed over may have due."""
 
 
@@ -49,7 +49,7 @@
     took_s: float
     failing: float
     own: int
-    is_near: bool
+    is_same_hall: bool
 
 
 class PlainShares:
@@ -78,10 +78,10 @@
             due = self._due.get(view.name)
             if due is None:
                 # The first one goes to the own hall, as bytes between halls have a price.
-                due = 1.0 if view.is_near else self._rng.random()
-            self._due[view.name] = min(MOST_SAVED, due + weight)
+                due = 1.0 if view.is_same_hall else self._rng.random()
+            self._due[view.name] = min(MAX_DUE_REQUESTS, due + weight)
         chosen = max(views, key=lambda view: self._due[view.name] - view.own).name
-        self._due[chosen] = max(-MOST_SAVED, self._due[chosen] - 1)
+        self._due[chosen] = max(-MAX_DUE_REQUESTS, self._due[chosen] - 1)
         return chosen
 
     def keep(self, names: t.Container[str]) -> None:
@@ -100,5 +100,5 @@
 
 def _weight(view: PlainView, took_s: float, usual_s: float) -> float:
     weight = (usual_s / took_s) ** SPEED_POWER
-    weight *= max(LEAST_PART, (1 - view.failing) ** FAILING_POWER)
-    return weight * NEAR if view.is_near else weight
+    weight *= max(MIN_HEALTH_FACTOR, (1 - view.failing) ** SUCCESS_POWER)
+    return weight * SAME_HALL_FACTOR if view.is_same_hall else weight
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -17,17 +17,17 @@
 """Engines know so many; 0 goes first."""
 LATE = URGENCIES - 1
 """Urgency of requests that would be late anyway: they wait for those that can be in time."""
-FIRST_TOKENS_PER_S = 20_000.0
+DEFAULT_TOKENS_PER_S = 20_000.0
 """Speed of reading until something was observed: the users' engines read 19,000 and 38,000."""
-STEP = 0.03
-FIRST_STEP = 0.3
+SPEED_STEP = 0.03
+INITIAL_SPEED_STEP = 0.3
 """A learned speed moves by this part towards each observation, the first ones by more."""
 MEAN_WEIGHT = 0.02
 """Share of the newest prompt in the mean length: shorter prompts say little of the speed, since
 most of the time to their first event is not reading."""
-MOST_AHEAD = 0.3
+MAX_QUEUED_RATIO = 0.3
 """Requests with more than this part of their own prompt before them say little either."""
-RUNNING_S = 0.006
+RUNNING_STREAM_DELAY_S = 0.006
 """Time that each running stream adds until a first event."""
 
 
@@ -97,13 +97,13 @@
         return sum(self.queued[: urgency + 1])
 
 
-class _Speed:
+class _ServiceSpeed:
     """What is known of one service's engines."""
 
     __slots__ = ("mean_prompt", "seen", "tokens_per_s")
 
     def __init__(self) -> None:
-        self.tokens_per_s = FIRST_TOKENS_PER_S
+        self.tokens_per_s = DEFAULT_TOKENS_PER_S
         self.mean_prompt = 0.0
         self.seen = 0
 
@@ -118,12 +118,12 @@
     __slots__ = ("_speeds",)
 
     def __init__(self) -> None:
-        self._speeds: dict[str, _Speed] = {}
+        self._speeds: dict[str, _ServiceSpeed] = {}
 
     def speed(self, service: str) -> float:
         """Return the tokens a second to reckon with."""
         known = self._speeds.get(service)
-        return known.tokens_per_s if known is not None else FIRST_TOKENS_PER_S
+        return known.tokens_per_s if known is not None else DEFAULT_TOKENS_PER_S
 
     def mean_prompt(self, service: str) -> float:
         """Return the mean length of a service's prompts, in tokens; 0 if none was seen."""
@@ -144,21 +144,27 @@
         took_s : float
             From sending to the first event, in seconds.
         """
-        known = self._speeds.setdefault(service, _Speed())
+        known = self._speeds.setdefault(service, _ServiceSpeed())
         prompt = work.reading_tokens
         if not known.mean_prompt:
             known.mean_prompt = prompt
         known.mean_prompt += MEAN_WEIGHT * (prompt - known.mean_prompt)
-        if prompt < known.mean_prompt or sum(busy.queued) > MOST_AHEAD * prompt or took_s <= 0:
+        if (
+            prompt < known.mean_prompt
+            or sum(busy.queued) > MAX_QUEUED_RATIO * prompt
+            or took_s <= 0
+        ):
             return
         known.seen += 1
-        step = 1 + max(STEP, FIRST_STEP / known.seen)
+        step = 1 + max(SPEED_STEP, INITIAL_SPEED_STEP / known.seen)
         known.tokens_per_s *= step if prompt / took_s > known.tokens_per_s else 1 / step
 
 
 def first_event_s(busy: Busyness, work: Work, speed: float) -> float:
     """Return the time until a first event, in seconds."""
-    return (busy.ahead(work.urgency) + work.reading_tokens) / speed + RUNNING_S * busy.running
+    return (
+        busy.ahead(work.urgency) + work.reading_tokens
+    ) / speed + RUNNING_STREAM_DELAY_S * busy.running
 
 
 def add_queues(queues: t.Iterable[t.Sequence[int]]) -> tuple[int, ...]:
--- a/packages/policy/src/gradelug_policy/refill.py
+++ b/packages/policy/src/gradelug_policy/refill.py
@@ -13,7 +13,9 @@
 from .residency import STORE_COST_S
 
 
-def refill_gain_s(rate: float, load_s: float, use_s: float, price_s: float = STORE_COST_S) -> float:
+def refill_gain_s(
+    rate: float, load_s: float, horizon_s: float, price_s: float = STORE_COST_S
+) -> float:
     """Return what bringing an adapter ahead of demand saves, in seconds of waiting of all requests.
 
     The first of its requests and those that come during a load would wait for it, half of it each
@@ -31,6 +33,6 @@
     price_s : float
         What a load from the weight store costs others, in seconds.
     """
-    asked_for = 1.0 - math.exp(-rate * use_s)
+    asked_for = 1.0 - math.exp(-rate * horizon_s)
     waits_s = load_s * (1.0 + rate * load_s / 2.0)
     return asked_for * waits_s - (1.0 - asked_for) * price_s
--- a/packages/policy/src/gradelug_policy/renewal.py
+++ b/packages/policy/src/gradelug_policy/renewal.py
@@ -8,9 +8,9 @@
 
 import typing as t
 
-RENEWED_PART = 0.5
+MAX_RENEWING_FRACTION = 0.5
 """Part of the engines that may be without their base model at a time while it is renewed."""
-RENEWAL_S = 2.0
+MAX_RENEWAL_S = 2.0
 """An engine whose runs last longer than this keeps no other one waiting: new versions have to be in
 use within some seconds."""
 
@@ -27,5 +27,5 @@
     now : float
         By the same clock.
     """
-    recent = sum(now - at < RENEWAL_S for at in began)
-    return max(0, max(1, int(RENEWED_PART * engines)) - recent)
+    recent = sum(now - at < MAX_RENEWAL_S for at in began)
+    return max(0, max(1, int(MAX_RENEWING_FRACTION * engines)) - recent)
--- a/packages/policy/src/gradelug_policy/residency.py
+++ b/packages/policy/src/gradelug_policy/residency.py
@@ -12,14 +12,14 @@
 
 from .placement import affinity
 
-MISSED_COST_S = 0.15
+EVICTION_COST_S2 = 0.15
 """Cost of evicting an adapter per request a second that it will be missed for."""
 STORE_COST_S = 0.8
 """Loads from the weight store have a price, about half of a request's worth, and slow each other
 down; at 0.3 more adapters were brought in from there (docs/DECISIONS.md)."""
-PLANNERS = 2
+MAX_PLANNERS_PER_WINDOW = 2
 """One may follow another within a window in which loads are counted."""
-SAME_S = 0.004
+COST_TIE_S = 0.004
 """Costs this near to each other are taken for equal and decided by hashing."""
 
 
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Choice:
+class LoadChoice:
     """Where to load, and what makes way (None: a free place)."""
 
     engine: str
@@ -88,7 +88,7 @@
     costs: LoadCosts,
     may_use_store: bool,
     most_s: float = math.inf,
-) -> Choice | None:
+) -> LoadChoice | None:
     """Return the engine on which an adapter can be used soonest, None if none can take it.
 
     Parameters
@@ -114,15 +114,15 @@
             victim = min(engine.victims, key=lambda victim: victim.rate, default=None)
             if victim is None:
                 continue
-        cost = expected_cost_s(engine, costs) + (MISSED_COST_S * victim.rate if victim else 0.0)
-        if cost < least - SAME_S:
+        cost = expected_cost_s(engine, costs) + (EVICTION_COST_S2 * victim.rate if victim else 0.0)
+        if cost < least - COST_TIE_S:
             best, least = [(engine, victim)], cost
-        elif cost <= least + SAME_S:
+        elif cost <= least + COST_TIE_S:
             best.append((engine, victim))
     if not best:
         return None
     engine, victim = max(best, key=lambda item: affinity(item[0].name, key))
-    return Choice(engine.name, victim.key if victim else None, engine.cached)
+    return LoadChoice(engine.name, victim.key if victim else None, engine.cached)
 
 
 def expected_cost_s(engine: EnginePlaces, costs: LoadCosts) -> float:
@@ -153,29 +153,29 @@
         Windows are taken longer by this, in seconds.
     """
 
-    __slots__ = ("_at", "_burst", "_left", "rate")
+    __slots__ = ("_at", "_burst", "_tokens", "rate")
 
     def __init__(
         self, rate: float, window_s: float, overage: float, extra: int, slack_s: float = 0.0
     ) -> None:
         whole_s = window_s + slack_s
         most = max(1, math.floor(rate * window_s * overage + extra))
-        self._burst = max(1, math.floor((most - rate * whole_s) / PLANNERS))
-        self.rate = max(0.0, most - PLANNERS * self._burst) / whole_s
+        self._burst = max(1, math.floor((most - rate * whole_s) / MAX_PLANNERS_PER_WINDOW))
+        self.rate = max(0.0, most - MAX_PLANNERS_PER_WINDOW * self._burst) / whole_s
         """Loads a second in the long run."""
-        self._left = float(self._burst)
+        self._tokens = float(self._burst)
         self._at = -math.inf
 
     def allows(self, now: float) -> bool:
         """Tell whether a load may begin."""
-        return self._saved(now) >= 1
+        return self._available(now) >= 1
 
     def note(self, now: float) -> None:
         """Count a load that begins."""
-        self._left = self._saved(now) - 1
+        self._tokens = self._available(now) - 1
         self._at = now
 
-    def _saved(self, now: float) -> float:
+    def _available(self, now: float) -> float:
         if self._at == -math.inf:
-            return self._left
-        return min(float(self._burst), self._left + self.rate * (now - self._at))
+            return self._tokens
+        return min(float(self._burst), self._tokens + self.rate * (now - self._at))
--- a/packages/policy/src/gradelug_policy/run_versions.py
+++ b/packages/policy/src/gradelug_policy/run_versions.py
@@ -14,9 +14,9 @@
 """Stands for a version that nobody told."""
 
 
-MOST_NAMINGS = 8
+MAX_ANNOUNCEMENTS = 8
 """Versions of the same weights whose naming is remembered."""
-BEGIN_MARGIN_S = 2.0
+START_MARGIN_S = 2.0
 """A version is heard of up to 1.3 s after it was named, where instances look at the platform's
 store each 1.2 s, and a busy engine takes half a second to begin what it was sent."""
 
@@ -99,20 +99,20 @@
 class Namings:
     """When versions of weights were named, as far as was heard here."""
 
-    __slots__ = ("_heard",)
+    __slots__ = ("_announced",)
 
     def __init__(self) -> None:
-        self._heard: dict[t.Hashable, list[tuple[int, float]]] = {}
+        self._announced: dict[t.Hashable, list[tuple[int, float]]] = {}
 
     def note(self, key: t.Hashable, version: int, now: float) -> None:
         """Note that a version of some weights was heard of."""
-        heard = self._heard.setdefault(key, [])
+        heard = self._announced.setdefault(key, [])
         heard.append((version, now))
-        del heard[:-MOST_NAMINGS]
+        del heard[:-MAX_ANNOUNCEMENTS]
 
     def replaced_s(self, key: t.Hashable, version: int, now: float) -> float:
         """Return since when a newer version is known, in seconds; 0 if none is."""
-        newer = [at for named, at in self._heard.get(key, ()) if named > version]
+        newer = [at for named, at in self._announced.get(key, ()) if named > version]
         return now - min(newer, default=now)
 
 
@@ -126,7 +126,7 @@
     bound_s : float
         So long after it was named a version must be in use, in seconds.
     """
-    return replaced_s <= max(0.0, bound_s - BEGIN_MARGIN_S)
+    return replaced_s <= max(0.0, bound_s - START_MARGIN_S)
 
 
 def compare(memory: WeightVersions, word: VersionWord) -> str:
--- a/packages/policy/src/gradelug_policy/spread.py
+++ b/packages/policy/src/gradelug_policy/spread.py
@@ -1,8 +1,8 @@
-"""Choosing among engines by old news without all gateways choosing the same.
+"""Randomised choice among engines, for gateways whose view of the engines is out of date.
 
-The load that it answers: many gateways see the same news of the same few holders of an adapter and
-choose by themselves, since no planner answers or they are too many to ask. The engine that was best
-when the news was made is chosen by all of them until the next.
+Many gateways receive the same state of the same few engines that hold an adapter, and choose
+independently because no planner answers or too many would ask it. If each chose the engine with
+the least cost, all would choose the same one until the next update.
 """
 
 from __future__ import annotations
@@ -11,62 +11,62 @@
 import random
 import typing as t
 
-from .chain_homes import draw
+from .chain_homes import uniform_hash
 
 T = t.TypeVar("T")
-SPREAD_PART = 0.5
-"""Costs count as equal within this part of the age of the news. At 0 all take the least, at several
-times more the news are not used."""
-LEAST_SPREAD_S = 1e-3
-LEAST_WEIGHT = 1e-300
-"""No division by zero for an engine that costs very much more."""
+COST_TOLERANCE_RATIO = 0.5
+"""Scale of cost differences that are ignored, relative to the age of the engine state. At 0 all
+choose the least cost; at several times this value the costs have almost no influence."""
+MIN_COST_TOLERANCE_S = 1e-3
+MIN_WEIGHT = 1e-300
+"""Avoids a division by zero for an engine of very high cost."""
 
 
 def choose_spread(
-    costs_s: t.Sequence[tuple[T, float]], news_s: float, rng: random.Random
+    costs_s: t.Sequence[tuple[T, float]], state_age_s: float, rng: random.Random
 ) -> T | None:
-    """Return one of some engines, the more likely the less a request costs there.
+    """Return a random engine, or None if there are none; a lower cost makes one more likely.
 
     Parameters
     ----------
     costs_s : sequence of (engine, float)
-        Engines, and what a request costs there, in seconds.
-    news_s : float
-        Age that news of them may have, in seconds.
+        Engines, and the cost of the request at each, in seconds.
+    state_age_s : float
+        Greatest age of the engine state, in seconds.
     rng : random.Random
-        Source of chance.
+        Random number generator.
     """
     if not costs_s:
         return None
-    return rng.choices([engine for engine, _ in costs_s], _weights(costs_s, news_s))[0]
+    return rng.choices([engine for engine, _ in costs_s], _weights(costs_s, state_age_s))[0]
 
 
-def choose_settled(costs_s: t.Sequence[tuple[str, float]], news_s: float, mark: int) -> str:
-    """Return one of some engines, each as likely over all marks as `choose_spread` has it.
+def choose_settled(costs_s: t.Sequence[tuple[str, float]], state_age_s: float, mark: int) -> str:
+    """Return an engine by hashing, each as likely over all digests as in the random choice.
 
-    For the same mark and costs it is the same one, whoever chooses, and for nearly the same costs
-    nearly always: the parts that prompts have in common are read at few engines. Replayed with 132
-    chains, ten gateways with news of 0.26 s and 40 requests a second at twelve engines: 13.6% of
-    shared tokens are read again, 18.4% by `choose_spread`.
+    Equal digests and costs give the same engine on every gateway, and similar costs nearly always
+    do, so that prompts with a common prefix are processed at few engines. In simulation with 132
+    chains, ten gateways with state 0.26 s old and 40 requests per second at twelve engines, 13.6%
+    of the shared tokens are processed again, against 18.4% with the random choice.
 
     Parameters
     ----------
     costs_s : sequence of (str, float)
-        Names of engines, one at least, and what a request costs there, in seconds.
-    news_s : float
-        Age that news of them may have, in seconds.
+        Names of engines, at least one, and the cost of the request at each, in seconds.
+    state_age_s : float
+        Greatest age of the engine state, in seconds.
     mark : int
-        What is to go to the same engine.
+        Digest; requests with the same one go to the same engine.
     """
-    weights = _weights(costs_s, news_s)
+    weights = _weights(costs_s, state_age_s)
     scored = [
-        (math.log(draw(name, mark)) / max(LEAST_WEIGHT, weight), name)
+        (math.log(uniform_hash(name, mark)) / max(MIN_WEIGHT, weight), name)
         for (name, _), weight in zip(costs_s, weights, strict=True)
     ]
     return max(scored)[1]
 
 
-def _weights(costs_s: t.Sequence[tuple[T, float]], news_s: float) -> list[float]:
-    least = min(cost for _, cost in costs_s)
-    spread_s = max(LEAST_SPREAD_S, SPREAD_PART * news_s)
-    return [math.exp(-(cost - least) / spread_s) for _, cost in costs_s]
+def _weights(costs_s: t.Sequence[tuple[T, float]], state_age_s: float) -> list[float]:
+    min_cost = min(cost for _, cost in costs_s)
+    tolerance_s = max(MIN_COST_TOLERANCE_S, COST_TOLERANCE_RATIO * state_age_s)
+    return [math.exp(-(cost - min_cost) / tolerance_s) for _, cost in costs_s]
--- a/tests/kept_load.py
+++ b/tests/kept_load.py
@@ -3,7 +3,7 @@
 import random
 from collections import OrderedDict, deque
 
-from gradelug_policy.engine_room import Pace, Terms, expected_s
+from gradelug_policy.engine_room import EngineRates, Terms, expected_s
 from gradelug_policy.kept_parts import PromptPart, chain_of
 from gradelug_policy.reading import Busyness, Work
 
@@ -155,7 +155,7 @@
             self.told = {name: engine.busyness(now) for name, engine in self.engines.items()}
             self.told_at = now
         work = Work(chain.tokens + OWN_TOKENS, 0, ANSWER_TOKENS, None, kept)
-        return expected_s(self.told[name], work, TERMS, Pace(SPEED, HOLD_S))
+        return expected_s(self.told[name], work, TERMS, EngineRates(SPEED, HOLD_S))
 
     @property
     def again_part(self):
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from gradelug_policy.engine_pace import FORGET_S, LEAST_ENGINES, MOST_SLOW, EnginePaces
+from gradelug_policy.engine_pace import MAX_SLOWNESS, MIN_ENGINES, SLOWNESS_HALF_LIFE_S, EnginePaces
 
 EVENT_S = 0.045
 
@@ -52,7 +52,7 @@
     for _ in range(10):
         service.step({"e3": 6.0})
     assert service.slowness("e3") > 4
-    for _ in range(round(6 * FORGET_S / 0.2)):
+    for _ in range(round(6 * SLOWNESS_HALF_LIFE_S / 0.2)):
         service.step(idle={"e3"})
     assert service.slowness("e3") == 1.0
 
@@ -84,7 +84,7 @@
 
 
 def test_too_few_engines_tell_nothing():
-    service = Service(engines=LEAST_ENGINES - 1)
+    service = Service(engines=MIN_ENGINES - 1)
     for _ in range(10):
         service.step({"e0": 7.5})
     assert service.paces.slow(service.now) == {}
@@ -93,7 +93,7 @@
 def test_what_is_told_is_bounded_and_forgotten():
     paces = EnginePaces()
     paces.take("e0", 50.0, 1.0)
-    assert paces.slowness("llm", "e0", 1.0) == MOST_SLOW
-    assert 1.0 < paces.slowness("llm", "e0", 1.0 + FORGET_S) < MOST_SLOW
+    assert paces.slowness("llm", "e0", 1.0) == MAX_SLOWNESS
+    assert 1.0 < paces.slowness("llm", "e0", 1.0 + SLOWNESS_HALF_LIFE_S) < MAX_SLOWNESS
     paces.forget("e0")
     assert paces.slowness("llm", "e0", 1.0) == 1.0
--- a/tests/test_engine_room.py
+++ b/tests/test_engine_room.py
@@ -6,17 +6,17 @@
 from engine_fleet_model import OLD, Rules, Run, Shape
 from gradelug_policy.engine_room import (
     FIRST_HOLD_S,
+    EngineRates,
     EngineRoom,
-    Pace,
     Terms,
+    capacity_wait_s,
     copy_gain_s,
     expected_s,
     has_room,
-    room_wait_s,
 )
 from gradelug_policy.reading import Busyness, ReadingSpeeds, Work, first_event_s
 
-PACE = Pace(20_000.0, 1.2)
+PACE = EngineRates(20_000.0, 1.2)
 SLOTS = Terms(12)
 MEMORY = Terms(12, 30_000)
 ASKED = Work(1_000, 0, 200)
@@ -51,10 +51,10 @@
 class TestExpected:
     def test_a_request_waits_for_a_slot_where_all_are_taken(self):
         free, full = Busyness(running=11), Busyness(running=10, starting=2)
-        assert room_wait_s(free, ASKED, SLOTS, PACE) == 0
-        assert room_wait_s(full, ASKED, SLOTS, PACE) == pytest.approx(0.1)
+        assert capacity_wait_s(free, ASKED, SLOTS, PACE) == 0
+        assert capacity_wait_s(full, ASKED, SLOTS, PACE) == pytest.approx(0.1)
         queued = Busyness(running=12, starting=3)
-        assert room_wait_s(queued, ASKED, SLOTS, PACE) == pytest.approx(0.4)
+        assert capacity_wait_s(queued, ASKED, SLOTS, PACE) == pytest.approx(0.4)
         assert expected_s(full, ASKED, SLOTS, PACE) == pytest.approx(
             first_event_s(full, ASKED, PACE.tokens_per_s) + 0.1
         )
@@ -62,13 +62,13 @@
     def test_it_waits_for_memory_although_slots_are_free(self):
         busy = Busyness(running=4, memory_tokens=29_000)
         assert not has_room(busy, ASKED, MEMORY, PACE)
-        assert room_wait_s(busy, ASKED, MEMORY, PACE) == pytest.approx(1.2 / 4)
+        assert capacity_wait_s(busy, ASKED, MEMORY, PACE) == pytest.approx(1.2 / 4)
         assert has_room(busy, Work(700, 0, 300), MEMORY, PACE)
 
     def test_runs_that_have_ended_since_the_news_count_as_room(self):
         full = Busyness(running=12)
         assert not has_room(full, ASKED, SLOTS, PACE)
-        assert has_room(full, ASKED, SLOTS, PACE, news_s=0.15)
+        assert has_room(full, ASKED, SLOTS, PACE, state_age_s=0.15)
 
     def test_without_slots_known_nothing_but_reading_counts(self):
         busy = Busyness((0, 5_000), 100, 20, 10**6)
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -3,11 +3,11 @@
 import functools
 
 import pytest
-from gradelug_policy.chain_homes import MOST_WEIGHTS, ChainShares, home_of, split_mark
+from gradelug_policy.chain_homes import MAX_WEIGHTS, ChainShares, home_of, split_mark
 from gradelug_policy.kept_parts import (
-    KEPT_PART,
+    CACHE_MEMORY_FRACTION,
     KEPT_S,
-    MOST_CHAINS,
+    MAX_CACHED_PREFIXES,
     KeptParts,
     PromptPart,
     chain_of,
@@ -269,7 +269,7 @@
 
     def test_they_give_way_to_what_is_sent_there(self):
         kept = new_kept()
-        kept.note_sent("e0", int(KEPT_PART * MEMORY), MEMORY)
+        kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY), MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 300
         kept.note_sent("e0", 1, MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
@@ -277,7 +277,7 @@
     def test_who_sees_a_part_of_what_is_sent_reckons_with_the_rest(self):
         kept = new_kept()
         kept.seen_part = 0.1
-        kept.note_sent("e0", int(KEPT_PART * MEMORY / 10) + 1, MEMORY)
+        kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY / 10) + 1, MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
 
     def test_they_age(self):
@@ -289,12 +289,12 @@
         kept = KeptParts()
         chains = [
             chain_of("m/x", "", (PromptPart(f"p{number}", 10), PARTS[2]))
-            for number in range(3 * MOST_CHAINS)
+            for number in range(3 * MAX_CACHED_PREFIXES)
         ]
         for chain in chains:
             kept.note_sent("e0", 10, 0)
             kept.note("e0", chain, 1.0)
-            assert kept.size <= MOST_CHAINS
+            assert kept.size <= MAX_CACHED_PREFIXES
         assert kept.kept_tokens("e0", chains[-1], 1.0) == 10
         assert kept.kept_tokens("e0", chains[0], 1.0) == 0
 
@@ -353,7 +353,7 @@
         shares = ChainShares()
         for number in range(2_000):
             shares.note(chain_of(f"m/{number}", "", PARTS))
-        assert len(shares._recent) == MOST_WEIGHTS
+        assert len(shares._recent) == MAX_WEIGHTS
 
     def test_settled_draws_are_as_likely_as_those_by_chance(self):
         costs_s = [("e0", 0.1), ("e1", 0.1), ("e2", 0.1 + NEWS_S / 2), ("e3", 9.0)]
--- a/tests/test_lasting_runs.py
+++ b/tests/test_lasting_runs.py
@@ -95,7 +95,7 @@
         [
             (Broken(True, True, True, True), Way.STOP),
             (Broken(False, True, True, True), Way.BACKUP),
-            (Broken(False, False, True, True), Way.AFRESH),
+            (Broken(False, False, True, True), Way.NEW_RUN),
             (Broken(False, False, False, True), Way.END),
             (Broken(True, True, True, False), Way.END),
         ],
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
     offer_credits,
     priority,
 )
-from gradelug_policy.placement import SMALL_FLEET, Fleet
+from gradelug_policy.placement import SMALL_FLEET_ENGINES, Fleet
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -128,7 +128,7 @@
         assert choose_engine(full, "a", "h", PlacementSettings()).name == "e2"
 
     def test_routers_agree_on_the_engine_for_a_cold_adapter(self):
-        views = [view(f"e{n}") for n in range(SMALL_FLEET * 4)]
+        views = [view(f"e{n}") for n in range(SMALL_FLEET_ENGINES * 4)]
         fleets = [Fleet(views), Fleet(list(views))]
         chosen = {
             choose_engine(fleet.candidates("a"), "a", "h", PlacementSettings()).name
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -1,5 +1,5 @@
 from gradelug_policy.reading import (
-    FIRST_TOKENS_PER_S,
+    DEFAULT_TOKENS_PER_S,
     LATE,
     Busyness,
     ReadingSpeeds,
@@ -28,7 +28,7 @@
 class TestReadingSpeeds:
     def test_the_speed_of_a_service_is_learned_from_lone_prompts(self):
         speeds = ReadingSpeeds()
-        assert speeds.speed("llm") == FIRST_TOKENS_PER_S
+        assert speeds.speed("llm") == DEFAULT_TOKENS_PER_S
         for number in range(100):
             kept = number % 5 == 0
             speeds.note(
@@ -36,7 +36,7 @@
             )
             speeds.note("llm", Busyness(), QUESTION, 0.2)
         assert 36_000 < speeds.speed("llm") < 42_000
-        assert speeds.speed("other") == FIRST_TOKENS_PER_S
+        assert speeds.speed("other") == DEFAULT_TOKENS_PER_S
 
     def test_what_waited_for_others_or_was_short_teaches_nothing(self):
         speeds = ReadingSpeeds()
@@ -44,4 +44,4 @@
         for _ in range(100):
             speeds.note("llm", Busyness((0, 9_000)), REVIEW, 10.0)
             speeds.note("llm", Busyness(), QUESTION, 10.0)
-        assert speeds.speed("llm") == FIRST_TOKENS_PER_S
+        assert speeds.speed("llm") == DEFAULT_TOKENS_PER_S
--- a/tests/test_run_versions.py
+++ b/tests/test_run_versions.py
@@ -1,7 +1,7 @@
 """Versions of weights: what is the same, what a load can bring, how many engines renew at once."""
 
 import pytest
-from gradelug_policy.renewal import RENEWAL_S, renewals_left
+from gradelug_policy.renewal import MAX_RENEWAL_S, renewals_left
 from gradelug_policy.run_versions import VersionWord, WeightVersions, compare, is_loadable, is_same
 
 
@@ -58,4 +58,4 @@
         assert renewals_left([0.0] * most, engines, 0.1) == 0
 
     def test_an_engine_whose_runs_last_keeps_no_other_waiting(self):
-        assert renewals_left([0.0], 2, RENEWAL_S) == 1
+        assert renewals_left([0.0], 2, MAX_RENEWAL_S) == 1
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from gradelug_policy.engine_room import Pace, Terms, expected_s
+from gradelug_policy.engine_room import EngineRates, Terms, expected_s
 from gradelug_policy.reading import Busyness, Work
 from gradelug_policy.spread import choose_spread
 
@@ -57,7 +57,7 @@
         return Busyness((sum(told.queued) + PROMPT * own,), told.running, told.starting + own)
 
     def _send(self, gateway, now):
-        pace, work = Pace(SPEED, HOLD_S), Work(PROMPT)
+        pace, work = EngineRates(SPEED, HOLD_S), Work(PROMPT)
         costs_s = [
             (engine, expected_s(self._seen(engine, gateway), work, TERMS, pace))
             for engine in range(ENGINES)
