--- a/packages/policy/src/gradelug_policy/cells.py
+++ b/packages/policy/src/gradelug_policy/cells.py
@@ -1,11 +1,12 @@
-"""Which engines are looked at for an adapter, where there are too many to look at all of them.
+"""Partitions a large fleet into cells, to limit the engines that are examined for an adapter.
 
-The load answered: 3,000 engines behind one planner, hundreds of loads a second; to look at each
-engine for each load takes the planner longer than the load itself.
+With 3,000 engines behind one planner and hundreds of loads per second, examining every engine for
+each load takes the planner longer than the load itself.
 
-Engines are divided into cells of a few by the hash of their names, and an adapter ranks the cells
-by rendezvous hashing. Room is looked for in its first cells, so that copies in host memory are
-found where they were loaded before, and in the next ones while those have none.
+Engines are divided into small cells by the hash of their names, and each adapter ranks the cells by
+rendezvous hashing. A load target is searched in the first cells of the adapter, so that copies in
+host memory are found where they were loaded earlier, and in the next ones if those have no
+capacity.
 """
 
 from __future__ import annotations
@@ -16,30 +17,30 @@
 import xxhash
 
 MAX_CELL_ENGINES = 32
-"""Engines of a cell at most: among some sixteen to thirty the best is nearly as good as the best of
-all, and to look at them takes a part of a millisecond."""
+"""Greatest number of engines in a cell: the best of sixteen to thirty is nearly as good as the best
+of all, and examining them takes a fraction of a millisecond."""
 HASH_BITS = 64
 
 
 class Cells:
-    """Engines divided into cells, and which cells an adapter belongs to.
+    """Partition of engines into cells, and the ranking of the cells for an adapter.
 
-    A cell holds the engines whose names' hashes begin alike; one with more than a bound is two. So
-    the cells follow from the names alone, whatever came and went before, and an engine that comes
-    or goes changes one cell.
+    A cell holds the engines whose name hashes share a prefix; a cell that exceeds the limit is
+    split. The cells therefore depend only on the current names, not on earlier additions and
+    removals, and adding or removing an engine affects one cell.
 
     Parameters
     ----------
-    most : int
-        Engines of a cell at most.
+    max_engines : int
+        Greatest number of engines in a cell.
     """
 
     __slots__ = ("_cells", "_max_engines", "_names")
 
-    def __init__(self, most: int = MAX_CELL_ENGINES) -> None:
-        self._max_engines = most
+    def __init__(self, max_engines: int = MAX_CELL_ENGINES) -> None:
+        self._max_engines = max_engines
         self._cells: dict[str, dict[str, str]] = {"": {}}
-        """Engines and their hashes, by the bits with which the hashes begin."""
+        """By shared hash prefix, in bits: names of engines and their hashes."""
         self._names: dict[str, str] = {}
 
     def __len__(self) -> int:
@@ -50,11 +51,11 @@
 
     @property
     def sizes(self) -> dict[str, int]:
-        """How many engines are in each cell that has any."""
+        """Number of engines in each cell that is not empty."""
         return {cell: len(engines) for cell, engines in self._cells.items() if engines}
 
     def add(self, name: str) -> None:
-        """Take an engine in."""
+        """Add an engine."""
         if name in self._names:
             return
         bits = self._names[name] = _hash_bits(name)
@@ -65,7 +66,7 @@
             cell = self._find(bits)
 
     def remove(self, name: str) -> None:
-        """Drop an engine."""
+        """Remove an engine."""
         bits = self._names.pop(name, None)
         if bits is None:
             return
@@ -75,11 +76,11 @@
             cell = cell[:-1]
 
     def cell(self, name: str) -> str:
-        """Return the cell that an engine is in, or would be in as the cells are now."""
+        """Return the cell of an engine, or the one that it would be added to."""
         return self._find(self._names.get(name) or _hash_bits(name))
 
     def rank(self, key: str) -> list[str]:
-        """Return the cells of an adapter, the first one first; those of more engines get more."""
+        """Return the cells in the order of an adapter, weighted by their numbers of engines."""
         scores = {
             cell: _score(cell, len(engines), key)
             for cell, engines in self._cells.items()
@@ -88,7 +89,7 @@
         return sorted(scores, key=lambda cell: -scores[cell])
 
     def homes(self, key: str) -> t.Iterator[str]:
-        """Yield all engines, each once, those of the adapter's first cell first."""
+        """Yield all engines, each once, in the order in which the adapter ranks their cells."""
         for cell in self.rank(key):
             yield from self._cells[cell]
 
@@ -106,12 +107,12 @@
             }
 
     def _join(self, parent: str) -> bool:
-        """Make two cells one if they have become small enough; False if they are not."""
-        first, second = self._cells.get(parent + "0"), self._cells.get(parent + "1")
-        if first is None or second is None or len(first) + len(second) > self._max_engines:
+        """Merge the two halves of a cell; return False if they are too large together."""
+        lower, upper = self._cells.get(parent + "0"), self._cells.get(parent + "1")
+        if lower is None or upper is None or len(lower) + len(upper) > self._max_engines:
             return False
         del self._cells[parent + "0"], self._cells[parent + "1"]
-        self._cells[parent] = first | second
+        self._cells[parent] = lower | upper
         return True
 
 
@@ -120,6 +121,6 @@
 
 
 def _score(cell: str, size: int, key: str) -> float:
-    """Return how much an adapter prefers a cell: the greatest score wins in proportion to sizes."""
-    drawn = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / 2.0**HASH_BITS
-    return -size / math.log(drawn) if drawn < 1 else math.inf
+    """Return the rendezvous score of a cell, weighted by its size, for an adapter."""
+    uniform = (xxhash.xxh3_64_intdigest(f"{cell}\0{key}".encode()) + 0.5) / 2.0**HASH_BITS
+    return -size / math.log(uniform) if uniform < 1 else math.inf
--- a/packages/policy/src/gradelug_policy/engine_pace.py
+++ b/packages/policy/src/gradelug_policy/engine_pace.py
@@ -1,8 +1,9 @@
-"""Which engines are slower than the others of their service, from pauses between their events.
+"""Detects engines that are slower than others of their service by the pauses between their events.
 
-The load that it answers: engines that turn two to eight times slow and well again. A request's
-first event says little of that: it waits for others, and an engine gets three requests a second.
-But each of its running streams shows at each event how fast it steps, at whatever instance it runs.
+Engines slow down by a factor of two to eight for a while. The time to a first event reveals little
+of that: it depends on the queue, and an engine receives about three requests per second. But every
+event of a running stream shows the step time of its engine, whichever instance the stream belongs
+to.
 """
 
 from __future__ import annotations
@@ -11,129 +12,133 @@
 import statistics
 
 EVENT_HALF_LIFE_S = 0.15
-"""Events count half after this: a slow engine is to be seen within a second, and those that it made
-while it was well were many more."""
+"""Half-life of the weight of events. A slow engine must be detected within a second, although it
+produced many more events while it ran at normal speed."""
 SLOWNESS_HALF_LIFE_S = 1.5
-"""An engine without events is taken for well again: what was known of it counts half after this.
-It gets few requests while it is slow, so it must be tried again."""
+"""Half-life of a detected slowness while an engine produces no events. A slow engine receives few
+requests, so its rating must recover for it to be tried again."""
 MIN_EVENTS = 2.0
-"""Fewer events, newer ones counting more, say nothing: one run may pause for another's prompt."""
+"""Fewer events, weighted by age, are not conclusive: a run may pause for another's prefill."""
 SLOW_THRESHOLD_RATIO = 1.6
-"""Engines differ by this with what runs on them: a full batch steps that much slower."""
+"""Lower ratios to the median pause are normal differences in load: a full batch steps that much
+slower."""
 MAX_SLOWNESS = 10.0
-"""Nothing is lost if an engine is taken for no slower than that: no request goes there."""
+"""Upper limit of a slowness; an engine this slow receives no requests in any case."""
 MAX_PAUSE_RATIO = 12.0
-"""A pause counts as so many usual ones at most: a run that was stopped says little of the pace."""
+"""Limit of a pause, as a ratio to the median pause: a stopped run is no evidence of slowness."""
 MEDIAN_REFRESH_S = 0.1
-"""The usual pause of a service is taken anew this often."""
+"""Interval at which the median pause of a service is recomputed."""
 MIN_SLOW_DURATION_S = 0.4
-"""An engine is slow when its pauses have been long for this time: streams pause for prompts, and on
-nine engines that are well some did 39 times in 40 s, mostly for less than 0.15 s."""
+"""Time for which the pauses of an engine must stay long for it to count as slow. Streams also pause
+during prefill: on nine engines at normal speed 39 times in 40 s, mostly for less than 0.15 s."""
 MIN_SLOWNESS = 1.15
-"""An engine that is found less slow than that is taken for well."""
+"""A lower slowness is reported as 1, normal speed."""
 MIN_ENGINES = 3
-"""Of fewer none can be told to be the slow one."""
+"""With fewer engines the median does not show which of them is slow."""
 
 
 class _EngineEvents:
-    """Events of one engine, aged."""
+    """Number and total pauses of the events of an engine, with exponential decay."""
 
-    __slots__ = ("at", "events", "pauses_s", "slow_since")
+    __slots__ = ("at", "events", "total_pause_s", "slow_since")
 
     def __init__(self) -> None:
         self.events = 0.0
-        self.pauses_s = 0.0
+        self.total_pause_s = 0.0
         self.at = 0.0
         self.slow_since = math.inf
-        """Since when its pauses have been long without interruption."""
+        """Time since which its pauses have been long without interruption."""
 
-    def age(self, now: float) -> None:
-        kept = math.exp2(-max(0.0, now - self.at) / EVENT_HALF_LIFE_S)
-        self.events *= kept
-        self.pauses_s *= kept
+    def decay_to(self, now: float) -> None:
+        factor = math.exp2(-max(0.0, now - self.at) / EVENT_HALF_LIFE_S)
+        self.events *= factor
+        self.total_pause_s *= factor
         self.at = now
 
     @property
-    def pause_s(self) -> float:
-        return self.pauses_s / self.events
+    def mean_pause_s(self) -> float:
+        return self.total_pause_s / self.events
 
 
 class EnginePaces:
-    """Compares the pauses between events of the engines of each service."""
+    """Compares the pauses between events among the engines of each service."""
 
     __slots__ = ("_by_service", "_slowness_by_engine", "_medians")
 
     def __init__(self) -> None:
         self._by_service: dict[str, dict[str, _EngineEvents]] = {}
         self._medians: dict[str, tuple[float, float]] = {}
-        """By service: the usual pause, and when it was taken."""
+        """By service: median pause in seconds, and the time of its computation."""
         self._slowness_by_engine: dict[str, tuple[float, float]] = {}
-        """By engine: how slow it was found, and when."""
+        """By engine: slowness, and the time at which it was determined."""
 
     def note(self, service: str, replica: str, pause_s: float, events: float, now: float) -> None:
-        """Learn from events of streams.
+        """Add events of streams on an engine.
 
         Parameters
         ----------
         pause_s : float
-            Mean pause before each of them, in seconds.
+            Mean pause before each event, in seconds.
         events : float
-            How many.
+            Number of events.
         """
         if events <= 0 or pause_s <= 0:
             return
-        seen = self._by_service.setdefault(service, {}).setdefault(replica, _EngineEvents())
-        seen.age(now)
-        usual_s = self._median_pause_s(service, now)
-        capped_s = min(pause_s, MAX_PAUSE_RATIO * usual_s) if usual_s else pause_s
-        seen.events += events
-        seen.pauses_s += events * capped_s
-        if seen.events < MIN_EVENTS or not usual_s:
+        engine_events = self._by_service.setdefault(service, {}).setdefault(
+            replica, _EngineEvents()
+        )
+        engine_events.decay_to(now)
+        median_s = self._median_pause_s(service, now)
+        capped_s = min(pause_s, MAX_PAUSE_RATIO * median_s) if median_s else pause_s
+        engine_events.events += events
+        engine_events.total_pause_s += events * capped_s
+        if engine_events.events < MIN_EVENTS or not median_s:
             return
-        factor = seen.pause_s / usual_s
+        factor = engine_events.mean_pause_s / median_s
         if factor <= SLOW_THRESHOLD_RATIO:
-            seen.slow_since = math.inf
+            engine_events.slow_since = math.inf
             self._slowness_by_engine[replica] = (1.0, now)
             return
-        seen.slow_since = min(seen.slow_since, now)
-        if now - seen.slow_since >= MIN_SLOW_DURATION_S:
+        engine_events.slow_since = min(engine_events.slow_since, now)
+        if now - engine_events.slow_since >= MIN_SLOW_DURATION_S:
             self._slowness_by_engine[replica] = (min(MAX_SLOWNESS, factor), now)
 
     def take(self, replica: str, slowness: float, now: float) -> None:
-        """Take over what others found of an engine."""
+        """Set the slowness of an engine that was determined elsewhere."""
         self._slowness_by_engine[replica] = (min(MAX_SLOWNESS, max(1.0, slowness)), now)
 
     def slowness(self, service: str, replica: str, now: float) -> float:
-        """Return how many times slower an engine is than its service's usual ones; 1 at least."""
-        known = self._slowness_by_engine.get(replica)
-        if known is None:
+        """Return by which factor an engine is slower than the median of its service; at least 1."""
+        rating = self._slowness_by_engine.get(replica)
+        if rating is None:
             return 1.0
-        factor, at = known
+        factor, at = rating
         slowness = 1.0 + (factor - 1.0) * math.exp2(-max(0.0, now - at) / SLOWNESS_HALF_LIFE_S)
         return slowness if slowness > MIN_SLOWNESS else 1.0
 
     def slow(self, now: float) -> dict[str, float]:
-        """Return how slow the engines are that are slow."""
-        found = {name: self.slowness("", name, now) for name in self._slowness_by_engine}
-        return {name: factor for name, factor in found.items() if factor > 1.0}
+        """Return the slowness of all slow engines by name."""
+        slowness = {name: self.slowness("", name, now) for name in self._slowness_by_engine}
+        return {name: factor for name, factor in slowness.items() if factor > 1.0}
 
     def forget(self, replica: str) -> None:
-        """Forget an engine that is gone or has begun another life."""
+        """Drop the state of an engine that was removed or restarted."""
         self._slowness_by_engine.pop(replica, None)
-        for seen in self._by_service.values():
-            seen.pop(replica, None)
+        for engine_events in self._by_service.values():
+            engine_events.pop(replica, None)
 
     def _median_pause_s(self, service: str, now: float) -> float:
-        """Return the usual pause, 0 if it is not known."""
-        usual_s, at = self._medians.get(service, (0.0, -math.inf))
+        """Return the median pause of a service, in seconds; 0 if unknown."""
+        median_s, at = self._medians.get(service, (0.0, -math.inf))
         if now - at < MEDIAN_REFRESH_S:
-            return usual_s
+            return median_s
         pauses = [
-            seen.pause_s
-            for seen in self._by_service[service].values()
-            if seen.events >= MIN_EVENTS * math.exp2(-(now - seen.at) / EVENT_HALF_LIFE_S)
-            and seen.events > 0
+            engine_events.mean_pause_s
+            for engine_events in self._by_service[service].values()
+            if engine_events.events
+            >= MIN_EVENTS * math.exp2(-(now - engine_events.at) / EVENT_HALF_LIFE_S)
+            and engine_events.events > 0
         ]
-        usual_s = statistics.median(pauses) if len(pauses) >= MIN_ENGINES else usual_s
-        self._medians[service] = (usual_s, now)
-        return usual_s
+        median_s = statistics.median(pauses) if len(pauses) >= MIN_ENGINES else median_s
+        self._medians[service] = (median_s, now)
+        return median_s
--- a/packages/policy/src/gradelug_policy/lasting_runs.py
+++ b/packages/policy/src/gradelug_policy/lasting_runs.py
@@ -1,8 +1,9 @@
-"""How a run outlives its connection and its engine: copies, moves, and the way on after a break.
+"""Decides how runs survive broken connections and failing engines: copies, moves and recovery.
 
-Load patterns: answers that are lost and connections that are reset while engines live, engines that
-crash or flap, engines that are taken away at short notice with runs on them. The callers' streams
-may not be run again, so each of these ends them unless the same run goes on.
+Answers get lost and connections are reset while engines keep running, engines crash or flap, and
+engines with active runs are removed at short notice. A caller's stream may not be run a second
+time, so each of these failures ends the stream unless the same run is continued elsewhere from a
+copy of its memory.
 """
 
 from __future__ import annotations
@@ -13,48 +14,51 @@
 from enum import Enum
 
 HALF_LIFE_S = 6.0
-"""Breaks count half after this: a run lasts some seconds, so what broke others just now is what may
-break it."""
+"""Half-life of the weight of past breaks. A run lasts some seconds, so the latest breaks of other
+streams predict its risk best."""
 SERVICE_PRIOR_S = 20.0
 ENGINE_PRIOR_S = 5.0
-"""Time of unbroken streams that is assumed before any was seen, in seconds of streams: a first
-break on an engine says much of that engine, and less of all others."""
+"""Unbroken stream time that is assumed before any was observed. The prior of an engine is shorter,
+so that a first break raises the estimate for that engine much and for all others less."""
 LEAST_RISK = 0.02
-"""A copy moves the memory of a whole run. Below this risk of a break, fifty runs are moved or more
-so that one goes on."""
+"""Lowest break probability for which a run is copied. A copy transfers the memory of a whole run;
+below this, at least fifty runs are transferred for each one that is recovered."""
 MIN_REMAINING_S = 0.4
-"""A run that ends sooner is over before its copy is of use, which is sent some times a second."""
+"""A run that ends sooner is not copied: copies are sent a few times per second, so it would end
+before its copy is usable."""
 ROOM_PART = 0.6
-"""A copy must not take room from requests: it goes where no more than this part of the memory is
-in use with it. The rest is for what callers send there before news of it arrive."""
+"""Greatest fraction of memory in use, copy included, at an engine that receives a copy, so that
+copies do not displace requests. The rest is reserved for requests that are sent there before its
+state is updated."""
 ANY_ROOM = 1.0
-"""A run that its engine stops may take what room there is: its memory is used at once."""
+"""The same for the move of a run that its engine stops: it may fill the memory, since it continues
+there at once."""
 DEFAULT_TOKEN_S = 0.012
-"""Time for a token until a run was observed: the users' engines make one in 8 to 20 ms."""
+"""Time per token, assumed until a run was observed: engines generate one in 8 to 20 ms."""
 MEAN_WEIGHT = 0.05
 MOVE_MARGIN_S = 0.35
-"""Moves begin so long before the last moment: a call's answer, a packet lost, news of the notice
-that is some hundred ms old."""
+"""Moves begin this long before the latest possible time: it covers the response to a call, a lost
+packet, and a removal notice that arrives some hundred ms late."""
 MOVE_SETUP_S = 0.005
-"""Time of a move besides the sending of the memory."""
+"""Duration of a move besides the transfer of the memory."""
 MEGABITS_PER_BYTE = 8e-6
-"""Megabits in a byte."""
+"""Megabits per byte."""
 
 
 @dataclass(slots=True, frozen=True)
 class CopyTerms:
-    """What a copy of a run's memory takes.
+    """Parameters that determine the cost of copying a run's memory.
 
     Parameters
     ----------
     token_bytes : int
-        Memory of a token, in bytes.
+        Memory per token, in bytes.
     link_mbps : float
-        Speed of the engines' links, in megabits a second.
+        Bandwidth of an engine's network link, in megabits per second.
     kept_s : float
-        How long an unused copy is kept, in seconds.
+        Retention of an unused copy, in seconds.
     event_tokens : int
-        Tokens in an event of a stream.
+        Tokens per event of a stream.
     """
 
     token_bytes: int = 0
@@ -63,12 +67,12 @@
     event_tokens: int = 1
 
     def copy_s(self, tokens: int) -> float:
-        """Return how long sending the memory of so many tokens takes a link, in seconds."""
+        """Return the time to transfer the memory of some tokens over a link, in seconds."""
         return MOVE_SETUP_S + tokens * self.token_bytes * MEGABITS_PER_BYTE / self.link_mbps
 
 
 class _DecayedBreakRate:
-    """Breaks and time of streams, of which older ones count less."""
+    """Exponentially decayed rate of breaks per second of stream time."""
 
     __slots__ = ("_at", "_breaks", "_prior_s", "_time_s")
 
@@ -83,7 +87,7 @@
         self._breaks += breaks
         self._time_s += time_s
 
-    def per_s(self, now: float) -> float:
+    def breaks_per_s(self, now: float) -> float:
         self._decay_to(now)
         return self._breaks / (self._prior_s + self._time_s)
 
@@ -96,10 +100,10 @@
 
 
 class BreakRecord:
-    """How often streams break: breaks for each second that a stream lasts, lately.
+    """Recent rate of broken streams, in breaks per second of stream time.
 
-    One is kept for a service and one for each of its engines; the greater of the two counts. Resets
-    of connections show in the first, an engine that loses answers in the second.
+    One rate is kept for the service and one for each of its engines; the greater of the two
+    applies. Connection resets raise the first, an engine that loses answers raises the second.
     """
 
     __slots__ = ("_engines", "_service")
@@ -108,117 +112,124 @@
         self._service = _DecayedBreakRate(SERVICE_PRIOR_S)
         self._engines: dict[str, _DecayedBreakRate] = {}
 
-    def note(self, engine: str, broken: bool, lasted_s: float, now: float) -> None:
-        """Take a stream into account that ended, or broke, after it had lasted for some seconds."""
-        self._service.note(broken, lasted_s, now)
+    def note(self, engine: str, broken: bool, duration_s: float, now: float) -> None:
+        """Add a stream that ended or broke after `duration_s` seconds."""
+        self._service.note(broken, duration_s, now)
         if engine not in self._engines:
             self._engines[engine] = _DecayedBreakRate(ENGINE_PRIOR_S)
-        self._engines[engine].note(broken, lasted_s, now)
+        self._engines[engine].note(broken, duration_s, now)
 
     def risk(self, engine: str, left_s: float, now: float) -> float:
-        """Return the probability that a stream on an engine breaks before it ends, 0 to 1."""
-        known = self._engines.get(engine)
-        per_s = max(self._service.per_s(now), known.per_s(now) if known is not None else 0.0)
-        return -math.expm1(-per_s * left_s)
+        """Return the probability that a stream on an engine breaks within `left_s` seconds."""
+        engine_rate = self._engines.get(engine)
+        breaks_per_s = max(
+            self._service.breaks_per_s(now),
+            engine_rate.breaks_per_s(now) if engine_rate is not None else 0.0,
+        )
+        return -math.expm1(-breaks_per_s * left_s)
 
     def keep_only(self, engines: t.Container[str]) -> None:
-        """Forget the engines that are not among these."""
+        """Drop all engines but the given ones."""
         for name in [name for name in self._engines if name not in engines]:
             del self._engines[name]
 
 
 class Pace:
-    """Learns how long the runs of a service take for a token, and how large they are."""
+    """Learns the time per token and the size of the runs of a service."""
 
     __slots__ = ("mean_tokens", "token_s")
 
     def __init__(self) -> None:
         self.token_s = DEFAULT_TOKEN_S
-        """Seconds for a token."""
+        """Mean time per generated token, in seconds."""
         self.mean_tokens = 0.0
-        """Tokens that a run has in its engine's memory at its end."""
+        """Mean tokens that a run holds in its engine's memory at its end."""
 
-    def note(self, tokens: int, made: int, took_s: float) -> None:
-        """Learn from a run that ended with some tokens in memory, `made` of them its own."""
+    def note(self, tokens: int, answer_tokens: int, duration_s: float) -> None:
+        """Add an ended run with `tokens` in memory, of which it generated `answer_tokens`."""
         if not self.mean_tokens:
             self.mean_tokens = tokens
         self.mean_tokens += MEAN_WEIGHT * (tokens - self.mean_tokens)
-        if made > 1 and took_s > 0:
-            self.token_s += MEAN_WEIGHT * (took_s / made - self.token_s)
+        if answer_tokens > 1 and duration_s > 0:
+            self.token_s += MEAN_WEIGHT * (duration_s / answer_tokens - self.token_s)
 
 
 @dataclass(slots=True, frozen=True)
 class CopyTarget:
-    """An engine that may receive a copy.
+    """An engine that is eligible to receive a copy.
 
     Parameters
     ----------
     name : str
-        Which.
+        Name of the engine.
     used : float
-        Part of its memory in use with the copy in it, 0 to 1 or more.
-    holds : bool
-        Whether it holds the weights: the run goes on at once.
-    near : bool
-        Whether it stands in the hall of the engine that runs.
+        Fraction of its memory in use, copy included; may exceed 1.
+    has_weights : bool
+        Whether the weights of the run are loaded, so that it can continue at once.
+    is_same_hall : bool
+        Whether it is in the same hall as the engine that executes the run.
     """
 
     name: str
     used: float
-    holds: bool
-    near: bool
+    has_weights: bool
+    is_same_hall: bool
 
 
 def wants_copy(risk: float, left_s: float) -> bool:
-    """Tell whether a run is to be copied as it grows.
+    """Return whether a run should be copied while it is executing.
 
     Parameters
     ----------
     risk : float
-        That it breaks before its end.
+        Probability that its stream breaks before its end, 0 to 1.
     left_s : float
-        How long it is expected to last, in seconds.
+        Expected remaining time, in seconds.
     """
     return risk >= LEAST_RISK and left_s >= MIN_REMAINING_S
 
 
-def choose_target(targets: t.Iterable[CopyTarget], most_used: float = ROOM_PART) -> str | None:
-    """Return the engine that a copy is sent to; None if none has room.
+def choose_target(targets: t.Iterable[CopyTarget], max_used: float = ROOM_PART) -> str | None:
+    """Return the name of the engine that receives a copy; None if all exceed the memory limit.
 
-    One that holds the weights goes first: elsewhere they are loaded while the caller waits.
+    Engines with the weights loaded are preferred: elsewhere the caller waits for the load.
     """
-    fit = [target for target in targets if target.used <= most_used]
-    best = min(fit, key=lambda one: (not one.holds, not one.near, one.used), default=None)
+    eligible = [target for target in targets if target.used <= max_used]
+    best = min(
+        eligible,
+        key=lambda target: (not target.has_weights, not target.is_same_hall, target.used),
+        default=None,
+    )
     return best.name if best is not None else None
 
 
 class Way(Enum):
-    """How a run whose stream broke goes on."""
+    """Ways to recover a run whose stream broke."""
 
     STOP = "stop"
-    """Its engine may still run it: it is stopped there, and goes on from what is kept."""
+    """Its engine may still execute it: stop it there and resume it from its saved memory."""
     BACKUP = "backup"
-    """From the copy that another engine received as it grew."""
+    """Resume it from the copy that another engine received during the run."""
     NEW_RUN = "afresh"
-    """A new run goes on after the last event; only where callers allow it."""
+    """Start a new run that continues after the last event; only where the caller allows it."""
     END = "end"
-    """Not at all: it may have run."""
+    """Fail the request, which may have been executed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Broken:
-    """A run whose stream broke.
+    """State of a run whose stream broke.
 
     Parameters
     ----------
     can_stop : bool
-        Whether its engine may still run it, can be asked, and was not asked yet.
+        Whether its engine may still execute it, is reachable, and got no stop request yet.
     has_backup : bool
-        Whether a copy at another engine was not tried yet.
+        Whether another engine has a copy that was not tried yet.
     repeatable : bool
-        Whether the caller allows another run after the last event.
-    has_budget : bool
-        Whether a request may be sent again now.
+        Whether the caller allows a new run after the last event.
+    has_retry_budget : bool
+        Whether the retry budget allows sending the request again.
     """
 
     can_stop: bool
@@ -228,10 +239,10 @@
 
 
 def choose_way(broken: Broken) -> Way:
-    """Return how a run goes on.
+    """Return how to recover a run.
 
-    An engine that may still run it is asked first: two must not be at work, and what it keeps is
-    whole, while a copy lacks what came last.
+    An engine that may still execute the run is stopped first: two engines must not execute it at
+    once, and the engine's own memory is complete, while a copy lacks the latest tokens.
     """
     if not broken.has_retry_budget:
         return Way.END
@@ -244,20 +255,20 @@
 
 @dataclass(slots=True, frozen=True)
 class EndingRun:
-    """A run on an engine that is about to end.
+    """A run on an engine that is about to be removed.
 
     Parameters
     ----------
     request_id : str
-        Which.
+        Identifier of the request.
     tokens : int
-        In the engine's memory.
+        Tokens in the engine's memory.
     left_s : float
-        How long it is expected to last, in seconds.
+        Expected remaining time, in seconds.
     value : float
-        What the caller loses if it is cut.
+        Loss to the caller if the run is cut off; orders the moves.
     prepare_s : float
-        Time until another engine has its weights, in seconds.
+        Time until another engine has loaded its weights, in seconds.
     """
 
     request_id: str
@@ -270,28 +281,28 @@
 def moves_due(
     runs: t.Sequence[EndingRun], ends_in_s: float, others: int, terms: CopyTerms
 ) -> list[EndingRun]:
-    """Return the runs of an ending engine that are to be moved now, the first one first.
+    """Return the runs to move now from an engine that will be removed, in order of the moves.
 
-    Moves stand one behind the other on the engine's link, so they begin as late as all of them
-    still fit: every run that ends before that costs nothing. Those that lose most go first, and
-    those whose weights have to be loaded elsewhere begin with that.
+    Moves share the engine's network link, so they begin as late as all of them still fit: a run
+    that ends before then needs no move. Runs of the greatest value go first, and runs whose weights
+    must be loaded elsewhere become due earlier by the time of that load.
 
     Parameters
     ----------
     runs : sequence of EndingRun
-        This instance's.
+        Runs of this instance on the engine.
     ends_in_s : float
-        Until the engine is gone, in seconds.
+        Time until the engine is removed, in seconds.
     others : int
-        Runs there of other instances, which move theirs over the same link.
+        Runs of other instances on the engine, which are moved over the same link.
     terms : CopyTerms
-        What a copy takes.
+        Parameters of the transfer.
     """
-    late = [run for run in runs if run.left_s > ends_in_s - MOVE_MARGIN_S]
-    if not late:
+    unfinished = [run for run in runs if run.left_s > ends_in_s - MOVE_MARGIN_S]
+    if not unfinished:
         return []
-    mean_s = sum(terms.copy_s(run.tokens) for run in late) / len(late)
-    # Each run is copied while it goes on, and then what is new.
-    needed_s = mean_s * (len(late) + others)
-    due = [run for run in late if ends_in_s <= needed_s + MOVE_MARGIN_S + run.prepare_s]
+    mean_s = sum(terms.copy_s(run.tokens) for run in unfinished) / len(unfinished)
+    # Each run is copied while it continues, then the tokens added meanwhile are copied.
+    needed_s = mean_s * (len(unfinished) + others)
+    due = [run for run in unfinished if ends_in_s <= needed_s + MOVE_MARGIN_S + run.prepare_s]
     return sorted(due, key=lambda run: (-run.value, run.left_s))
--- a/packages/policy/src/gradelug_policy/left_runs.py
+++ b/packages/policy/src/gradelug_policy/left_runs.py
@@ -1,9 +1,10 @@
-"""Whether a run that an engine does not tell of may still go on there.
+"""Decides whether an abandoned run, which its engine does not list, may still execute there.
 
-Load pattern: engines whose memory runs out under a burst put runs back to wait, in the middle of
-their streams. Such a run is told of to no call until it has been read anew, some seconds later, so
-its stream is silent and its engine answers that there is no such run. An engine that keeps requests
-whose connection closed then works beside the engine at which the request was resumed.
+Engines that run out of memory in a burst preempt runs in the middle of their streams and queue them
+again. An engine does not list such a run until its prompt has been processed again, some seconds
+later; until then the stream is silent and a call for the run is answered with "no such run". If the
+engine keeps requests whose connection was closed, it would then execute the run in parallel with
+the engine on which the request was resumed.
 """
 
 from __future__ import annotations
@@ -11,30 +12,31 @@
 from dataclasses import dataclass
 
 REPORT_AGE_S = 0.5
-"""What an engine reports is some hundred ms old: of a run whose last event is younger than this, a
-report may show what was before it had to wait."""
+"""Reports of engines are some hundred ms old. If the last event of a run is younger than this, the
+report may show the state before the run was preempted."""
 ASK_S = 0.05
-"""How often a left run is asked for after its request went on elsewhere: within 0.4 s one of both
-must have stopped, and a call takes some ms."""
+"""Interval of polls for an abandoned run after its request was resumed on another engine: within
+0.4 s one of the two must have stopped, and a call takes some ms."""
 URGENT_POLL_WINDOW_S = 0.45
-"""For so long a left run is asked for often."""
+"""Time after a resumption during which an abandoned run is polled at the short interval."""
 MIN_RELAXED_POLL_INTERVAL_S = 0.2
-"""The shortest pause between calls when nothing goes on elsewhere yet, or some time ago: then only
-the work done in vain counts. Later pauses are as long as the time since the run was left."""
+"""Shortest interval of polls while the request is not resumed elsewhere or was so some time ago,
+when only the wasted work of the engine matters. Intervals grow to the time since the run was
+abandoned."""
 
 
 @dataclass(slots=True, frozen=True)
 class EngineWord:
-    """What an engine says of the requests that it has.
+    """State of its requests that an engine reports.
 
     Parameters
     ----------
     queued : int
-        Requests that wait there.
+        Number of requests in its queue.
     active : int
-        Requests in its batch; those whose prompt is being read are among them.
+        Number of requests in its batch, including those in prefill.
     runs : frozenset of str
-        The requests of which it tells that they run.
+        Identifiers of the requests that it lists as running.
     """
 
     queued: int
@@ -42,48 +44,49 @@
     runs: frozenset[str]
 
 
-def is_gone(word: EngineWord | None, request_id: str, silent_s: float) -> bool:
-    """Tell whether a run of which its engine knew nothing has left the engine for certain.
+def is_gone(report: EngineWord | None, request_id: str, silent_s: float) -> bool:
+    """Return whether a run that its engine did not find is certainly no longer on it.
 
     Parameters
     ----------
-    word : EngineWord or None
-        What the engine says; None if it does not say.
+    report : EngineWord or None
+        Latest report of the engine; None if it sends none.
     request_id : str
-        Which run.
+        Request of the run.
     silent_s : float
-        Time since its last event, in seconds.
+        Time since the last event of the run, in seconds.
     """
-    if word is None or silent_s < REPORT_AGE_S or request_id in word.runs:
+    if report is None or silent_s < REPORT_AGE_S or request_id in report.runs:
         return False
-    return not word.queued and word.active <= len(word.runs)
+    return not report.queued and report.active <= len(report.runs)
 
 
 def may_wait(silent_s: float, gap_s: float) -> bool:
-    """Tell whether a run whose stream broke may have been waiting for memory by then.
+    """Return whether a run whose stream broke may have been preempted and queued before the break.
 
-    One whose last event came within the usual pause was most likely at work, and engines drop those
-    with their connection (282 of 282 in trials), so it goes on at once and is asked for meanwhile.
+    A run whose last event came within the allowed pause was most likely executing, and engines drop
+    executing runs when their connection closes (282 of 282 in trials), so its request is resumed at
+    once and the run is polled meanwhile.
 
     Parameters
     ----------
     silent_s : float
-        Time from its last event to the break, in seconds.
+        Time from the last event to the break, in seconds.
     gap_s : float
-        Longest pause between events that is in time, in seconds.
+        Longest allowed pause between events, in seconds.
     """
     return silent_s > gap_s
 
 
 def next_ask_s(left_s: float, since_resumed_s: float) -> float:
-    """Return the pause until a left run is asked for again, in seconds.
+    """Return the time until the next poll for an abandoned run, in seconds.
 
     Parameters
     ----------
     left_s : float
-        Time since it was left, in seconds.
-    went_on_s : float
-        Time since its request was last sent to go on elsewhere, in seconds.
+        Time since the run was abandoned, in seconds.
+    since_resumed_s : float
+        Time since its request was last resumed on another engine, in seconds.
     """
     if since_resumed_s < URGENT_POLL_WINDOW_S:
         return ASK_S
--- a/packages/policy/src/gradelug_policy/placement.py
+++ b/packages/policy/src/gradelug_policy/placement.py
@@ -1,4 +1,4 @@
-"""Which engine is asked to run a request."""
+"""Chooses the engine that is asked to run a request."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 import xxhash
 
 SMALL_FLEET_ENGINES = 16
-"""Up to this many engines, all are considered for every request."""
+"""Fleets of up to this many engines are considered whole for every request."""
 NON_HOLDER_CANDIDATES = 6
-"""In a larger fleet, engines that do not hold the adapter but are considered all the same."""
+"""Additional candidates in a larger fleet, whether or not they hold the adapter."""
 CANDIDATE_STRIDE = 7919
-"""Prime, so that the strangers are spread over any fleet."""
+"""Prime, so that the additional candidates are spread over a fleet of any size."""
 
 
 @dataclass(slots=True, frozen=True)
 class EngineView:
-    """What is known of an engine, late as it may be.
+    """Last known state of an engine; may be out of date.
 
     Parameters
     ----------
     name, hall : str
-        Which, and where.
+        Name of the engine, and its hall.
     resident, loading : frozenset of str
-        Adapters in its slots, and on their way there.
+        Adapters in its slots, and adapters being loaded into them.
     slots : int
-        Adapter slots.
+        Number of adapter slots.
     evictable : int
-        Resident adapters that nobody uses.
+        Number of resident adapters that no request uses.
     coldest : float
-        Weighted requests per second for the least wanted of them.
+        Weighted requests per second for the least requested of these.
     load : int
-        Requests running or about to, corrected by what was asked for since.
+        Requests that run or are about to, with those sent since the last report.
     batch : int
-        Requests it runs at once.
+        Greatest number of concurrent requests.
     waiting : int
-        Requests waiting at its owner.
+        Requests queued at the owner of the engine.
     """
 
     name: str
@@ -53,24 +53,25 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementSettings:
-    """Costs, in seconds, that the choice weighs against each other.
+    """Costs that determine the choice of an engine, in seconds.
 
     Parameters
     ----------
     load_s : float
         Expected time to load an adapter.
     service_s : float
-        Expected time a request occupies a place in the batch.
+        Expected time that a request occupies a place in the batch.
     evict_s : float
-        Added when a slot must be cleared of an idle adapter first.
+        Added if an idle adapter must be evicted first.
     drain_s : float
-        Added when a slot must be cleared of a busy adapter first.
+        Added if an adapter in use must be drained and evicted first.
     hall_s : float
-        Added for another hall.
+        Added if the engine is in another hall.
     keep_s2 : float
-        Added for every request per second that the adapter to be evicted is wanted.
+        Added for each request per second for the adapter to be evicted, in square seconds.
     pack_s : float
-        Added for an empty batch, and less for a fuller one: greater values fill batches.
+        Added for an empty batch, proportionally less for a fuller one: greater values concentrate
+        requests in fuller batches.
     """
 
     load_s: float = 1.0
@@ -83,12 +84,12 @@
 
 
 class Fleet:
-    """The engines of some pools, indexed so that a choice does not look at all of them.
+    """The engines of some pools, indexed by adapter so that a choice need not examine all of them.
 
     Parameters
     ----------
     views : sequence of EngineView
-        The engines, in an order that all routers share.
+        State of the engines, in an order that all routers share.
     """
 
     __slots__ = ("_holders", "views")
@@ -101,10 +102,10 @@
                 self._holders.setdefault(key, []).append(view)
 
     def candidates(self, key: str) -> t.Sequence[EngineView]:
-        """Return the engines among which to choose for an adapter.
+        """Return the candidate engines for an adapter.
 
-        In a small fleet that is every engine; in a large one those that hold the adapter and a
-        few others, the same for every router, among which a cold adapter finds its place.
+        In a small fleet these are all engines; in a large one those that hold the adapter and a
+        few others, the same on every router, on which an adapter that none holds can be loaded.
         """
         if len(self.views) <= SMALL_FLEET_ENGINES:
             return self.views
@@ -121,16 +122,16 @@
 ) -> EngineView | None:
     """Return the engine with the least expected wait for the adapter.
 
-    Ties go by rendezvous hashing of the adapter, so that routers which do not talk to each
-    other send requests for a cold adapter to the same engine and one load serves them all.
+    Ties are broken by rendezvous hashing of the adapter, so that independent routers send requests
+    for an adapter that no engine holds to the same one and a single load serves them all.
     """
     best: list[EngineView] = []
-    least = float("inf")
+    min_wait = float("inf")
     for view in views:
         wait = round(expected_wait_s(view, key, hall, settings), 2)
-        if wait < least:
-            best, least = [view], wait
-        elif wait == least:
+        if wait < min_wait:
+            best, min_wait = [view], wait
+        elif wait == min_wait:
             best.append(view)
     if len(best) <= 1:
         return best[0] if best else None
@@ -138,8 +139,8 @@
 
 
 def expected_wait_s(view: EngineView, key: str, hall: str, settings: PlacementSettings) -> float:
-    """Return the seconds a request for the adapter is expected to wait at the engine."""
-    # A place in a full batch comes free every service_s / batch seconds.
+    """Return the expected wait of a request for the adapter at an engine, in seconds."""
+    # In a full batch a place becomes free every service_s / batch seconds.
     excess = view.load + view.waiting + 1 - view.batch
     wait = max(0, excess) * settings.service_s / view.batch
     if key not in view.resident:
@@ -155,10 +156,10 @@
 def _eviction_s(view: EngineView, settings: PlacementSettings) -> float:
     if not view.evictable:
         return settings.drain_s
-    # What is evicted will be missed as often as it is wanted.
+    # An evicted adapter will be requested at the rate at which it is requested now.
     return settings.evict_s + settings.keep_s2 * view.coldest
 
 
 def affinity(engine: str, key: str) -> int:
-    """Return the engine's rendezvous score for an adapter."""
+    """Return the rendezvous score of an engine for an adapter."""
     return xxhash.xxh3_64_intdigest(f"{engine}\0{key}".encode())
--- a/packages/policy/src/gradelug_policy/plain.py
+++ b/packages/policy/src/gradelug_policy/plain.py
@@ -1,10 +1,11 @@
-"""Which replica of a plain service gets a request: shares by the time that answers take.
-
-Load pattern: three replicas of six slots before 85 gateways of which each has a request or two a
-second, so that what a gateway has sent itself says nothing of how full a replica is, and counts
-told over all gateways are older than the requests they are of: who follows them goes, with all
-others, where it was empty a moment ago. One replica may be four times as slow, or say that it is
-full while it is not. What lasts is how long answers take; that is pooled over all gateways.
+"""Distributes the requests for a plain service over its replicas by their response times.
+
+Many gateways share few replicas, for instance 85 gateways three replicas of six slots, and each
+gateway sends one or two requests per second. The requests that a gateway has sent itself therefore
+say nothing about the load of a replica, and request counts shared among gateways are older than the
+requests that they count: all gateways that followed them would choose the replica that was idle a
+moment ago. A replica may also be four times as slow as others, or report that it is full when it is
+not. Mean response times over all gateways are stable and are used instead.
 """
 
 from __future__ import annotations
@@ -14,35 +15,35 @@
 from dataclasses import dataclass
 
 SPEED_POWER = 1.5
-"""A replica that takes twice as long gets a third of the requests, not half: it is also the one
-whose answers come late."""
+"""A replica that takes twice as long gets about a third of the share instead of half of it, since
+its responses are also the late ones."""
 SAME_HALL_FACTOR = 1.1
-"""A replica in the gateway's hall gets a tenth more, since bytes between halls have a price. More
-would show in the shares of the replicas, as gateways are not spread evenly."""
+"""Preference for replicas in the gateway's hall, since traffic between halls is charged. A greater
+factor would make the load of the replicas uneven, as gateways are not spread evenly over halls."""
 SUCCESS_POWER = 4.0
 MIN_HEALTH_FACTOR = 0.05
-"""A replica that fails 45% of its requests gets a tenth of its share, and no less than this part:
-where it is the last that works it is not given up."""
+"""A replica that fails 45% of its requests gets a tenth of its share, and no replica gets less than
+the minimum factor, so that the last working one still receives requests."""
 MAX_DUE_REQUESTS = 2.0
-"""Requests that a replica which was passed over may have due."""
+"""Greatest number of requests that a replica may have due, or may have received in advance."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlainView:
-    """A replica as a gateway sees it.
+    """State of a replica as known to a gateway.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the replica.
     took_s : float
-        Mean time of its answers over all gateways, in seconds; 0 if unknown.
+        Mean response time over all gateways, in seconds; 0 if unknown.
     failing : float
-        Part of its requests that fail, 0 to 1.
+        Fraction of its requests that fail, 0 to 1.
     own : int
-        Requests of this gateway that it has.
-    is_near : bool
-        Whether it stands in the gateway's hall.
+        Number of active requests of this gateway at the replica.
+    is_same_hall : bool
+        Whether the replica is in the gateway's hall.
     """
 
     name: str
@@ -53,15 +54,15 @@
 
 
 class PlainShares:
-    """Gives each replica its share of a gateway's requests, in turn.
+    """Weighted round robin of a gateway's requests over replicas.
 
-    Taking turns keeps closer to the shares than drawing lots does. Gateways begin at different
-    points, so that they do not go the same way together.
+    Round robin keeps closer to the shares than a random choice does. Gateways start at random
+    offsets, so that they do not choose the same replicas at the same time.
 
     Parameters
     ----------
     rng : random.Random
-        Where turns begin.
+        Random number generator for the initial offsets.
     """
 
     __slots__ = ("_due", "_rng")
@@ -69,7 +70,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._due: dict[str, float] = {}
-        """Requests that each replica is still to get."""
+        """By replica: requests due to it; negative if it is ahead of its share."""
 
     def choose(self, views: t.Sequence[PlainView]) -> str:
         """Return the replica that gets the next request; `views` must not be empty."""
@@ -77,7 +78,7 @@
         for view, weight in zip(views, weights, strict=True):
             due = self._due.get(view.name)
             if due is None:
-                # The first one goes to the own hall, as bytes between halls have a price.
+                # Prefer the own hall for the first request: traffic between halls is charged.
                 due = 1.0 if view.is_same_hall else self._rng.random()
             self._due[view.name] = min(MAX_DUE_REQUESTS, due + weight)
         chosen = max(views, key=lambda view: self._due[view.name] - view.own).name
@@ -85,20 +86,20 @@
         return chosen
 
     def keep(self, names: t.Container[str]) -> None:
-        """Forget all other replicas."""
+        """Drop the state of all replicas but the given ones."""
         self._due = {name: due for name, due in self._due.items() if name in names}
 
 
 def weigh(views: t.Sequence[PlainView]) -> list[float]:
-    """Return each replica's share of the requests; they add up to 1."""
-    known = [view.took_s for view in views if view.took_s]
-    usual_s = sum(known) / len(known) if known else 1.0
-    weights = [_weight(view, view.took_s or usual_s, usual_s) for view in views]
+    """Return the share of each replica in the requests; the shares add up to 1."""
+    durations_s = [view.took_s for view in views if view.took_s]
+    mean_s = sum(durations_s) / len(durations_s) if durations_s else 1.0
+    weights = [_weight(view, view.took_s or mean_s, mean_s) for view in views]
     total = sum(weights)
     return [weight / total for weight in weights]
 
 
-def _weight(view: PlainView, took_s: float, usual_s: float) -> float:
-    weight = (usual_s / took_s) ** SPEED_POWER
+def _weight(view: PlainView, took_s: float, mean_s: float) -> float:
+    weight = (mean_s / took_s) ** SPEED_POWER
     weight *= max(MIN_HEALTH_FACTOR, (1 - view.failing) ** SUCCESS_POWER)
     return weight * SAME_HALL_FACTOR if view.is_same_hall else weight
--- a/packages/policy/src/gradelug_policy/popularity.py
+++ b/packages/policy/src/gradelug_policy/popularity.py
@@ -1,10 +1,10 @@
-"""How often each adapter is asked for, older requests counting less."""
+"""Tracks the request rate of each adapter with exponential decay."""
 
 from __future__ import annotations
 
 import math
 
-MIN_RATE = 1e-6
+MIN_RATE_PER_S = 1e-6
 
 
 class Popularity:
@@ -13,7 +13,7 @@
     Parameters
     ----------
     half_life_s : float
-        After this long, in seconds, a request counts half.
+        Time after which the weight of a request has halved, in seconds.
     """
 
     __slots__ = ("_decay", "_rates")
@@ -23,20 +23,20 @@
         self._rates: dict[str, tuple[float, float]] = {}
 
     def note(self, key: str, now: float, amount: float = 1.0) -> None:
-        """Count a request, `amount` being its weight."""
+        """Add a request of weight `amount`."""
         rate, at = self._rates.get(key, (0.0, now))
         self._rates[key] = (rate * math.exp(-self._decay * (now - at)) + amount * self._decay, now)
 
     def rate(self, key: str, now: float) -> float:
-        """Return the weighted rate of requests, per second."""
-        known = self._rates.get(key)
-        if known is None:
+        """Return the weighted requests per second for an adapter."""
+        entry = self._rates.get(key)
+        if entry is None:
             return 0.0
-        rate, at = known
+        rate, at = entry
         return rate * math.exp(-self._decay * (now - at))
 
     def prune(self, now: float) -> None:
-        """Forget adapters whose rate has decayed to nothing."""
+        """Drop adapters whose rate has decayed below the minimum."""
         self._rates = {
-            key: known for key, known in self._rates.items() if self.rate(key, now) > MIN_RATE
+            key: entry for key, entry in self._rates.items() if self.rate(key, now) > MIN_RATE_PER_S
         }
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -1,8 +1,8 @@
-"""How long a request waits for its first event on an engine.
+"""Estimates the time to a request's first event on an engine.
 
-An engine reads one prompt after the other, the most urgent first, in pieces between the steps in
-which its running streams make tokens. Prompts differ by a hundred times, so what is before a
-request is counted in tokens.
+An engine processes one prompt after the other, the most urgent first, in chunks between the
+decoding steps of its running streams. Prompt lengths differ by a factor of a hundred, so the queue
+before a request is counted in tokens.
 """
 
 from __future__ import annotations
@@ -14,39 +14,40 @@
 from .kept_parts import Chain
 
 URGENCIES = 10
-"""Engines know so many; 0 goes first."""
+"""Number of urgency levels of engines; 0 is processed first."""
 LATE = URGENCIES - 1
-"""Urgency of requests that would be late anyway: they wait for those that can be in time."""
+"""Urgency of requests that would be late anyway, so that they do not delay those that can be in
+time."""
 DEFAULT_TOKENS_PER_S = 20_000.0
-"""Speed of reading until something was observed: the users' engines read 19,000 and 38,000."""
+"""Prefill speed assumed until one was observed; engines reach 19,000 to 38,000."""
 SPEED_STEP = 0.03
 INITIAL_SPEED_STEP = 0.3
-"""A learned speed moves by this part towards each observation, the first ones by more."""
+"""Relative change of a learned speed per observation; the first observations change it more."""
 MEAN_WEIGHT = 0.02
-"""Share of the newest prompt in the mean length: shorter prompts say little of the speed, since
-most of the time to their first event is not reading."""
+"""Weight of the newest prompt in the mean length. Prompts shorter than the mean are not used to
+learn the speed, since most of the time to their first event is not prefill."""
 MAX_QUEUED_RATIO = 0.3
-"""Requests with more than this part of their own prompt before them say little either."""
+"""Requests with more queued tokens than this ratio to their own prompt are not used either."""
 RUNNING_STREAM_DELAY_S = 0.006
-"""Time that each running stream adds until a first event."""
+"""Time that each running stream adds to the time to a first event."""
 
 
 @dataclass(slots=True, frozen=True)
 class Work:
-    """What a request asks of an engine.
+    """Work that a request causes on an engine.
 
     Parameters
     ----------
     prompt_tokens : int
-        Length of the prompt.
+        Length of the prompt, in tokens.
     urgency : int
-        Engines begin with the prompts of the least.
+        Urgency level; engines process prompts of the lowest first.
     answer_tokens : int
-        Expected to be made.
+        Expected length of the answer, in tokens.
     chain : Chain or None
-        What of the prompt may be kept for others.
+        Prefixes of the prompt that other prompts may reuse.
     kept_tokens : int
-        What of the prompt need not be read on a certain engine.
+        Tokens of the prompt that need no prefill on the engine in question.
     """
 
     prompt_tokens: int = 0
@@ -57,29 +58,29 @@
 
     @property
     def reading_tokens(self) -> int:
-        """What of the prompt is to be read, in tokens."""
+        """Tokens of the prompt that need prefill."""
         return max(0, self.prompt_tokens - self.kept_tokens)
 
     @property
     def memory_tokens(self) -> int:
-        """Memory that it holds in the end, in tokens."""
+        """Memory that the request occupies at its end, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(slots=True, frozen=True)
 class Busyness:
-    """What an engine does at the moment.
+    """Current load of an engine.
 
     Parameters
     ----------
     queued : tuple of int
-        Tokens of prompts whose requests have no first event yet, by urgency.
+        Prompt tokens of requests without a first event, by urgency.
     running : int
-        Streams after their first event.
+        Number of streams past their first event.
     starting : int
-        Requests that have no first event yet.
+        Number of requests without a first event.
     memory_tokens : int
-        What all of them hold when they have ended, in tokens.
+        Memory that all of them occupy at their ends, in tokens.
     """
 
     queued: tuple[int, ...] = ()
@@ -89,30 +90,30 @@
 
     @property
     def held(self) -> int:
-        """Requests that hold a slot or wait for one."""
+        """Number of requests that occupy a slot or are queued for one."""
         return self.starting + self.running
 
     def ahead(self, urgency: int) -> int:
-        """Return the tokens that are read before the prompt of a new request."""
+        """Return the queued tokens that are processed before a new request of some urgency."""
         return sum(self.queued[: urgency + 1])
 
 
 class _ServiceSpeed:
-    """What is known of one service's engines."""
+    """Learned prefill speed of the engines of a service."""
 
-    __slots__ = ("mean_prompt", "seen", "tokens_per_s")
+    __slots__ = ("mean_prompt", "samples", "tokens_per_s")
 
     def __init__(self) -> None:
         self.tokens_per_s = DEFAULT_TOKENS_PER_S
         self.mean_prompt = 0.0
-        self.seen = 0
+        self.samples = 0
 
 
 class ReadingSpeeds:
-    """Learns how many tokens of prompts a second the engines of each service read.
+    """Learns the prefill speed of the engines of each service, in tokens per second.
 
-    It is the median of what is seen of long prompts with little before them: some are found kept
-    and take a tenth of the time, some wait for what was not known of.
+    Tracks the median over long prompts with short queues before them, since some prompts turn out
+    to be cached and take a tenth of the time, and some are delayed by unreported requests.
     """
 
     __slots__ = ("_speeds",)
@@ -121,58 +122,58 @@
         self._speeds: dict[str, _ServiceSpeed] = {}
 
     def speed(self, service: str) -> float:
-        """Return the tokens a second to reckon with."""
-        known = self._speeds.get(service)
-        return known.tokens_per_s if known is not None else DEFAULT_TOKENS_PER_S
+        """Return the prefill speed of a service, in tokens per second."""
+        learned = self._speeds.get(service)
+        return learned.tokens_per_s if learned is not None else DEFAULT_TOKENS_PER_S
 
     def mean_prompt(self, service: str) -> float:
-        """Return the mean length of a service's prompts, in tokens; 0 if none was seen."""
-        known = self._speeds.get(service)
-        return known.mean_prompt if known is not None else 0.0
+        """Return the mean prompt length of a service, in tokens; 0 if none was observed."""
+        learned = self._speeds.get(service)
+        return learned.mean_prompt if learned is not None else 0.0
 
     def note(self, service: str, busy: Busyness, work: Work, took_s: float) -> None:
-        """Learn from a first event.
+        """Add the observation of a first event.
 
         Parameters
         ----------
         service : str
-            Whose engine.
+            Service that the engine belongs to.
         busy : Busyness
-            What the engine did when the request was sent.
+            Load of the engine when the request was sent.
         work : Work
-            What was asked.
+            Work of the request.
         took_s : float
             From sending to the first event, in seconds.
         """
-        known = self._speeds.setdefault(service, _ServiceSpeed())
-        prompt = work.reading_tokens
-        if not known.mean_prompt:
-            known.mean_prompt = prompt
-        known.mean_prompt += MEAN_WEIGHT * (prompt - known.mean_prompt)
+        learned = self._speeds.setdefault(service, _ServiceSpeed())
+        prefill_tokens = work.reading_tokens
+        if not learned.mean_prompt:
+            learned.mean_prompt = prefill_tokens
+        learned.mean_prompt += MEAN_WEIGHT * (prefill_tokens - learned.mean_prompt)
         if (
-            prompt < known.mean_prompt
-            or sum(busy.queued) > MAX_QUEUED_RATIO * prompt
+            prefill_tokens < learned.mean_prompt
+            or sum(busy.queued) > MAX_QUEUED_RATIO * prefill_tokens
             or took_s <= 0
         ):
             return
-        known.seen += 1
-        step = 1 + max(SPEED_STEP, INITIAL_SPEED_STEP / known.seen)
-        known.tokens_per_s *= step if prompt / took_s > known.tokens_per_s else 1 / step
+        learned.samples += 1
+        step = 1 + max(SPEED_STEP, INITIAL_SPEED_STEP / learned.samples)
+        learned.tokens_per_s *= step if prefill_tokens / took_s > learned.tokens_per_s else 1 / step
 
 
 def first_event_s(busy: Busyness, work: Work, speed: float) -> float:
-    """Return the time until a first event, in seconds."""
+    """Return the expected time to the first event of a request, in seconds."""
     return (
         busy.ahead(work.urgency) + work.reading_tokens
     ) / speed + RUNNING_STREAM_DELAY_S * busy.running
 
 
 def add_queues(queues: t.Iterable[t.Sequence[int]]) -> tuple[int, ...]:
-    """Return the sum of some queues, each given by urgency."""
+    """Return the sum of several queues, each a sequence of tokens by urgency."""
     return tuple(map(sum, itertools.zip_longest(*queues, fillvalue=0)))
 
 
-def less_queue(queue: t.Sequence[int], part: t.Sequence[int]) -> tuple[int, ...]:
-    """Return a queue without a part of it, each given by urgency."""
-    pairs = itertools.zip_longest(queue, part, fillvalue=0)
-    return tuple(max(0, tokens - less) for tokens, less in pairs)
+def less_queue(queue: t.Sequence[int], removed: t.Sequence[int]) -> tuple[int, ...]:
+    """Return a queue less the removed tokens, each a sequence of tokens by urgency."""
+    pairs = itertools.zip_longest(queue, removed, fillvalue=0)
+    return tuple(max(0, tokens - removed_tokens) for tokens, removed_tokens in pairs)
--- a/packages/policy/src/gradelug_policy/refill.py
+++ b/packages/policy/src/gradelug_policy/refill.py
@@ -1,9 +1,8 @@
-"""Whether an adapter that was lost with its engine is brought elsewhere before it is asked for.
+"""Rates whether an adapter that was lost with its engine is reloaded elsewhere ahead of demand.
 
-The load that it answers: an engine is taken away, crashes or starts again empty while it alone
-holds adapters in use. On demand each of them keeps its next requests waiting for a whole load, and
-all come to the weight store in the same moment. Two ways were weighed: on demand alone, and ahead
-of it for those whose load saves more than it wastes.
+When an engine is removed, crashes or restarts empty, adapters in use may be loaded nowhere else.
+Loaded only on demand, each would delay its next requests by a whole load, and all these loads would
+reach the weight store at once. So an adapter is prefetched if that saves more than it wastes.
 """
 
 from __future__ import annotations
@@ -16,23 +15,23 @@
 def refill_gain_s(
     rate: float, load_s: float, horizon_s: float, price_s: float = STORE_COST_S
 ) -> float:
-    """Return what bringing an adapter ahead of demand saves, in seconds of waiting of all requests.
+    """Return the total waiting time that loading an adapter ahead of demand saves, in seconds.
 
-    The first of its requests and those that come during a load would wait for it, half of it each
-    but for the first. If none comes while the adapter would stay, the price of the load is lost;
-    otherwise it is paid in either case.
+    Without it, the first request would wait for a whole load, and those that arrive during the load
+    for half of it each. If no request arrives within the horizon, the cost of the load is wasted;
+    otherwise it is incurred in either case.
 
     Parameters
     ----------
     rate : float
-        Requests a second for it.
+        Requests per second for the adapter.
     load_s : float
-        Expected time of a load, in seconds.
-    use_s : float
-        How far ahead demand is foreseen, in seconds.
+        Expected duration of a load, in seconds.
+    horizon_s : float
+        Period for which demand is predicted, in seconds.
     price_s : float
-        What a load from the weight store costs others, in seconds.
+        Cost of a load from the weight store, in seconds.
     """
-    asked_for = 1.0 - math.exp(-rate * horizon_s)
-    waits_s = load_s * (1.0 + rate * load_s / 2.0)
-    return asked_for * waits_s - (1.0 - asked_for) * price_s
+    use_probability = 1.0 - math.exp(-rate * horizon_s)
+    saved_wait_s = load_s * (1.0 + rate * load_s / 2.0)
+    return use_probability * saved_wait_s - (1.0 - use_probability) * price_s
--- a/packages/policy/src/gradelug_policy/renewal.py
+++ b/packages/policy/src/gradelug_policy/renewal.py
@@ -1,7 +1,7 @@
-"""How many engines renew their base model at a time.
+"""Limits how many engines renew their base model at the same time.
 
-Load pattern: a new version of a base model is named while all engines run requests of its adapters.
-An engine that renews it takes no requests until its last run has ended and the weights are loaded.
+A new version of a base model is announced while all engines run requests of its adapters. An engine
+that renews it accepts no requests until its last run has ended and the new weights are loaded.
 """
 
 from __future__ import annotations
@@ -9,23 +9,23 @@
 import typing as t
 
 MAX_RENEWING_FRACTION = 0.5
-"""Part of the engines that may be without their base model at a time while it is renewed."""
+"""Greatest fraction of the engines that may renew their base model at the same time."""
 MAX_RENEWAL_S = 2.0
-"""An engine whose runs last longer than this keeps no other one waiting: new versions have to be in
-use within some seconds."""
+"""Time after which a renewal no longer counts, so that an engine with long runs does not delay
+others: new versions must be in use within some seconds."""
 
 
-def renewals_left(began: t.Iterable[float], engines: int, now: float) -> int:
-    """Return how many more engines may be closed now for a new version of their base model.
+def renewals_left(started_at: t.Iterable[float], engines: int, now: float) -> int:
+    """Return how many more engines may start to renew their base model now.
 
     Parameters
     ----------
-    began : iterable of float
-        When those were closed that are not back yet.
+    started_at : iterable of float
+        Times at which the renewals in progress started.
     engines : int
-        All engines of the service.
+        Total number of engines of the service.
     now : float
-        By the same clock.
+        Current time, by the same clock.
     """
-    recent = sum(now - at < MAX_RENEWAL_S for at in began)
+    recent = sum(now - at < MAX_RENEWAL_S for at in started_at)
     return max(0, max(1, int(MAX_RENEWING_FRACTION * engines)) - recent)
--- a/packages/policy/src/gradelug_policy/residency.py
+++ b/packages/policy/src/gradelug_policy/residency.py
@@ -1,7 +1,7 @@
-"""Which engine takes in which adapter, and what makes way: pure decisions.
+"""Chooses the engine that loads an adapter and the adapter that it evicts: pure decisions.
 
-Engines have few places for adapters. Their host memory keeps adapters that were there lately and
-loads them much faster than the weight store, which bears few loads at once.
+Engines have few adapter slots. Their host memory caches recently evicted adapters and loads them
+much faster than the weight store, which sustains few loads at once.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from .placement import affinity
 
 EVICTION_COST_S2 = 0.15
-"""Cost of evicting an adapter per request a second that it will be missed for."""
+"""Cost of evicting an adapter, in seconds per request per second for it."""
 STORE_COST_S = 0.8
-"""Loads from the weight store have a price, about half of a request's worth, and slow each other
-down; at 0.3 more adapters were brought in from there (docs/DECISIONS.md)."""
+"""Cost of a load from the weight store, about half the value of a request, since such loads are
+charged and slow each other down. At 0.3 more adapters are loaded from there (docs/DECISIONS.md)."""
 MAX_PLANNERS_PER_WINDOW = 2
-"""One may follow another within a window in which loads are counted."""
+"""Planners that may be active in one window: one can be replaced by another."""
 COST_TIE_S = 0.004
-"""Costs this near to each other are taken for equal and decided by hashing."""
+"""Costs that differ by at most this count as equal; ties are broken by hashing."""
 
 
 @dataclass(slots=True, frozen=True)
 class Victim:
-    """An adapter that could make way.
+    """An adapter that can be evicted.
 
     Parameters
     ----------
     key : str
-        Which.
+        Identifier of the adapter.
     rate : float
-        Requests a second for it.
+        Requests per second for the adapter.
     """
 
     key: str
@@ -41,20 +41,20 @@
 
 @dataclass(slots=True, frozen=True)
 class EnginePlaces:
-    """What decides whether an engine takes an adapter in.
+    """State of an engine that determines the cost of loading an adapter there.
 
     Parameters
     ----------
     name : str
-        Which engine.
+        Name of the engine.
     free : int
-        Empty places.
+        Free adapter slots.
     victims : tuple of Victim
-        Adapters that nobody uses.
+        Loaded adapters that no request uses.
     cached : bool
-        Whether its host memory keeps the adapter.
+        Whether its host memory caches the adapter.
     wait_s : float
-        Time to a first event there once the adapter is there, in seconds (`reading.first_event_s`).
+        Expected time to a first event once the adapter is loaded, in seconds.
     """
 
     name: str
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadCosts:
-    """Expected times of a load, in seconds, and what one from the weight store costs beside."""
+    """Expected durations of a load from either source and the extra store cost, all in seconds."""
 
     cached_s: float
     store_s: float
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadChoice:
-    """Where to load, and what makes way (None: a free place)."""
+    """Engine that loads an adapter, and the adapter that it evicts (None: a free slot is used)."""
 
     engine: str
     victim: str | None
@@ -87,25 +87,25 @@
     key: str,
     costs: LoadCosts,
     may_use_store: bool,
-    most_s: float = math.inf,
+    max_cost_s: float = math.inf,
 ) -> LoadChoice | None:
-    """Return the engine on which an adapter can be used soonest, None if none can take it.
+    """Return the engine on which loading an adapter costs least, None if no engine can load it.
 
     Parameters
     ----------
     engines : iterable of EnginePlaces
-        Those that may take it in.
+        Engines that may load the adapter.
     key : str
-        The adapter.
+        Identifier of the adapter.
     costs : LoadCosts
-        Expected times of a load.
+        Expected costs of a load.
     may_use_store : bool
-        Whether a load from the weight store may begin.
-    most_s : float
-        What the load may cost at most, in seconds as `expected_cost_s` counts them.
+        Whether a load from the weight store may start.
+    max_cost_s : float
+        Greatest acceptable cost, eviction included, in seconds.
     """
     best: list[tuple[EnginePlaces, Victim | None]] = []
-    least = most_s
+    min_cost = max_cost_s
     for engine in engines:
         if not engine.cached and not may_use_store:
             continue
@@ -115,9 +115,9 @@
             if victim is None:
                 continue
         cost = expected_cost_s(engine, costs) + (EVICTION_COST_S2 * victim.rate if victim else 0.0)
-        if cost < least - COST_TIE_S:
-            best, least = [(engine, victim)], cost
-        elif cost <= least + COST_TIE_S:
+        if cost < min_cost - COST_TIE_S:
+            best, min_cost = [(engine, victim)], cost
+        elif cost <= min_cost + COST_TIE_S:
             best.append((engine, victim))
     if not best:
         return None
@@ -126,31 +126,31 @@
 
 
 def expected_cost_s(engine: EnginePlaces, costs: LoadCosts) -> float:
-    """Return the time until a first event there and what a load costs, in seconds."""
+    """Return the time to a first event on an engine plus the cost of the load, in seconds."""
     load_s = costs.cached_s if engine.cached else costs.store_s + costs.price_s
     return load_s + engine.wait_s
 
 
 class LoadWindow:
-    """Keeps loads from the weight store within its limit in every window.
+    """Token bucket that keeps loads from the weight store within its limit in every window.
 
-    They begin at an even rate but for a few at once. A window in which a planner is replaced then
-    holds no more than the limit although its successor knows nothing of what was begun before:
-    each of the two may begin its few at once. Nothing is lost by that: loads that run beside each
-    other slow each other down.
+    Loads start at an even rate apart from a small burst. A window in which a planner is replaced
+    stays within the limit although the new planner does not know of earlier loads, since the limit
+    allows for the burst of each. The small burst costs no throughput: concurrent loads slow each
+    other down.
 
     Parameters
     ----------
     rate : float
-        Loads a second that it allows.
+        Loads per second that the store allows.
     window_s : float
         Length of the windows in which they are counted, in seconds.
     overage : float
-        Factor by which the count may exceed the rate.
+        Factor by which the count in a window may exceed the rate.
     extra : int
-        Loads that are allowed beyond that.
+        Further loads allowed in a window.
     slack_s : float
-        Windows are taken longer by this, in seconds.
+        Safety margin added to the window, in seconds.
     """
 
     __slots__ = ("_at", "_burst", "_tokens", "rate")
@@ -158,20 +158,22 @@
     def __init__(
         self, rate: float, window_s: float, overage: float, extra: int, slack_s: float = 0.0
     ) -> None:
-        whole_s = window_s + slack_s
-        most = max(1, math.floor(rate * window_s * overage + extra))
-        self._burst = max(1, math.floor((most - rate * whole_s) / MAX_PLANNERS_PER_WINDOW))
-        self.rate = max(0.0, most - MAX_PLANNERS_PER_WINDOW * self._burst) / whole_s
-        """Loads a second in the long run."""
+        padded_window_s = window_s + slack_s
+        max_loads = max(1, math.floor(rate * window_s * overage + extra))
+        self._burst = max(
+            1, math.floor((max_loads - rate * padded_window_s) / MAX_PLANNERS_PER_WINDOW)
+        )
+        self.rate = max(0.0, max_loads - MAX_PLANNERS_PER_WINDOW * self._burst) / padded_window_s
+        """Sustained loads per second."""
         self._tokens = float(self._burst)
         self._at = -math.inf
 
     def allows(self, now: float) -> bool:
-        """Tell whether a load may begin."""
+        """Return whether a load may start now."""
         return self._available(now) >= 1
 
     def note(self, now: float) -> None:
-        """Count a load that begins."""
+        """Record the start of a load."""
         self._tokens = self._available(now) - 1
         self._at = now
 
--- a/packages/policy/src/gradelug_policy/run_versions.py
+++ b/packages/policy/src/gradelug_policy/run_versions.py
@@ -1,8 +1,8 @@
-"""Versions of the weights under which a run's memory was made.
+"""Compares the weight versions of a run's memory with those that engines hold.
 
-Load pattern: new versions of base models and adapters are named while streams fall silent or break,
-so runs have to go on between two versions. A run's memory is of use only under the weights that
-made it; an engine that meanwhile loaded others would go on from it all the same.
+New versions of base models and adapters are announced while streams stall or break, so a run may
+have to be resumed across a version change. The memory of a run is valid only under the weights that
+produced it, but an engine that has loaded other weights meanwhile does not reject it.
 """
 
 from __future__ import annotations
@@ -11,25 +11,24 @@
 from dataclasses import dataclass, replace
 
 NOT_TOLD = 0
-"""Stands for a version that nobody told."""
-
-
+"""Version number that means unknown."""
 MAX_ANNOUNCEMENTS = 8
-"""Versions of the same weights whose naming is remembered."""
+"""Version announcements stored per weights."""
 START_MARGIN_S = 2.0
-"""A version is heard of up to 1.3 s after it was named, where instances look at the platform's
-store each 1.2 s, and a busy engine takes half a second to begin what it was sent."""
+"""Subtracted from the deadline for a new version: instances poll the platform's store every 1.2 s
+and so receive an announcement up to 1.3 s late, and a busy engine takes 0.5 s to start a
+request."""
 
 
 class VersionWord(t.NamedTuple):
-    """What an engine says of the version of its base model.
+    """Version of its base model that an engine reports.
 
     Parameters
     ----------
     version : int
-        The version; `NOT_TOLD` if it says none.
+        The version; 0 if the engine reports none.
     unreadable : str
-        What stands in its place and is no version; empty if it can be read.
+        Reported text that is not a valid version; empty if there is none.
     """
 
     version: int = NOT_TOLD
@@ -38,14 +37,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WeightVersions:
-    """Versions of a base model and one of its adapters, each `NOT_TOLD` if it is not known.
+    """Versions of a base model and one of its adapters, each 0 if unknown.
 
     Parameters
     ----------
     model : int
-        Of the base model.
+        Version of the base model.
     adapter : int
-        Of the adapter; `NOT_TOLD` too where none is used.
+        Version of the adapter; 0 also where none is used.
     """
 
     model: int = NOT_TOLD
@@ -53,43 +52,45 @@
 
     @property
     def text(self) -> str:
-        """Its form in logs: base model and adapter."""
+        """Text for logs: versions of base model and adapter, `?` if unknown."""
         return f"{self.model or '?'}/{self.adapter or '?'}"
 
-    def told(self, word: VersionWord) -> WeightVersions:
-        """Return the versions after an engine named that of its base model."""
-        return replace(self, model=word.version) if word.version else self
+    def told(self, reported: VersionWord) -> WeightVersions:
+        """Return these versions with the reported version of the base model, if there is one."""
+        return replace(self, model=reported.version) if reported.version else self
 
 
 def is_loadable(memory: WeightVersions, newest: WeightVersions) -> bool:
-    """Tell whether loading weights now can bring those of a memory: engines load the newest.
+    """Return whether a load can provide the weights that a run's memory needs.
+
+    Engines always load the newest version.
 
     Parameters
     ----------
     memory : WeightVersions
-        Of the weights that made it.
+        Versions of the weights that produced the memory.
     newest : WeightVersions
-        The newest that were named, `NOT_TOLD` where none was.
+        Newest announced versions, 0 where none was announced.
     """
     return _is_newest(memory.model, newest.model) and _is_newest(memory.adapter, newest.adapter)
 
 
 def _is_newest(version: int, newest: int) -> bool:
-    # A version that is not known is the newest only as long as none was named.
+    # An unknown version counts as the newest only while none was announced.
     return newest == NOT_TOLD if version == NOT_TOLD else newest <= version
 
 
 def is_same(version: int, held: int, newest: int) -> bool:
-    """Tell whether weights in an engine are those of a memory.
+    """Return whether the weights in an engine are those that produced a run's memory.
 
     Parameters
     ----------
     version : int
-        Of the weights that made the memory.
+        Version of the weights that produced the memory, 0 if unknown.
     held : int
-        What the engine says that it holds, `NOT_TOLD` if it names no version.
+        Version that the engine reports, 0 if it reports none.
     newest : int
-        The newest that was named, `NOT_TOLD` if none was.
+        Newest announced version, 0 if none was announced.
     """
     if version == NOT_TOLD or held == NOT_TOLD:
         return newest == NOT_TOLD
@@ -97,7 +98,7 @@
 
 
 class Namings:
-    """When versions of weights were named, as far as was heard here."""
+    """Times at which announcements of weight versions were received."""
 
     __slots__ = ("_announced",)
 
@@ -105,32 +106,32 @@
         self._announced: dict[t.Hashable, list[tuple[int, float]]] = {}
 
     def note(self, key: t.Hashable, version: int, now: float) -> None:
-        """Note that a version of some weights was heard of."""
-        heard = self._announced.setdefault(key, [])
-        heard.append((version, now))
-        del heard[:-MAX_ANNOUNCEMENTS]
+        """Record that the announcement of a version was received."""
+        announced = self._announced.setdefault(key, [])
+        announced.append((version, now))
+        del announced[:-MAX_ANNOUNCEMENTS]
 
     def replaced_s(self, key: t.Hashable, version: int, now: float) -> float:
-        """Return since when a newer version is known, in seconds; 0 if none is."""
-        newer = [at for named, at in self._announced.get(key, ()) if named > version]
+        """Return the time since a newer version was announced, in seconds; 0 if none was."""
+        newer = [at for announced, at in self._announced.get(key, ()) if announced > version]
         return now - min(newer, default=now)
 
 
 def may_begin(replaced_s: float, bound_s: float) -> bool:
-    """Tell whether a request may still begin under an older version.
+    """Return whether a request may still start under an older version.
 
     Parameters
     ----------
     replaced_s : float
-        Since when a newer one is known, in seconds; 0 if none is.
+        Time since a newer version was announced, in seconds; 0 if none was.
     bound_s : float
-        So long after it was named a version must be in use, in seconds.
+        Time after its announcement by which a version must be in use, in seconds.
     """
     return replaced_s <= max(0.0, bound_s - START_MARGIN_S)
 
 
-def compare(memory: WeightVersions, word: VersionWord) -> str:
-    """Return whether an engine that goes on from a memory has its weights, as a metric's label."""
-    if not memory.model or not word.version:
+def compare(memory: WeightVersions, reported: VersionWord) -> str:
+    """Return the metric label for an engine that resumes a memory: do its weights match?"""
+    if not memory.model or not reported.version:
         return "unknown"
-    return "same" if word.version == memory.model else "other"
+    return "same" if reported.version == memory.model else "other"
--- a/packages/policy/src/gradelug_policy/slots.py
+++ b/packages/policy/src/gradelug_policy/slots.py
@@ -1,4 +1,5 @@
-"""What sits in an engine's few adapter slots: what to load next, and what to drop for it."""
+"""Decides which adapter is loaded next into an engine's few slots, and which one is evicted for
+it."""
 
 from __future__ import annotations
 
@@ -10,15 +11,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SlotSettings:
-    """How slots are given away.
+    """Settings of slot assignment.
 
     Parameters
     ----------
     half_life_s : float
-        Half-life of an adapter's popularity: longer remembers more, shorter follows faster.
+        Half-life of an adapter's request rate, in seconds: a longer one is steadier, a shorter one
+        adapts faster.
     drain_after_s : float
-        A demand has to wait this long before an adapter in use is drained for it. An idle one
-        is dropped at once: waiting before that was measured to cost more than it saves.
+        Time, in seconds, that a demand has to wait before an adapter in use is drained for it. An
+        idle adapter is evicted at once, since waiting before that costs more than it saves.
     """
 
     half_life_s: float = 300.0
@@ -34,11 +36,11 @@
     key : str
         Adapter and version.
     busy : int
-        Requests running or about to.
+        Number of requests that run or are about to.
     rate : float
-        Weighted requests per second.
+        Weighted requests per second for the adapter.
     used_at : float
-        When it was last used, by the runtime's clock.
+        Time of its last use, by the runtime's clock.
     """
 
     key: str
@@ -56,13 +58,13 @@
     key : str
         Adapter and version.
     waiters : int
-        How many wait.
+        Number of waiting requests.
     weight : float
-        Sum of their weights.
+        Total weight of the waiting requests.
     since : float
-        When the first of them came.
+        Arrival time of the first of them.
     rate : float
-        Weighted requests per second.
+        Weighted requests per second for the adapter.
     """
 
     key: str
@@ -73,7 +75,7 @@
 
 
 def choose_demand(demands: t.Iterable[Demand], now: float) -> Demand | None:
-    """Return the demand to load for first: most weight waiting, ageing with its wait."""
+    """Return the demand to serve first, by total weight and time waited; None if there is none."""
     return max(
         demands,
         key=lambda demand: (priority(demand.weight, now - demand.since), demand.key),
@@ -84,10 +86,10 @@
 def choose_victim(
     residents: t.Iterable[Resident], demand: Demand, now: float, settings: SlotSettings
 ) -> Resident | None:
-    """Return the adapter to drop for a demand, or None to wait.
+    """Return the adapter to evict for a demand, or None to wait.
 
-    An idle adapter goes before a busy one (which must drain first), and a rarely wanted one
-    before a popular one.
+    Idle adapters are evicted before busy ones, which must drain first, and rarely requested
+    adapters before popular ones.
     """
     candidates = list(residents)
     idle = [resident for resident in candidates if not resident.busy]
