--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_room.py
@@ -206,9 +206,9 @@
 
     def with_own_paces(self) -> EngineRoom:
         """Return an instance that shares the learned times but detects slow engines separately."""
-        room = EngineRoom(self._speeds)
-        room._hold_times = self._hold_times
-        return room
+        estimator = EngineRoom(self._speeds)
+        estimator._hold_times = self._hold_times
+        return estimator
 
     def note_run(self, service: str, held_s: float) -> None:
         """Add the time, in seconds, that a successful run of a service occupied its slot."""
--- a/packages/policy/src/gradelug_policy/kept_parts.py
+++ b/packages/policy/src/gradelug_policy/kept_parts.py
@@ -251,9 +251,9 @@
         ----------
         chain : Chain or None
             Reusable prefixes of the prompt.
-        kept : int
+        cached : int
             Tokens assumed to be cached at the chosen engine.
-        most : int
+        max_cached : int
             Tokens assumed to be cached at the engine with the most of them.
         """
         self.shared += chain.tokens if chain is not None else 0
--- a/tests/engine_fleet_model.py
+++ b/tests/engine_fleet_model.py
@@ -1,4 +1,4 @@
-"""Engines of few slots, and who places requests on them, in steps of time without a network."""
+"""Time-stepped simulation of engines with few slots and of request placement, without a network."""
 
 import math
 import random
@@ -20,21 +20,21 @@
 
 STEP_S = 0.01
 BASE_STEP_S = 0.0095
-"""A step of a batch, and what each run adds to it."""
+"""Duration of a batch step, to which each run adds."""
 STEP_S_PER_RUN = 0.0003
 TOKENS_PER_EVENT = 4
 PAUSE_S = 0.3
 MOVE_S = 0.5
-LOOK_S = 0.04
-"""How often those that wait are looked at again."""
-MOST_SENDS = 3
+RETRY_INTERVAL_S = 0.04
+"""Interval at which placement of waiting requests is retried."""
+MAX_ATTEMPTS = 3
 AWAY_S = 3.0
-"""Callers without a first event leave after this."""
+"""Time after which callers without a first event give up."""
 
 
 @dataclass(slots=True, frozen=True)
 class Shape:
-    """A fleet, and the load on it."""
+    """Parameters of a fleet and of the load on it."""
 
     engines: int = 70
     slots: int = 12
@@ -50,23 +50,23 @@
     burst: float = 2.6
     length_s: float = 20.0
     slow: dict = field(default_factory=dict)
-    """By engine: so many times slower, from and until a moment."""
+    """By engine: factor by which it is slower, and the times at which that starts and ends."""
     kinds: tuple = ((1, 0.808, 1_460, 172), (0, 1.008, 1_460, 172), (2, 0.806, 646, 68))
-    """Rank, target, mean prompt and mean answer in tokens."""
+    """Rank, target in seconds, and mean prompt and answer in tokens, of each kind of request."""
     mix: tuple = (122, 16.9, 75.8)
 
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """How requests are placed."""
+    """Options of request placement."""
 
     slots: bool = True
-    """Whether slots are reckoned with, requests held for them, and copies brought ahead."""
+    """Whether slots are considered, requests held for them, and adapter copies loaded ahead."""
     copies: bool = True
     urgency: str = "learned"
-    """At engines: by "rank", "equal", or the one or the other by what is short."""
+    """Urgency at engines: "rank", "equal", or "learned", which selects one by the bottleneck."""
     speeds: bool = True
-    """Whether each engine's own speed is learned."""
+    """Whether slow engines are detected."""
     news_s: float = 0.12
 
 
@@ -84,7 +84,7 @@
     answer: int
     urgency: int = 0
     engine: int = -1
-    to_read: float = 0.0
+    prefill_left: float = 0.0
     made: float = 0.0
     first_at: float = math.inf
     last_at: float = math.inf
@@ -93,13 +93,13 @@
     rejected: int = 0
     preempted: int = 0
     sent_at: float = math.inf
-    look_at: float = 0.0
+    retry_at: float = 0.0
     busy: Busyness = Busyness()
     excluded: set = field(default_factory=set)
 
 
 class SimEngine:
-    """An engine that admits the urgent first and lets them displace others."""
+    """An engine that admits urgent requests first and preempts others for them."""
 
     def __init__(self, shape, speed):
         self.shape = shape
@@ -107,19 +107,19 @@
         self.slow = 1.0
         self.batch = []
         self.waiting = []
-        self.pauses_s = 0.0
+        self.total_pause_s = 0.0
         self.events = 0
 
     def arrive(self, req):
         full = len(self.batch) >= self.shape.slots and len(self.waiting) >= self.shape.queue
         if full and all(other.urgency <= req.urgency for other in self.batch):
             return False
-        req.to_read = req.prompt
+        req.prefill_left = req.prompt
         self.waiting.append(req)
         return True
 
     def step(self, now):
-        """Return the runs that made their first event, and those that ended."""
+        """Return the runs that produced their first event and those that ended."""
         self.waiting.sort(key=lambda req: (req.urgency, req.number))
         while self.waiting and len(self.batch) < self.shape.slots:
             self.batch.append(self.waiting.pop(0))
@@ -129,20 +129,20 @@
                 break
             self.batch.remove(worst)
             worst.preempted += 1
-            worst.to_read = worst.prompt + worst.made
+            worst.prefill_left = worst.prompt + worst.made
             self.batch.append(self.waiting.pop(0))
             self.waiting.append(worst)
             self.waiting.sort(key=lambda req: (req.urgency, req.number))
         budget = STEP_S * self.speed / self.slow
-        unread = [req for req in self.batch if req.to_read]
-        for req in sorted(unread, key=lambda req: (req.urgency, req.number)):
-            part = min(budget, req.to_read)
-            req.to_read -= part
+        unprocessed = [req for req in self.batch if req.prefill_left]
+        for req in sorted(unprocessed, key=lambda req: (req.urgency, req.number)):
+            part = min(budget, req.prefill_left)
+            req.prefill_left -= part
             budget -= part
         step_s = (BASE_STEP_S + STEP_S_PER_RUN * len(self.batch)) * self.slow
         firsts, ended = [], []
         for req in self.batch:
-            if req.to_read > 0:
+            if req.prefill_left > 0:
                 continue
             events = int(req.made // TOKENS_PER_EVENT)
             req.made += STEP_S / step_s
@@ -151,7 +151,7 @@
                 firsts.append(req)
             elif int(req.made // TOKENS_PER_EVENT) > events:
                 req.worst_pause_s = max(req.worst_pause_s, now - req.last_at)
-                self.pauses_s += now - req.last_at
+                self.total_pause_s += now - req.last_at
                 self.events += 1
                 req.last_at = now
             if req.made >= req.answer:
@@ -162,7 +162,7 @@
 
 
 class Run:
-    """One run of a load under some rules; its figures are in `figures`."""
+    """Simulation of a load under some placement rules; `figures` returns the results."""
 
     def __init__(self, shape, rules, seed=1):
         self.shape, self.rules = shape, rules
@@ -174,19 +174,19 @@
         self.now = 0.0
         self.weights = [1 / (rank + 1) ** 1.2 for rank in range(shape.adapters)]
         self.held = [{} for _ in self.engines]
-        """By engine: adapters and when each was used."""
+        """By engine: loaded adapters and the time of their last use."""
         self.coming = {}
-        """Loads under way: when they are there."""
-        self.users = [Counter() for _ in self.engines]
-        self.seen = [[0, 0, Counter()] for _ in self.engines]
-        """What is known by engine: starting, running, queued tokens by urgency."""
-        self.news = deque()
+        """Loads in progress, by adapter and engine: time of completion."""
+        self.active_requests = [Counter() for _ in self.engines]
+        self.known_load = [[0, 0, Counter()] for _ in self.engines]
+        """Known load by engine: starting and running requests, queued tokens by urgency."""
+        self.reports = deque()
         self.rates = Counter()
         self.line = []
         self.by_key = defaultdict(set)
         self.loads = 0
         self.sent = Counter()
-        """Requests that each engine took."""
+        """Number of requests accepted by each engine."""
         self.requests = []
         order = sorted(range(shape.adapters), key=lambda key: key)
         for key in order[: shape.engines * shape.places]:
@@ -200,7 +200,7 @@
         due = 0.0
         while now < shape.length_s + 8.0:
             self.now = now
-            self._take_news(now)
+            self._apply_reports(now)
             if now < shape.length_s:
                 rate = shape.rate * (1 + shape.wave * math.sin(2 * math.pi * now / 10.0))
                 if any(begin <= now < end for begin, end in shape.bursts):
@@ -210,7 +210,7 @@
                     due -= 1
                     number += 1
                     self._arrive(self._request(number, now), now)
-            self._land(now)
+            self._complete_loads(now)
             steps += 1
             if steps % 10 == 0:
                 for key in self.rates:
@@ -219,20 +219,20 @@
                     self._add_copies(now)
                 if self.rules.speeds:
                     self._learn_paces(now)
-            due_now = [req for req in self.line if req.look_at <= now]
-            self.line = [req for req in self.line if req.look_at > now]
-            for req in self._in_order(due_now):
-                req.look_at = now + LOOK_S
+            due_reqs = [req for req in self.line if req.retry_at <= now]
+            self.line = [req for req in self.line if req.retry_at > now]
+            for req in self._in_order(due_reqs):
+                req.retry_at = now + RETRY_INTERVAL_S
                 self._place(req, now)
             for index, engine in enumerate(self.engines):
                 slow = shape.slow.get(index)
                 engine.slow = slow[0] if slow and slow[1] <= now < slow[2] else 1.0
                 firsts, ended = engine.step(now)
                 for req in firsts:
-                    self.news.append((now + self.rules.news_s, "first", index, req))
+                    self.reports.append((now + self.rules.news_s, "first", index, req))
                 for req in ended:
-                    self.users[index][req.adapter] -= 1
-                    self.news.append((now + self.rules.news_s, "end", index, req))
+                    self.active_requests[index][req.adapter] -= 1
+                    self.reports.append((now + self.rules.news_s, "end", index, req))
             now += STEP_S
         return self
 
@@ -254,7 +254,7 @@
         self.line.append(req)
 
     def _busy(self, index):
-        starting, running, queued = self.seen[index]
+        starting, running, queued = self.known_load[index]
         tokens = tuple(queued[urgency] for urgency in range(10))
         return Busyness(tokens, running, starting)
 
@@ -267,9 +267,9 @@
     def _learn_paces(self, now):
         for index, engine in enumerate(self.engines):
             if engine.events:
-                pause_s = engine.pauses_s / engine.events
+                pause_s = engine.total_pause_s / engine.events
                 self.room.paces.note("llm", str(index), pause_s, engine.events, now)
-            engine.pauses_s, engine.events = 0.0, 0
+            engine.total_pause_s, engine.events = 0.0, 0
 
     def _place(self, req, now):
         if now - req.at > AWAY_S:
@@ -285,12 +285,12 @@
             self.line.append(req)
             return
         late = now + least > req.at + req.target_s
-        full = not has_room(self._busy(best), work, self.terms, self._pace(best))
-        waits = now <= req.at + (HOLD_S if full else MOVE_S) and (late or full)
-        if waits and (coming or self._load(req.adapter, now, least - 0.1) or full):
+        is_full = not has_room(self._busy(best), work, self.terms, self._pace(best))
+        waits = now <= req.at + (HOLD_S if is_full else MOVE_S) and (late or is_full)
+        if waits and (coming or self._load(req.adapter, now, least - 0.1) or is_full):
             self.line.append(req)
             return
-        self._send(req, best, work, late or full, now)
+        self._send(req, best, work, late or is_full, now)
 
     def _urgency(self, rank):
         learned = self.rules.urgency == "learned" and self.room.is_slot_bound("llm", self.terms)
@@ -303,60 +303,60 @@
         if not self.engines[index].arrive(req):
             req.rejected += 1
             req.excluded.add(index)
-            if req.rejected < MOST_SENDS:
+            if req.rejected < MAX_ATTEMPTS:
                 self.line.append(req)
             return
         self.sent[index] += 1
         self.held[index][req.adapter] = now
-        self.users[index][req.adapter] += 1
-        seen = self.seen[index]
-        seen[0] += 1
-        seen[2][req.urgency] += req.prompt
-
-    def _take_news(self, now):
-        while self.news and self.news[0][0] <= now:
-            _, what, index, req = self.news.popleft()
-            seen = self.seen[index]
-            if what == "first":
-                seen[0] -= 1
-                seen[1] += 1
-                seen[2][req.urgency] -= req.prompt
+        self.active_requests[index][req.adapter] += 1
+        known = self.known_load[index]
+        known[0] += 1
+        known[2][req.urgency] += req.prompt
+
+    def _apply_reports(self, now):
+        while self.reports and self.reports[0][0] <= now:
+            _, kind, index, req = self.reports.popleft()
+            known = self.known_load[index]
+            if kind == "first":
+                known[0] -= 1
+                known[1] += 1
+                known[2][req.urgency] -= req.prompt
                 self.speeds.note(
                     "llm", req.busy, Work(req.prompt, req.urgency), req.first_at - req.sent_at
                 )
             else:
-                seen[1] -= 1
-                read_s = req.prompt / self.speeds.speed("llm")
-                self.room.note_run("llm", read_s + req.done_at - req.first_at)
+                known[1] -= 1
+                prefill_s = req.prompt / self.speeds.speed("llm")
+                self.room.note_run("llm", prefill_s + req.done_at - req.first_at)
 
     def _price(self, key):
         if not self.rules.copies:
             return STORE_COST_S
         return STORE_COST_S / max(1.0, self.rates[key] * COPY_USE_S)
 
-    def _load(self, key, now, most_s):
+    def _load(self, key, now, max_cost_s):
         if len(self.coming) >= self.shape.loads_at_once:
             return False
         work = Work(1_000, 1)
-        best, least, victim = None, most_s, None
+        best, min_cost, victim = None, max_cost_s, None
         for index, held in enumerate(self.held):
-            on_way = [other for other, where in self.coming if where == index]
-            if key in held or key in on_way:
+            loading = [other for other, where in self.coming if where == index]
+            if key in held or key in loading:
                 continue
-            out, missed = None, 0.0
-            if len(held) + len(on_way) >= self.shape.places:
+            evicted, eviction_cost = None, 0.0
+            if len(held) + len(loading) >= self.shape.places:
                 idle = [
                     other
                     for other, at in held.items()
-                    if not self.users[index][other] and now - at >= 0.06
+                    if not self.active_requests[index][other] and now - at >= 0.06
                 ]
                 if not idle:
                     continue
-                out = min(idle, key=lambda other: self.rates[other])
-                missed = 0.15 * self.rates[out]
-            cost = self.shape.load_s + self._price(key) + self._cost(index, work) + missed
-            if cost < least:
-                best, least, victim = index, cost, out
+                evicted = min(idle, key=lambda other: self.rates[other])
+                eviction_cost = 0.15 * self.rates[evicted]
+            cost = self.shape.load_s + self._price(key) + self._cost(index, work) + eviction_cost
+            if cost < min_cost:
+                best, min_cost, victim = index, cost, evicted
         if best is None:
             return False
         if victim is not None:
@@ -366,7 +366,7 @@
         self.coming[key, best] = now + self.shape.load_s
         return True
 
-    def _land(self, now):
+    def _complete_loads(self, now):
         for (key, index), at in list(self.coming.items()):
             if at <= now:
                 del self.coming[key, index]
@@ -385,8 +385,8 @@
 
     def figures(self):
         reqs = self.requests
-        lag = [req.first_at - req.at for req in reqs if req.first_at < math.inf]
-        lag.sort()
+        first_event_s = [req.first_at - req.at for req in reqs if req.first_at < math.inf]
+        first_event_s.sort()
         good = [
             req
             for req in reqs
@@ -408,6 +408,6 @@
             "preempted": sum(req.preempted for req in reqs),
             "rejected": sum(req.rejected for req in reqs),
             "loads": self.loads,
-            "p50": round(lag[len(lag) // 2], 3),
-            "p95": round(lag[len(lag) * 95 // 100], 3),
+            "p50": round(first_event_s[len(first_event_s) // 2], 3),
+            "p95": round(first_event_s[len(first_event_s) * 95 // 100], 3),
         }
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -1,4 +1,4 @@
-"""Engines that are slower than others, seen by the pauses between their events."""
+"""Tests of the detection of slow engines by the pauses between their events."""
 
 import random
 
@@ -9,10 +9,10 @@
 
 
 class Service:
-    """Ten engines with some runs each, whose events are told every 0.2 s."""
+    """Simulated service of ten engines with some runs each; events are reported every 0.2 s."""
 
     def __init__(self, engines=10, runs=4, seed=1):
-        self.paces = EnginePaces()
+        self.detector = EnginePaces()
         self.rng = random.Random(seed)
         self.engines = [f"e{number}" for number in range(engines)]
         self.runs = runs
@@ -26,28 +26,28 @@
             factor = (slow or {}).get(name, 1.0) * self.rng.uniform(0.8, 1.25)
             pause_s = EVENT_S * factor
             events = max(1, round(self.runs * 0.2 / pause_s))
-            self.paces.note("llm", name, pause_s, events, self.now)
+            self.detector.note("llm", name, pause_s, events, self.now)
 
     def slowness(self, name):
-        return self.paces.slowness("llm", name, self.now)
+        return self.detector.slowness("llm", name, self.now)
 
 
-@pytest.mark.parametrize("times", [2.2, 4.0, 7.5])
-def test_a_slow_engine_is_seen_within_a_second_and_well_again(times):
+@pytest.mark.parametrize("slowdown", [2.2, 4.0, 7.5])
+def test_a_slow_engine_is_detected_within_a_second_and_recovers(slowdown):
     service = Service()
     for _ in range(10):
         service.step()
-    assert service.paces.slow(service.now) == {}
+    assert service.detector.slow(service.now) == {}
     for _ in range(5):
-        service.step({"e3": times})
-    assert service.slowness("e3") > 0.6 * times
-    assert set(service.paces.slow(service.now)) == {"e3"}
+        service.step({"e3": slowdown})
+    assert service.slowness("e3") > 0.6 * slowdown
+    assert set(service.detector.slow(service.now)) == {"e3"}
     for _ in range(15):
         service.step()
     assert service.slowness("e3") == 1.0
 
 
-def test_an_engine_without_events_is_tried_again():
+def test_an_engine_without_events_recovers():
     service = Service()
     for _ in range(10):
         service.step({"e3": 6.0})
@@ -57,18 +57,18 @@
     assert service.slowness("e3") == 1.0
 
 
-def test_full_and_empty_batches_are_not_taken_for_slow_and_well():
+def test_load_differences_do_not_count_as_slowness():
     service = Service()
     for _ in range(20):
         service.step({"e1": 1.25, "e2": 0.8})
-        assert service.paces.slow(service.now) == {}
+        assert service.detector.slow(service.now) == {}
 
 
-def test_one_run_that_was_stopped_does_not_make_its_engine_slow():
+def test_one_stopped_run_does_not_make_its_engine_slow():
     service = Service()
     for _ in range(10):
         service.step()
-    service.paces.note("llm", "e4", 8.0, 1, service.now)
+    service.detector.note("llm", "e4", 8.0, 1, service.now)
     assert service.slowness("e4") < 1.7
     service.step()
     assert service.slowness("e4") == 1.0
@@ -83,17 +83,17 @@
         service.step()
 
 
-def test_too_few_engines_tell_nothing():
+def test_with_too_few_engines_none_is_slow():
     service = Service(engines=MIN_ENGINES - 1)
     for _ in range(10):
         service.step({"e0": 7.5})
-    assert service.paces.slow(service.now) == {}
+    assert service.detector.slow(service.now) == {}
 
 
-def test_what_is_told_is_bounded_and_forgotten():
-    paces = EnginePaces()
-    paces.take("e0", 50.0, 1.0)
-    assert paces.slowness("llm", "e0", 1.0) == MAX_SLOWNESS
-    assert 1.0 < paces.slowness("llm", "e0", 1.0 + SLOWNESS_HALF_LIFE_S) < MAX_SLOWNESS
-    paces.forget("e0")
-    assert paces.slowness("llm", "e0", 1.0) == 1.0
+def test_slowness_set_from_elsewhere_is_bounded_and_decays():
+    detector = EnginePaces()
+    detector.take("e0", 50.0, 1.0)
+    assert detector.slowness("llm", "e0", 1.0) == MAX_SLOWNESS
+    assert 1.0 < detector.slowness("llm", "e0", 1.0 + SLOWNESS_HALF_LIFE_S) < MAX_SLOWNESS
+    detector.forget("e0")
+    assert detector.slowness("llm", "e0", 1.0) == 1.0
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -1,4 +1,4 @@
-"""What engines keep of prompts: what is known of it, and what a choice by it spares."""
+"""Tests of prefix cache estimates, alone and in simulations of the choice of engines by them."""
 
 import functools
 
@@ -15,15 +15,15 @@
     tokens_at_home,
 )
 from gradelug_policy.spread import choose_settled, choose_spread
-from kept_load import OWN_TOKENS, SPEED, TERMS, World
+from kept_load import OWN_TOKENS, SPEED, TERMS, CacheSimulation
 
-NEWS_S = 0.255
-"""How old news are where 85 gateways follow a planner."""
+STATE_AGE_S = 0.255
+"""Age of the engine state where 85 gateways receive it from a planner."""
 SEEDS = (1, 2, 3, 4, 5)
 
 
-class Whole:
-    """One who knows engines as they are chooses for all; what they keep is no matter to it."""
+class GlobalState:
+    """Chooses centrally by the current state of the engines and ignores their prefix caches."""
 
     def __init__(self):
         self.kept = KeptParts()
@@ -31,43 +31,43 @@
     def kept_tokens(self, gateway, name, chain, now):
         return 0
 
-    def choose(self, world, gateway, chain, names, now):
+    def choose(self, simulation, gateway, chain, names, now):
         def cost_s(name):
             kept = self.kept_tokens(gateway, name, chain, now)
-            return world.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
+            return simulation.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
 
         return min(names, key=cost_s)
 
-    def note(self, world, gateway, chain, name, now):
+    def note(self, simulation, gateway, chain, name, now):
         self.kept.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
         self.kept.note(name, chain, now)
 
 
-class Asked(Whole):
-    """The planner that all gateways ask reckons with what it had sent where."""
+class PlannerEstimate(GlobalState):
+    """A planner that all gateways ask estimates caches from the requests that it has placed."""
 
     def kept_tokens(self, gateway, name, chain, now):
         return self.kept.kept_tokens(name, chain, now)
 
 
-class Events(Whole):
-    """Engines tell it what they keep, 0.3 s late, and one change in fifty never."""
+class CacheEvents(GlobalState):
+    """Engines report cache changes, with a delay of 0.3 s and a loss of one in fifty."""
 
     def __init__(self):
         super().__init__()
-        self.told = {}
+        self.reported = {}
 
-    def choose(self, world, gateway, chain, names, now):
+    def choose(self, simulation, gateway, chain, names, now):
         for name in names:
-            changes, marks = world.engines[name].changes, self.told.setdefault(name, set())
+            changes, marks = simulation.engines[name].changes, self.reported.setdefault(name, set())
             while changes and changes[0][0] + 0.3 <= now:
                 _, came, mark = changes.popleft()
-                if world.rng.random() >= 0.02:
+                if simulation.rng.random() >= 0.02:
                     (marks.add if came else marks.discard)(mark)
-        return super().choose(world, gateway, chain, names, now)
+        return super().choose(simulation, gateway, chain, names, now)
 
     def kept_tokens(self, gateway, name, chain, now):
-        tokens, marks = 0, self.told.get(name, ())
+        tokens, marks = 0, self.reported.get(name, ())
         for prefix in chain.prefixes:
             if prefix.mark not in marks:
                 break
@@ -75,139 +75,154 @@
         return tokens
 
 
-class OwnSends(Whole):
-    """Each of six gateways knows what it sent itself."""
+class GatewayEstimates(GlobalState):
+    """Each of six gateways estimates caches from its own requests."""
 
     def __init__(self):
-        self.each = [KeptParts() for _ in range(6)]
-        for kept in self.each:
+        self.trackers = [KeptParts() for _ in range(6)]
+        for kept in self.trackers:
             kept.seen_part = 1 / 6
 
     def kept_tokens(self, gateway, name, chain, now):
-        return self.each[gateway % 6].kept_tokens(name, chain, now)
+        return self.trackers[gateway % 6].kept_tokens(name, chain, now)
 
-    def note(self, world, gateway, chain, name, now):
-        kept = self.each[gateway % 6]
+    def note(self, simulation, gateway, chain, name, now):
+        kept = self.trackers[gateway % 6]
         kept.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
         kept.note(name, chain, now)
 
 
-class Homes(OwnSends):
-    """And takes a chain for kept at its home."""
+class PreferredEngines(GatewayEstimates):
+    """As before; in addition a chain is assumed to be cached at its preferred engine."""
 
-    def choose(self, world, gateway, chain, names, now):
+    def choose(self, simulation, gateway, chain, names, now):
         home = home_of(chain, names)
 
         def cost_s(name):
             kept = self.kept_tokens(gateway, name, chain, now)
             kept = tokens_at_home(chain, kept, SPEED) if name == home else kept
-            return world.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
+            return simulation.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
 
         return min(names, key=cost_s)
 
 
-class Alone(Whole):
-    """85 gateways choose for themselves by old news; what is kept is no matter to them."""
+class RandomChoice(GlobalState):
+    """85 gateways choose at random by an outdated state and ignore prefix caches."""
 
-    def choose(self, world, gateway, chain, names, now):
-        costs_s = [(name, world.cost_s(name, chain, 0, now)) for name in names]
-        return choose_spread(costs_s, NEWS_S, world.rng)
+    def choose(self, simulation, gateway, chain, names, now):
+        costs_s = [(name, simulation.cost_s(name, chain, 0, now)) for name in names]
+        return choose_spread(costs_s, STATE_AGE_S, simulation.rng)
 
 
-class Settled(Alone):
-    """They draw the same engine for prompts that begin alike, unless these are many."""
+class HashedChoice(RandomChoice):
+    """Gateways choose by a hash of the prefix, so that a rare prefix goes to one engine."""
 
     def __init__(self, gateways=85):
         super().__init__()
         self.shares = [ChainShares() for _ in range(gateways)]
 
-    def choose(self, world, gateway, chain, names, now):
-        costs_s = [(name, world.cost_s(name, chain, 0, now)) for name in names]
+    def choose(self, simulation, gateway, chain, names, now):
+        costs_s = [(name, simulation.cost_s(name, chain, 0, now)) for name in names]
         share = self.shares[gateway % len(self.shares)].note(chain)
-        mark = split_mark(chain, share, len(names), world.rng.random())
-        return choose_settled(costs_s, NEWS_S, mark)
+        mark = split_mark(chain, share, len(names), simulation.rng.random())
+        return choose_settled(costs_s, STATE_AGE_S, mark)
 
 
-class SettledTen(Settled):
-    """Ten gateways see more of the requests each."""
+class HashedChoiceTenGateways(HashedChoice):
+    """Ten gateways, each of which observes more of the requests."""
 
     def __init__(self):
         super().__init__(10)
 
 
 @functools.cache
-def played(way, seed, news_s=0.0, subjects=44, restart_s=0.0, scale=1):
+def simulated(policy, seed, state_age_s=0.0, subjects=44, restart_s=0.0, scale=1):
     rate = 40.0 if scale == 1 else 20.0
-    return World(way(), rate, seed, news_s, subjects, restart_s, scale).go()
+    return CacheSimulation(policy(), rate, seed, state_age_s, subjects, restart_s, scale).run()
 
 
-def mean(way, read, *args):
-    return sum(read(played(way, seed, *args)) for seed in SEEDS) / len(SEEDS)
+def mean(policy, metric, *args):
+    return sum(metric(simulated(policy, seed, *args)) for seed in SEEDS) / len(SEEDS)
 
 
-def again(way, *args):
-    return mean(way, lambda world: world.again_part, *args)
+def repeated(policy, *args):
+    return mean(policy, lambda simulation: simulation.repeated_fraction, *args)
 
 
-def late(way, *args):
-    return mean(way, lambda world: world.late(), *args)
+def late_fraction(policy, *args):
+    return mean(policy, lambda simulation: simulation.late_fraction(), *args)
 
 
-def longest(way, *args):
-    return mean(way, lambda world: world.longest, *args)
+def longest_queue(policy, *args):
+    return mean(policy, lambda simulation: simulation.longest_queue, *args)
 
 
-def first_s(way, *args):
-    return mean(way, lambda world: world.mean_s(), *args)
+def mean_wait_s(policy, *args):
+    return mean(policy, lambda simulation: simulation.mean_wait_s(), *args)
 
 
-def wrong(way, *args):
-    return mean(way, lambda world: world.wrong / max(1, world.credited), *args)
+def wrong_fraction(policy, *args):
+    return mean(
+        policy, lambda simulation: simulation.wrongly_credited / max(1, simulation.credited), *args
+    )
 
 
-class TestLoad:
-    def test_who_answers_all_spares_nearly_half_of_what_was_read_again(self):
-        assert again(Whole) > 0.17
-        assert again(Asked) < 0.6 * again(Whole)
-        assert first_s(Asked) < first_s(Whole)
+class TestSimulatedLoad:
+    def test_a_planner_estimate_avoids_nearly_half_of_the_repeated_prefill(self):
+        assert repeated(GlobalState) > 0.17
+        assert repeated(PlannerEstimate) < 0.6 * repeated(GlobalState)
+        assert mean_wait_s(PlannerEstimate) < mean_wait_s(GlobalState)
 
-    def test_events_of_engines_would_tell_it_little_more(self):
-        assert again(Asked) - again(Events) < 0.02
+    def test_cache_events_of_engines_add_little(self):
+        assert repeated(PlannerEstimate) - repeated(CacheEvents) < 0.02
 
-    def test_what_is_taken_for_kept_is_kept(self):
-        assert wrong(Asked) < 0.01
+    def test_credited_parts_are_cached(self):
+        assert wrong_fraction(PlannerEstimate) < 0.01
 
-    def test_own_sends_of_few_gateways_spare_little_and_homes_as_much_as_who_knows_all(self):
-        assert again(OwnSends) > 0.85 * again(Whole)
-        assert again(Homes) < 0.7 * again(Whole)
+    def test_gateway_estimates_alone_avoid_little_and_preferred_engines_as_much_as_a_planner(self):
+        assert repeated(GatewayEstimates) > 0.85 * repeated(GlobalState)
+        assert repeated(PreferredEngines) < 0.7 * repeated(GlobalState)
 
     def test_the_longest_queue_does_not_grow(self):
-        for way in (Asked, Homes):
-            assert longest(way) <= longest(Whole)
-        for way in (Settled, SettledTen):
-            assert longest(way, NEWS_S) <= longest(Alone, NEWS_S)
-
-    def test_gateways_by_themselves_read_less_again_and_nobody_waits_longer(self):
-        assert again(Settled, NEWS_S) < 0.97 * again(Alone, NEWS_S)
-        assert again(SettledTen, NEWS_S) < 0.8 * again(Alone, NEWS_S)
-        for way in (Settled, SettledTen):
-            assert first_s(way, NEWS_S) <= first_s(Alone, NEWS_S)
-
-    def test_one_chain_for_all_does_not_send_them_to_one_engine(self):
-        assert first_s(Settled, NEWS_S, 1) <= 1.03 * first_s(Alone, NEWS_S, 1)
-        assert longest(Settled, NEWS_S, 1) <= longest(Alone, NEWS_S, 1)
-        assert longest(Homes, 0.0, 1) <= longest(Whole, 0.0, 1)
-
-    def test_long_parts_draw_nobody_into_a_long_queue_for_what_may_not_be_kept(self):
+        for policy in (PlannerEstimate, PreferredEngines):
+            assert longest_queue(policy) <= longest_queue(GlobalState)
+        for policy in (HashedChoice, HashedChoiceTenGateways):
+            assert longest_queue(policy, STATE_AGE_S) <= longest_queue(RandomChoice, STATE_AGE_S)
+
+    def test_hashed_choice_of_gateways_repeats_less_prefill_without_longer_waits(self):
+        assert repeated(HashedChoice, STATE_AGE_S) < 0.97 * repeated(RandomChoice, STATE_AGE_S)
+        assert repeated(HashedChoiceTenGateways, STATE_AGE_S) < 0.8 * repeated(
+            RandomChoice, STATE_AGE_S
+        )
+        for policy in (HashedChoice, HashedChoiceTenGateways):
+            assert mean_wait_s(policy, STATE_AGE_S) <= mean_wait_s(RandomChoice, STATE_AGE_S)
+
+    def test_a_single_chain_does_not_overload_one_engine(self):
+        assert mean_wait_s(HashedChoice, STATE_AGE_S, 1) <= 1.03 * mean_wait_s(
+            RandomChoice, STATE_AGE_S, 1
+        )
+        assert longest_queue(HashedChoice, STATE_AGE_S, 1) <= longest_queue(
+            RandomChoice, STATE_AGE_S, 1
+        )
+        assert longest_queue(PreferredEngines, 0.0, 1) <= longest_queue(GlobalState, 0.0, 1)
+
+    def test_long_parts_do_not_attract_requests_to_a_long_queue(self):
         long_parts = (0.0, 44, 0.0, 8)
-        assert again(Homes, *long_parts) < 0.6 * again(Whole, *long_parts)
-        assert first_s(Homes, *long_parts) < 0.95 * first_s(Whole, *long_parts)
-        assert late(Homes, *long_parts) < late(Whole, *long_parts) + 0.006
-        assert longest(Homes, *long_parts) < 1.05 * longest(Whole, *long_parts)
-
-    def test_an_engine_that_restarts_is_credited_wrongly_until_that_is_known(self):
-        world = played(Asked, 1, 0.0, 44, 10.0)
-        assert world.wrong > played(Asked, 1).wrong
+        assert repeated(PreferredEngines, *long_parts) < 0.6 * repeated(GlobalState, *long_parts)
+        assert mean_wait_s(PreferredEngines, *long_parts) < 0.95 * mean_wait_s(
+            GlobalState, *long_parts
+        )
+        assert (
+            late_fraction(PreferredEngines, *long_parts)
+            < late_fraction(GlobalState, *long_parts) + 0.006
+        )
+        assert longest_queue(PreferredEngines, *long_parts) < 1.05 * longest_queue(
+            GlobalState, *long_parts
+        )
+
+    def test_a_restarted_engine_is_credited_wrongly_until_the_restart_is_known(self):
+        simulation = simulated(PlannerEstimate, 1, 0.0, 44, 10.0)
+        assert simulation.wrongly_credited > simulated(PlannerEstimate, 1).wrongly_credited
 
 
 PARTS = (PromptPart("a", 200), PromptPart("b", 100), PromptPart("c", 900))
@@ -222,25 +237,25 @@
 
 
 class TestChains:
-    def test_the_last_part_is_the_requests_own(self):
+    def test_the_last_part_is_excluded(self):
         chain = chain_of("m/x", "", PARTS)
         assert [prefix.tokens for prefix in chain.prefixes] == [200, 300]
         assert chain == chain_of("m/x", "", (*PARTS[:2], PromptPart("d", 50)))
         assert chain_of("m/x", "", PARTS[:1]) is None
         assert chain_of("m/x", "", ()) is None
 
-    def test_a_part_counts_only_behind_the_same_parts(self):
+    def test_a_part_counts_only_after_the_same_parts(self):
         other = chain_of("m/x", "", (PromptPart("z", 200), *PARTS[1:]))
         assert new_kept().kept_tokens("e0", other, 1.0) == 0
 
-    def test_the_first_parts_alone_are_kept_too(self):
+    def test_a_shorter_prefix_is_credited(self):
         other = chain_of("m/x", "", (PARTS[0], PromptPart("z", 10), PARTS[2]))
         assert new_kept().kept_tokens("e0", other, 1.0) == 200
 
     @pytest.mark.parametrize(
         ("weights", "owner"), [("m/y", "one"), ("m/x", "two"), ("m/x", ""), ("m", "one")]
     )
-    def test_what_was_read_for_one_is_never_credited_to_another(self, weights, owner):
+    def test_a_prefix_is_never_credited_to_other_weights_or_owners(self, weights, owner):
         kept = new_kept("one")
         assert kept.kept_tokens("e0", chain_of("m/x", "one", PARTS), 1.0) == 300
         assert kept.kept_tokens("e0", chain_of(weights, owner, PARTS), 1.0) == 0
@@ -249,17 +264,17 @@
 class TestKeptParts:
     CHAIN = chain_of("m/x", "", PARTS)
 
-    def test_another_engine_keeps_nothing_of_it(self):
+    def test_other_engines_are_not_credited(self):
         assert new_kept().kept_tokens("e1", self.CHAIN, 1.0) == 0
         assert new_kept().kept_tokens("e0", None, 1.0) == 0
 
-    def test_an_engine_that_starts_again_keeps_nothing(self):
+    def test_a_restart_clears_the_cache(self):
         kept = new_kept()
         kept.forget("e0")
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
         assert kept.size == 0
 
-    def test_parts_go_with_the_weights(self):
+    def test_unloaded_weights_clear_their_prefixes(self):
         kept = new_kept()
         kept.note("e0", chain_of("m/y", "", PARTS), 1.0)
         kept.forget_weights("e0", "m/x")
@@ -267,25 +282,25 @@
         assert kept.kept_tokens("e0", chain_of("m/y", "", PARTS), 1.0) == 300
         assert kept.size == 2
 
-    def test_they_give_way_to_what_is_sent_there(self):
+    def test_prefixes_are_evicted_by_later_prompts(self):
         kept = new_kept()
         kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY), MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 300
         kept.note_sent("e0", 1, MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
 
-    def test_who_sees_a_part_of_what_is_sent_reckons_with_the_rest(self):
+    def test_unobserved_traffic_is_extrapolated(self):
         kept = new_kept()
         kept.seen_part = 0.1
         kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY / 10) + 1, MEMORY)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
 
-    def test_they_age(self):
+    def test_prefixes_expire(self):
         kept = new_kept()
         assert kept.kept_tokens("e0", self.CHAIN, 1.0 + KEPT_S) == 300
         assert kept.kept_tokens("e0", self.CHAIN, 1.1 + KEPT_S) == 0
 
-    def test_memory_is_bounded_and_the_newest_stay(self):
+    def test_tracked_prefixes_are_bounded_and_the_newest_retained(self):
         kept = KeptParts()
         chains = [
             chain_of("m/x", "", (PromptPart(f"p{number}", 10), PARTS[2]))
@@ -298,19 +313,19 @@
         assert kept.kept_tokens("e0", chains[-1], 1.0) == 10
         assert kept.kept_tokens("e0", chains[0], 1.0) == 0
 
-    def test_what_a_planner_tells_is_taken_up_to_its_tokens(self):
+    def test_a_planners_report_counts_up_to_its_tokens(self):
         kept = KeptParts()
         kept.note("e0", self.CHAIN, 1.0, 200)
         assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 200
         kept.note("e1", self.CHAIN, 1.0, 0)
         assert kept.kept_tokens("e1", self.CHAIN, 1.0) == 0
 
-    def test_engines_that_are_gone_are_forgotten(self):
+    def test_removed_engines_are_dropped(self):
         kept = new_kept()
         kept.forget_gone({"e1"}, 1.0)
         assert kept.size == 0
 
-    def test_what_has_aged_takes_no_memory_for_long(self):
+    def test_expired_prefixes_are_removed(self):
         kept = new_kept()
         kept.forget_gone({"e0"}, 2.0)
         assert kept.size == 2
@@ -318,25 +333,25 @@
         assert kept.size == 0
 
 
-class TestHomes:
+class TestPreferredEngines:
     NAMES = tuple(f"e{number}" for number in range(8))
 
     def chains(self):
         return [chain_of("m/x", "", (PromptPart(f"p{n}", 10), PARTS[2])) for n in range(400)]
 
-    def test_homes_are_spread_and_do_not_depend_on_the_order(self):
+    def test_preferred_engines_are_spread_and_independent_of_the_order(self):
         homes = [home_of(chain, self.NAMES) for chain in self.chains()]
         assert homes == [home_of(chain, self.NAMES[::-1]) for chain in self.chains()]
         assert all(30 <= homes.count(name) <= 70 for name in self.NAMES)
         assert home_of(self.chains()[0], ()) == ""
 
-    def test_an_engine_less_moves_only_its_own(self):
+    def test_removing_an_engine_moves_only_its_chains(self):
         for chain in self.chains():
             home = home_of(chain, self.NAMES)
             if home != "e3":
                 assert home_of(chain, [name for name in self.NAMES if name != "e3"]) == home
 
-    def test_a_chain_of_which_nothing_is_known_is_split(self):
+    def test_a_chain_is_split_by_its_share(self):
         chain, shares = self.chains()[0], ChainShares()
         first = shares.note(chain)
         assert first == 1.0
@@ -349,18 +364,18 @@
             chain.prefixes[-1].mark
         }
 
-    def test_weights_that_were_long_not_asked_for_are_forgotten(self):
+    def test_weights_without_recent_requests_are_dropped(self):
         shares = ChainShares()
         for number in range(2_000):
             shares.note(chain_of(f"m/{number}", "", PARTS))
         assert len(shares._recent) == MAX_WEIGHTS
 
-    def test_settled_draws_are_as_likely_as_those_by_chance(self):
-        costs_s = [("e0", 0.1), ("e1", 0.1), ("e2", 0.1 + NEWS_S / 2), ("e3", 9.0)]
-        drawn = [
-            choose_settled(costs_s, NEWS_S, chain.prefixes[-1].mark) for chain in self.chains()
+    def test_hashed_choice_has_the_distribution_of_the_random_choice(self):
+        costs_s = [("e0", 0.1), ("e1", 0.1), ("e2", 0.1 + STATE_AGE_S / 2), ("e3", 9.0)]
+        chosen = [
+            choose_settled(costs_s, STATE_AGE_S, chain.prefixes[-1].mark) for chain in self.chains()
         ]
         # Weights 1, 1 and 1/e.
-        assert drawn.count("e0") / len(drawn) == pytest.approx(0.42, abs=0.06)
-        assert drawn.count("e2") / len(drawn) == pytest.approx(0.155, abs=0.05)
-        assert "e3" not in drawn
+        assert chosen.count("e0") / len(chosen) == pytest.approx(0.42, abs=0.06)
+        assert chosen.count("e2") / len(chosen) == pytest.approx(0.155, abs=0.05)
+        assert "e3" not in chosen
--- a/tests/test_run_versions.py
+++ b/tests/test_run_versions.py
@@ -1,4 +1,4 @@
-"""Versions of weights: what is the same, what a load can bring, how many engines renew at once."""
+"""Tests of weight version comparison and of the limit on concurrent base model renewals."""
 
 import pytest
 from gradelug_policy.renewal import MAX_RENEWAL_S, renewals_left
@@ -18,8 +18,8 @@
             (2, 0, 2, False),
         ],
     )
-    def test_an_engine_has_the_weights_of_a_memory(self, version, held, newest, same):
-        """What is not told is the same only as long as there is one version."""
+    def test_weights_match_those_of_the_memory(self, version, held, newest, same):
+        """An unknown version matches only while no version was announced."""
         assert is_same(version, held, newest) is same
 
     @pytest.mark.parametrize(
@@ -34,28 +34,28 @@
             ((0, 1), (1, 1), False),
         ],
     )
-    def test_a_load_brings_the_newest(self, memory, newest, loadable):
+    def test_a_load_provides_the_newest_version(self, memory, newest, loadable):
         assert is_loadable(WeightVersions(*memory), WeightVersions(*newest)) is loadable
 
-    def test_what_an_engine_names_is_compared(self):
+    def test_reported_version_is_compared(self):
         memory = WeightVersions(2, 7)
         assert compare(memory, VersionWord(2)) == "same"
         assert compare(memory, VersionWord(3)) == "other"
         assert compare(memory, VersionWord()) == "unknown"
         assert compare(WeightVersions(), VersionWord(3)) == "unknown"
 
-    def test_an_unreadable_word_changes_nothing(self):
+    def test_an_unreadable_version_is_ignored(self):
         memory = WeightVersions(2, 7)
         assert memory.told(VersionWord(unreadable="x")) == memory
         assert memory.told(VersionWord(3)) == WeightVersions(3, 7)
 
 
 class TestRenewal:
-    @pytest.mark.parametrize(("engines", "most"), [(1, 1), (2, 1), (5, 2), (600, 300)])
-    def test_part_of_the_engines_renew_at_a_time(self, engines, most):
-        assert renewals_left([], engines, 0.1) == most
-        assert renewals_left([0.0] * (most - 1), engines, 0.1) == 1
-        assert renewals_left([0.0] * most, engines, 0.1) == 0
+    @pytest.mark.parametrize(("engines", "max_renewals"), [(1, 1), (2, 1), (5, 2), (600, 300)])
+    def test_a_fraction_of_the_engines_renews_at_the_same_time(self, engines, max_renewals):
+        assert renewals_left([], engines, 0.1) == max_renewals
+        assert renewals_left([0.0] * (max_renewals - 1), engines, 0.1) == 1
+        assert renewals_left([0.0] * max_renewals, engines, 0.1) == 0
 
-    def test_an_engine_whose_runs_last_keeps_no_other_waiting(self):
+    def test_an_engine_with_long_runs_does_not_delay_others(self):
         assert renewals_left([0.0], 2, MAX_RENEWAL_S) == 1
