--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_room.py
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineRates:
-    """How fast an engine processes prompts and completes runs.
+    """Rates at which an engine processes prompts and completes runs.
 
     Parameters
     ----------
@@ -106,32 +106,33 @@
         )
 
 
-def capacity_wait_s(busy: Busyness, work: Work, terms: Terms, pace: EngineRates) -> float:
+def capacity_wait_s(load: Busyness, work: Work, capacity: Terms, rates: EngineRates) -> float:
     """Return the time until a slot and enough memory are free for a request, in seconds.
 
     Assumes that `n` runs end at even intervals of `hold_s / n`, each of which frees an equal part
-    of the memory."""
+    of the memory.
+    """
     ends = 0.0
-    if terms.slots:
-        ends = float(max(0, busy.held - terms.slots + 1))
-    if terms.memory_tokens:
-        excess = busy.memory_tokens + work.memory_tokens - terms.memory_tokens
-        run_tokens = max(MIN_RUN_TOKENS, busy.memory_tokens / max(1, busy.held))
+    if capacity.slots:
+        ends = float(max(0, load.held - capacity.slots + 1))
+    if capacity.memory_tokens:
+        excess = load.memory_tokens + work.memory_tokens - capacity.memory_tokens
+        run_tokens = max(MIN_RUN_TOKENS, load.memory_tokens / max(1, load.held))
         ends = max(ends, math.ceil(max(0, excess) / run_tokens))
     if not ends:
         return 0.0
-    running = min(busy.held, terms.slots) if terms.slots else busy.held
-    return ends * pace.hold_s / max(1, running)
+    running = min(load.held, capacity.slots) if capacity.slots else load.held
+    return ends * rates.hold_s / max(1, running)
 
 
-def expected_s(busy: Busyness, work: Work, terms: Terms, pace: EngineRates) -> float:
+def expected_s(load: Busyness, work: Work, capacity: Terms, rates: EngineRates) -> float:
     """Return the time until a request's first event, in seconds, with its wait for capacity."""
-    prefill_s = first_event_s(busy, work, pace.tokens_per_s)
-    return prefill_s + capacity_wait_s(busy, work, terms, pace)
+    prefill_s = first_event_s(load, work, rates.tokens_per_s)
+    return prefill_s + capacity_wait_s(load, work, capacity, rates)
 
 
 def has_room(
-    busy: Busyness, work: Work, terms: Terms, pace: EngineRates, state_age_s: float = 0.0
+    load: Busyness, work: Work, capacity: Terms, rates: EngineRates, state_age_s: float = 0.0
 ) -> bool:
     """Return whether an engine can start a request without preempting another or queueing it.
 
@@ -141,16 +142,16 @@
         Age of the known engine state, in seconds. Runs expected to end within it count as free
         capacity; otherwise slots would stay empty for as long as reports take to arrive.
     """
-    return capacity_wait_s(busy, work, terms, pace) <= state_age_s
+    return capacity_wait_s(load, work, capacity, rates) <= state_age_s
 
 
-def free_slots(busy: Busyness, terms: Terms) -> int:
+def free_slots(load: Busyness, capacity: Terms) -> int:
     """Return how many slots of an engine are free."""
-    return max(0, terms.slots - busy.held)
+    return max(0, capacity.slots - load.held)
 
 
 def copy_gain_s(
-    holders: t.Collection[Busyness], rate: float, load_s: float, terms: Terms, hold_s: float
+    holders: t.Collection[Busyness], rate: float, load_s: float, capacity: Terms, hold_s: float
 ) -> float:
     """Return the total waiting time that another copy of an adapter would save, in seconds.
 
@@ -165,22 +166,22 @@
         Requests per second for the adapter.
     load_s : float
         Expected duration of a load, in seconds.
-    terms : Terms
+    capacity : Terms
         Capacity of each of these engines.
     hold_s : float
         Mean time that a run occupies a slot, in seconds.
     """
-    if not terms.slots or not holders:
+    if not capacity.slots or not holders:
         return 0.0
     arrivals = rate * (load_s + COPY_START_DELAY_S)
     missing_slots = (
         arrivals
         + DEMAND_DEVIATIONS * math.sqrt(arrivals)
-        - sum(free_slots(busy, terms) for busy in holders)
+        - sum(free_slots(load, capacity) for load in holders)
     )
     if missing_slots <= 0:
         return 0.0
-    wait_s = hold_s * max(1.0, missing_slots) / (terms.slots * len(holders))
+    wait_s = hold_s * max(1.0, missing_slots) / (capacity.slots * len(holders))
     return wait_s * rate * COPY_USE_S
 
 
@@ -214,7 +215,7 @@
         """Add the time, in seconds, that a successful run of a service occupied its slot."""
         self._hold_times.setdefault(service, MeanHoldTime()).note(held_s)
 
-    def is_slot_bound(self, service: str, terms: Terms) -> bool:
+    def is_slot_bound(self, service: str, capacity: Terms) -> bool:
         """Return whether the engines of a service are limited by slots rather than by prefill.
 
         With all slots taken, an engine has to process one mean prompt per slot in the time that a
@@ -224,9 +225,9 @@
         result is kept: while requests of ranked and of equal urgency run on one engine, the former
         preempt the latter.
         """
-        if not terms.slots:
+        if not capacity.slots:
             return False
-        needed_tokens = terms.slots * self._speeds.mean_prompt(service)
+        needed_tokens = capacity.slots * self._speeds.mean_prompt(service)
         prefill_capacity_tokens = self._speeds.speed(service) * self.hold_s(service)
         is_bound = (
             needed_tokens
--- a/packages/policy/src/gradelug_policy/kept_parts.py
+++ b/packages/policy/src/gradelug_policy/kept_parts.py
@@ -196,20 +196,20 @@
     @property
     def size(self) -> int:
         """Number of prefixes tracked."""
-        return sum(parts.count for parts in self._engines.values())
+        return sum(cache.count for cache in self._engines.values())
 
     def kept_tokens(self, engine: str, chain: Chain | None, now: float) -> int:
         """Return the tokens of a chain that an engine is assumed to have cached."""
-        parts = self._engines.get(engine)
-        if chain is None or parts is None:
+        cache = self._engines.get(engine)
+        if chain is None or cache is None:
             return 0
-        uses = parts.uses.get(chain.weights)
+        uses = cache.uses.get(chain.weights)
         if uses is None:
             return 0
         tokens = 0
         for prefix in chain.prefixes:
             use = uses.get(prefix.mark)
-            if use is None or not parts.is_cached(use, now):
+            if use is None or not cache.is_cached(use, now):
                 break
             tokens = prefix.tokens
         return tokens
@@ -218,12 +218,12 @@
         """Record that an engine caches a chain, or only prefixes of up to `tokens` tokens."""
         if chain is None or tokens == 0:
             return
-        parts = self._engines.setdefault(engine, _EngineCache())
+        cache = self._engines.setdefault(engine, _EngineCache())
         for prefix in chain.prefixes:
             if tokens < 0 or prefix.tokens <= tokens:
-                parts.note(chain.weights, prefix.mark, now)
-        if parts.count > MAX_CACHED_PREFIXES:
-            parts.prune(now)
+                cache.note(chain.weights, prefix.mark, now)
+        if cache.count > MAX_CACHED_PREFIXES:
+            cache.prune(now)
 
     def note_sent(self, engine: str, tokens: int, memory_tokens: int) -> None:
         """Record prompts sent to an engine, which evict prefixes used before.
@@ -238,9 +238,9 @@
             Capacity of the engine's memory; 0 if unknown, then prefixes expire by time alone.
         """
         if tokens:
-            parts = self._engines.setdefault(engine, _EngineCache())
-            parts.sent += tokens / self.seen_part
-            parts.max_tokens_since_use = (
+            cache = self._engines.setdefault(engine, _EngineCache())
+            cache.sent += tokens / self.seen_part
+            cache.max_tokens_since_use = (
                 CACHE_MEMORY_FRACTION * memory_tokens if memory_tokens else math.inf
             )
 
@@ -266,17 +266,17 @@
 
     def forget_weights(self, engine: str, weights: str) -> None:
         """Drop the prefixes that an engine cached for weights it has unloaded."""
-        parts = self._engines.get(engine)
-        if parts is not None:
-            parts.forget(weights)
+        cache = self._engines.get(engine)
+        if cache is not None:
+            cache.forget(weights)
 
     def forget_gone(self, engines: t.Container[str], now: float) -> None:
         """Drop all engines but the given ones and, periodically, their evicted prefixes."""
         for engine in [engine for engine in self._engines if engine not in engines]:
             del self._engines[engine]
-        for parts in self._engines.values():
-            if now - parts.pruned_at > KEPT_S:
-                parts.prune(now)
+        for cache in self._engines.values():
+            if now - cache.pruned_at > KEPT_S:
+                cache.prune(now)
 
 
 def tokens_at_home(chain: Chain, known: int, tokens_per_s: float) -> int:
--- a/packages/policy/src/gradelug_policy/lasting_runs.py
+++ b/packages/policy/src/gradelug_policy/lasting_runs.py
@@ -22,7 +22,7 @@
 so that a first break raises the estimate for that engine much and for all others less."""
 LEAST_RISK = 0.02
 """Lowest break probability for which a run is copied. A copy transfers the memory of a whole run;
-below this, at least fifty runs are transferred for each one that is recovered."""
+below this, more than fifty runs are transferred for each one that is recovered."""
 MIN_REMAINING_S = 0.4
 """A run that ends sooner is not copied: copies are sent a few times per second, so it would end
 before its copy is usable."""
@@ -42,7 +42,6 @@
 MOVE_SETUP_S = 0.005
 """Duration of a move besides the transfer of the memory."""
 MEGABITS_PER_BYTE = 8e-6
-"""Megabits per byte."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -279,7 +278,7 @@
 
 
 def moves_due(
-    runs: t.Sequence[EndingRun], ends_in_s: float, others: int, terms: CopyTerms
+    runs: t.Sequence[EndingRun], ends_in_s: float, others: int, settings: CopyTerms
 ) -> list[EndingRun]:
     """Return the runs to move now from an engine that will be removed, in order of the moves.
 
@@ -295,13 +294,13 @@
         Time until the engine is removed, in seconds.
     others : int
         Runs of other instances on the engine, which are moved over the same link.
-    terms : CopyTerms
+    settings : CopyTerms
         Parameters of the transfer.
     """
     unfinished = [run for run in runs if run.left_s > ends_in_s - MOVE_MARGIN_S]
     if not unfinished:
         return []
-    mean_s = sum(terms.copy_s(run.tokens) for run in unfinished) / len(unfinished)
+    mean_s = sum(settings.copy_s(run.tokens) for run in unfinished) / len(unfinished)
     # Each run is copied while it continues, then the tokens added meanwhile are copied.
     needed_s = mean_s * (len(unfinished) + others)
     due = [run for run in unfinished if ends_in_s <= needed_s + MOVE_MARGIN_S + run.prepare_s]
--- a/packages/policy/src/gradelug_policy/left_runs.py
+++ b/packages/policy/src/gradelug_policy/left_runs.py
@@ -45,7 +45,7 @@
 
 
 def is_gone(report: EngineWord | None, request_id: str, silent_s: float) -> bool:
-    """Return whether a run that its engine did not find is certainly no longer on it.
+    """Return whether a run that its engine did not find has certainly left it.
 
     Parameters
     ----------
--- a/packages/policy/src/gradelug_policy/placement.py
+++ b/packages/policy/src/gradelug_policy/placement.py
@@ -110,11 +110,11 @@
         if len(self.views) <= SMALL_FLEET_ENGINES:
             return self.views
         start = xxhash.xxh3_64_intdigest(key.encode())
-        found = {view.name: view for view in self._holders.get(key, ())}
+        selected = {view.name: view for view in self._holders.get(key, ())}
         for step in range(NON_HOLDER_CANDIDATES):
             view = self.views[(start + step * CANDIDATE_STRIDE) % len(self.views)]
-            found[view.name] = view
-        return list(found.values())
+            selected[view.name] = view
+        return list(selected.values())
 
 
 def choose_engine(
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -131,14 +131,14 @@
         learned = self._speeds.get(service)
         return learned.mean_prompt if learned is not None else 0.0
 
-    def note(self, service: str, busy: Busyness, work: Work, took_s: float) -> None:
+    def note(self, service: str, load: Busyness, work: Work, took_s: float) -> None:
         """Add the observation of a first event.
 
         Parameters
         ----------
         service : str
             Service that the engine belongs to.
-        busy : Busyness
+        load : Busyness
             Load of the engine when the request was sent.
         work : Work
             Work of the request.
@@ -152,7 +152,7 @@
         learned.mean_prompt += MEAN_WEIGHT * (prefill_tokens - learned.mean_prompt)
         if (
             prefill_tokens < learned.mean_prompt
-            or sum(busy.queued) > MAX_QUEUED_RATIO * prefill_tokens
+            or sum(load.queued) > MAX_QUEUED_RATIO * prefill_tokens
             or took_s <= 0
         ):
             return
@@ -161,11 +161,11 @@
         learned.tokens_per_s *= step if prefill_tokens / took_s > learned.tokens_per_s else 1 / step
 
 
-def first_event_s(busy: Busyness, work: Work, speed: float) -> float:
+def first_event_s(load: Busyness, work: Work, speed: float) -> float:
     """Return the expected time to the first event of a request, in seconds."""
     return (
-        busy.ahead(work.urgency) + work.reading_tokens
-    ) / speed + RUNNING_STREAM_DELAY_S * busy.running
+        load.ahead(work.urgency) + work.reading_tokens
+    ) / speed + RUNNING_STREAM_DELAY_S * load.running
 
 
 def add_queues(queues: t.Iterable[t.Sequence[int]]) -> tuple[int, ...]:
--- a/packages/policy/src/gradelug_policy/renewal.py
+++ b/packages/policy/src/gradelug_policy/renewal.py
@@ -11,7 +11,7 @@
 MAX_RENEWING_FRACTION = 0.5
 """Greatest fraction of the engines that may renew their base model at the same time."""
 MAX_RENEWAL_S = 2.0
-"""Time after which a renewal no longer counts, so that an engine with long runs does not delay
+"""Time after which a renewal does not count, so that an engine with long runs does not delay
 others: new versions must be in use within some seconds."""
 
 
--- a/packages/policy/src/gradelug_policy/slots.py
+++ b/packages/policy/src/gradelug_policy/slots.py
@@ -1,5 +1,4 @@
-"""Decides which adapter is loaded next into an engine's few slots, and which one is evicted for
-it."""
+"""Decides which adapter an engine loads next into its slots and which one it evicts for it."""
 
 from __future__ import annotations
 
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -26,28 +26,30 @@
     """Chooses centrally by the current state of the engines and ignores their prefix caches."""
 
     def __init__(self):
-        self.kept = KeptParts()
+        self.tracker = KeptParts()
 
     def kept_tokens(self, gateway, name, chain, now):
         return 0
 
     def choose(self, simulation, gateway, chain, names, now):
         def cost_s(name):
-            kept = self.kept_tokens(gateway, name, chain, now)
-            return simulation.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
+            cached_tokens = self.kept_tokens(gateway, name, chain, now)
+            return simulation.cost_s(name, chain, cached_tokens, now) - held_up_s(
+                cached_tokens, SPEED
+            )
 
         return min(names, key=cost_s)
 
     def note(self, simulation, gateway, chain, name, now):
-        self.kept.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
-        self.kept.note(name, chain, now)
+        self.tracker.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
+        self.tracker.note(name, chain, now)
 
 
 class PlannerEstimate(GlobalState):
     """A planner that all gateways ask estimates caches from the requests that it has placed."""
 
     def kept_tokens(self, gateway, name, chain, now):
-        return self.kept.kept_tokens(name, chain, now)
+        return self.tracker.kept_tokens(name, chain, now)
 
 
 class CacheEvents(GlobalState):
@@ -80,28 +82,32 @@
 
     def __init__(self):
         self.trackers = [KeptParts() for _ in range(6)]
-        for kept in self.trackers:
-            kept.seen_part = 1 / 6
+        for tracker in self.trackers:
+            tracker.seen_part = 1 / 6
 
     def kept_tokens(self, gateway, name, chain, now):
         return self.trackers[gateway % 6].kept_tokens(name, chain, now)
 
     def note(self, simulation, gateway, chain, name, now):
-        kept = self.trackers[gateway % 6]
-        kept.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
-        kept.note(name, chain, now)
+        tracker = self.trackers[gateway % 6]
+        tracker.note_sent(name, chain.tokens + OWN_TOKENS, TERMS.memory_tokens)
+        tracker.note(name, chain, now)
 
 
 class PreferredEngines(GatewayEstimates):
     """As before; in addition a chain is assumed to be cached at its preferred engine."""
 
     def choose(self, simulation, gateway, chain, names, now):
-        home = home_of(chain, names)
+        preferred = home_of(chain, names)
 
         def cost_s(name):
-            kept = self.kept_tokens(gateway, name, chain, now)
-            kept = tokens_at_home(chain, kept, SPEED) if name == home else kept
-            return simulation.cost_s(name, chain, kept, now) - held_up_s(kept, SPEED)
+            cached_tokens = self.kept_tokens(gateway, name, chain, now)
+            cached_tokens = (
+                tokens_at_home(chain, cached_tokens, SPEED) if name == preferred else cached_tokens
+            )
+            return simulation.cost_s(name, chain, cached_tokens, now) - held_up_s(
+                cached_tokens, SPEED
+            )
 
         return min(names, key=cost_s)
 
@@ -229,11 +235,11 @@
 MEMORY = 60_000
 
 
-def new_kept(owner=""):
-    kept = KeptParts()
-    kept.note_sent("e0", 1_200, MEMORY)
-    kept.note("e0", chain_of("m/x", owner, PARTS), 1.0)
-    return kept
+def new_tracker(owner=""):
+    tracker = KeptParts()
+    tracker.note_sent("e0", 1_200, MEMORY)
+    tracker.note("e0", chain_of("m/x", owner, PARTS), 1.0)
+    return tracker
 
 
 class TestChains:
@@ -246,91 +252,91 @@
 
     def test_a_part_counts_only_after_the_same_parts(self):
         other = chain_of("m/x", "", (PromptPart("z", 200), *PARTS[1:]))
-        assert new_kept().kept_tokens("e0", other, 1.0) == 0
+        assert new_tracker().kept_tokens("e0", other, 1.0) == 0
 
     def test_a_shorter_prefix_is_credited(self):
         other = chain_of("m/x", "", (PARTS[0], PromptPart("z", 10), PARTS[2]))
-        assert new_kept().kept_tokens("e0", other, 1.0) == 200
+        assert new_tracker().kept_tokens("e0", other, 1.0) == 200
 
     @pytest.mark.parametrize(
         ("weights", "owner"), [("m/y", "one"), ("m/x", "two"), ("m/x", ""), ("m", "one")]
     )
     def test_a_prefix_is_never_credited_to_other_weights_or_owners(self, weights, owner):
-        kept = new_kept("one")
-        assert kept.kept_tokens("e0", chain_of("m/x", "one", PARTS), 1.0) == 300
-        assert kept.kept_tokens("e0", chain_of(weights, owner, PARTS), 1.0) == 0
+        tracker = new_tracker("one")
+        assert tracker.kept_tokens("e0", chain_of("m/x", "one", PARTS), 1.0) == 300
+        assert tracker.kept_tokens("e0", chain_of(weights, owner, PARTS), 1.0) == 0
 
 
 class TestKeptParts:
     CHAIN = chain_of("m/x", "", PARTS)
 
     def test_other_engines_are_not_credited(self):
-        assert new_kept().kept_tokens("e1", self.CHAIN, 1.0) == 0
-        assert new_kept().kept_tokens("e0", None, 1.0) == 0
+        assert new_tracker().kept_tokens("e1", self.CHAIN, 1.0) == 0
+        assert new_tracker().kept_tokens("e0", None, 1.0) == 0
 
     def test_a_restart_clears_the_cache(self):
-        kept = new_kept()
-        kept.forget("e0")
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
-        assert kept.size == 0
+        tracker = new_tracker()
+        tracker.forget("e0")
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.size == 0
 
     def test_unloaded_weights_clear_their_prefixes(self):
-        kept = new_kept()
-        kept.note("e0", chain_of("m/y", "", PARTS), 1.0)
-        kept.forget_weights("e0", "m/x")
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
-        assert kept.kept_tokens("e0", chain_of("m/y", "", PARTS), 1.0) == 300
-        assert kept.size == 2
+        tracker = new_tracker()
+        tracker.note("e0", chain_of("m/y", "", PARTS), 1.0)
+        tracker.forget_weights("e0", "m/x")
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.kept_tokens("e0", chain_of("m/y", "", PARTS), 1.0) == 300
+        assert tracker.size == 2
 
     def test_prefixes_are_evicted_by_later_prompts(self):
-        kept = new_kept()
-        kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY), MEMORY)
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 300
-        kept.note_sent("e0", 1, MEMORY)
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        tracker = new_tracker()
+        tracker.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY), MEMORY)
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 300
+        tracker.note_sent("e0", 1, MEMORY)
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
 
     def test_unobserved_traffic_is_extrapolated(self):
-        kept = new_kept()
-        kept.seen_part = 0.1
-        kept.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY / 10) + 1, MEMORY)
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        tracker = new_tracker()
+        tracker.seen_part = 0.1
+        tracker.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY / 10) + 1, MEMORY)
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
 
     def test_prefixes_expire(self):
-        kept = new_kept()
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0 + KEPT_S) == 300
-        assert kept.kept_tokens("e0", self.CHAIN, 1.1 + KEPT_S) == 0
+        tracker = new_tracker()
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0 + KEPT_S) == 300
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.1 + KEPT_S) == 0
 
     def test_tracked_prefixes_are_bounded_and_the_newest_retained(self):
-        kept = KeptParts()
+        tracker = KeptParts()
         chains = [
             chain_of("m/x", "", (PromptPart(f"p{number}", 10), PARTS[2]))
             for number in range(3 * MAX_CACHED_PREFIXES)
         ]
         for chain in chains:
-            kept.note_sent("e0", 10, 0)
-            kept.note("e0", chain, 1.0)
-            assert kept.size <= MAX_CACHED_PREFIXES
-        assert kept.kept_tokens("e0", chains[-1], 1.0) == 10
-        assert kept.kept_tokens("e0", chains[0], 1.0) == 0
+            tracker.note_sent("e0", 10, 0)
+            tracker.note("e0", chain, 1.0)
+            assert tracker.size <= MAX_CACHED_PREFIXES
+        assert tracker.kept_tokens("e0", chains[-1], 1.0) == 10
+        assert tracker.kept_tokens("e0", chains[0], 1.0) == 0
 
     def test_a_planners_report_counts_up_to_its_tokens(self):
-        kept = KeptParts()
-        kept.note("e0", self.CHAIN, 1.0, 200)
-        assert kept.kept_tokens("e0", self.CHAIN, 1.0) == 200
-        kept.note("e1", self.CHAIN, 1.0, 0)
-        assert kept.kept_tokens("e1", self.CHAIN, 1.0) == 0
+        tracker = KeptParts()
+        tracker.note("e0", self.CHAIN, 1.0, 200)
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 200
+        tracker.note("e1", self.CHAIN, 1.0, 0)
+        assert tracker.kept_tokens("e1", self.CHAIN, 1.0) == 0
 
     def test_removed_engines_are_dropped(self):
-        kept = new_kept()
-        kept.forget_gone({"e1"}, 1.0)
-        assert kept.size == 0
+        tracker = new_tracker()
+        tracker.forget_gone({"e1"}, 1.0)
+        assert tracker.size == 0
 
     def test_expired_prefixes_are_removed(self):
-        kept = new_kept()
-        kept.forget_gone({"e0"}, 2.0)
-        assert kept.size == 2
-        kept.forget_gone({"e0"}, 2.1 + KEPT_S)
-        assert kept.size == 0
+        tracker = new_tracker()
+        tracker.forget_gone({"e0"}, 2.0)
+        assert tracker.size == 2
+        tracker.forget_gone({"e0"}, 2.1 + KEPT_S)
+        assert tracker.size == 0
 
 
 class TestPreferredEngines:
@@ -340,16 +346,16 @@
         return [chain_of("m/x", "", (PromptPart(f"p{n}", 10), PARTS[2])) for n in range(400)]
 
     def test_preferred_engines_are_spread_and_independent_of_the_order(self):
-        homes = [home_of(chain, self.NAMES) for chain in self.chains()]
-        assert homes == [home_of(chain, self.NAMES[::-1]) for chain in self.chains()]
-        assert all(30 <= homes.count(name) <= 70 for name in self.NAMES)
+        preferred = [home_of(chain, self.NAMES) for chain in self.chains()]
+        assert preferred == [home_of(chain, self.NAMES[::-1]) for chain in self.chains()]
+        assert all(30 <= preferred.count(name) <= 70 for name in self.NAMES)
         assert home_of(self.chains()[0], ()) == ""
 
     def test_removing_an_engine_moves_only_its_chains(self):
         for chain in self.chains():
-            home = home_of(chain, self.NAMES)
-            if home != "e3":
-                assert home_of(chain, [name for name in self.NAMES if name != "e3"]) == home
+            preferred = home_of(chain, self.NAMES)
+            if preferred != "e3":
+                assert home_of(chain, [name for name in self.NAMES if name != "e3"]) == preferred
 
     def test_a_chain_is_split_by_its_share(self):
         chain, shares = self.chains()[0], ChainShares()
