--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -146,19 +146,21 @@
             From sending to the first event, in seconds.
         """
         learned = self._speeds.setdefault(service, _ServiceSpeed())
-        prefill_tokens = work.reading_tokens
+        uncached_tokens = work.reading_tokens
         if not learned.mean_prompt:
-            learned.mean_prompt = prefill_tokens
-        learned.mean_prompt += MEAN_WEIGHT * (prefill_tokens - learned.mean_prompt)
+            learned.mean_prompt = uncached_tokens
+        learned.mean_prompt += MEAN_WEIGHT * (uncached_tokens - learned.mean_prompt)
         if (
-            prefill_tokens < learned.mean_prompt
-            or sum(load.queued) > MAX_QUEUED_RATIO * prefill_tokens
+            uncached_tokens < learned.mean_prompt
+            or sum(load.queued) > MAX_QUEUED_RATIO * uncached_tokens
             or took_s <= 0
         ):
             return
         learned.samples += 1
         step = 1 + max(SPEED_STEP, INITIAL_SPEED_STEP / learned.samples)
-        learned.tokens_per_s *= step if prefill_tokens / took_s > learned.tokens_per_s else 1 / step
+        learned.tokens_per_s *= (
+            step if uncached_tokens / took_s > learned.tokens_per_s else 1 / step
+        )
 
 
 def first_event_s(load: Busyness, work: Work, speed: float) -> float:
