--- a/tests/engine_fleet_model.py
+++ b/tests/engine_fleet_model.py
@@ -70,7 +70,7 @@
     news_s: float = 0.12
 
 
-OLD = Rules(slots=False, copies=False, urgency="rank", speeds=False)
+BASELINE = Rules(slots=False, copies=False, urgency="rank", speeds=False)
 
 
 @dataclass(slots=True)
--- a/tests/test_engine_room.py
+++ b/tests/test_engine_room.py
@@ -3,7 +3,7 @@
 import functools
 
 import pytest
-from engine_fleet_model import OLD, Rules, Run, Shape
+from engine_fleet_model import BASELINE, Rules, Run, Shape
 from gradelug_policy.engine_room import (
     FIRST_HOLD_S,
     EngineRates,
@@ -136,38 +136,38 @@
 
 class TestSimulatedLoad:
     def test_few_slots_runs_are_not_preempted_and_more_are_in_time(self):
-        _, before = simulated("few slots", OLD)
-        _, now = simulated("few slots", Rules())
-        assert before["preempted"] > 0.1 * before["requests"]
-        assert now["preempted"] <= 0.02 * now["requests"]
-        assert now["in_time"] > before["in_time"] + 0.15
-        assert now["rejected"] < 0.5 * before["rejected"]
+        _, baseline = simulated("few slots", BASELINE)
+        _, current = simulated("few slots", Rules())
+        assert baseline["preempted"] > 0.1 * baseline["requests"]
+        assert current["preempted"] <= 0.02 * current["requests"]
+        assert current["in_time"] > baseline["in_time"] + 0.15
+        assert current["rejected"] < 0.5 * baseline["rejected"]
 
     def test_few_slots_requests_spread_over_the_engines(self):
         def busiest(run):
             return max(run.sent.values()) * FEW_SLOTS.engines / sum(run.sent.values())
 
-        before, _ = simulated("few slots", OLD)
-        now, _ = simulated("few slots", Rules())
-        assert busiest(now) < 1.6 < 2 < busiest(before)
+        baseline, _ = simulated("few slots", BASELINE)
+        current, _ = simulated("few slots", Rules())
+        assert busiest(current) < 1.6 < 2 < busiest(baseline)
 
     def test_few_slots_adapter_copies_raise_the_part_in_time(self):
         _, without = simulated("few slots", Rules(copies=False))
-        _, now = simulated("few slots", Rules())
-        assert now["in_time"] > without["in_time"] + 0.05
+        _, current = simulated("few slots", Rules())
+        assert current["in_time"] > without["in_time"] + 0.05
 
     def test_many_slots_fewer_are_rejected_and_preempted(self):
-        _, before = simulated("many slots", OLD)
-        _, now = simulated("many slots", Rules())
-        assert now["preempted"] <= 0.02 * now["requests"]
-        assert now["rejected"] < 0.1 * before["rejected"]
-        assert now["in_time"] > before["in_time"] + 0.08
+        _, baseline = simulated("many slots", BASELINE)
+        _, current = simulated("many slots", Rules())
+        assert current["preempted"] <= 0.02 * current["requests"]
+        assert current["rejected"] < 0.1 * baseline["rejected"]
+        assert current["in_time"] > baseline["in_time"] + 0.08
 
     def test_prefill_bound_load_does_not_get_worse(self):
-        _, before = simulated("reading", OLD)
-        _, now = simulated("reading", Rules())
-        assert now["preempted"] == 0
-        assert now["in_time"] > before["in_time"] - 0.03
+        _, baseline = simulated("reading", BASELINE)
+        _, current = simulated("reading", Rules())
+        assert current["preempted"] == 0
+        assert current["in_time"] > baseline["in_time"] - 0.03
 
     def test_equal_urgency_preempts_no_run_and_ranked_urgency_pauses_some(self):
         _, by_rank = simulated("few slots", Rules(urgency="rank", copies=False, slots=False))
