--- a/packages/gateway/src/gradelug_gateway/feed.py
+++ b/packages/gateway/src/gradelug_gateway/feed.py
@@ -11,10 +11,10 @@
 from .model import AdapterKey, FleetState, Replica, Snapshot
 
 log = logbook.Logger("feed")
-EACH = 8
+MAX_INDIVIDUAL_LOG_LINES = 8
 """So many replicas that are new at once are told one by one in the log: at a start all are new, and
 of 600 lines that an instance may write at once none would be left for what callers meet."""
-MOST_GONE = 4096
+MAX_REMOVED_KEYS = 4096
 """Upper bound of remembered positions of removed entries."""
 COPIED_GRACE_S = 5.0
 """Seconds after which a removed entry that a copy restored is used again: without its replica it
@@ -78,19 +78,19 @@
 
     __slots__ = (
         "_clock",
-        "_copied_since",
-        "_gone",
+        "_restored_since",
+        "_removed_revisions",
         "_leaving_listeners",
         "_listeners",
         "_mirror",
         "_missing_since",
-        "_names",
-        "_new",
-        "_read",
+        "_replica_names",
+        "_unlogged",
+        "_applied_revisions",
         "_reader",
         "_revisions",
-        "_told",
-        "_told_changed",
+        "_unconfirmed",
+        "_has_remote_changes",
         "config_entry",
         "is_readable",
         "state",
@@ -102,21 +102,21 @@
         self._mirror = mirror
         self._reader = reader
         self._clock = clock
-        self._read: dict[str, int] = {}
-        self._names: dict[str, str] = {}
+        self._applied_revisions: dict[str, int] = {}
+        self._replica_names: dict[str, str] = {}
         self._missing_since: dict[str, float] = {}
-        self._copied_since: dict[str, float] = {}
+        self._restored_since: dict[str, float] = {}
         """When removed entries were restored by a copy, by key."""
-        self._gone: dict[str, int] = {}
+        self._removed_revisions: dict[str, int] = {}
         """Last positions of removed entries, by key."""
         self._listeners: list[t.Callable[[], None]] = []
         self._leaving_listeners: list[t.Callable[[str], None]] = []
         self._revisions: dict[str, int] = {}
         """Revision of the store at which each replica, also one that is gone, was known last."""
-        self._told: set[str] = set()
+        self._unconfirmed: set[str] = set()
         """Replicas that another instance has told of and the mirror does not show yet."""
-        self._told_changed = False
-        self._new: list[Replica] = []
+        self._has_remote_changes = False
+        self._unlogged: list[Replica] = []
         """Replicas of which the log has yet to tell."""
         self.config_entry: KvEntry | None = None
         """The entry of the configuration in force."""
@@ -137,14 +137,16 @@
         """Read what has changed."""
         changed = False
         for key, entry in self._mirror.entries.items():
-            if self._read.get(key, 0) < entry.revision and not self._is_copied(entry):
-                self._read[key] = entry.revision
+            if self._applied_revisions.get(key, 0) < entry.revision and not self._is_stale_restore(
+                entry
+            ):
+                self._applied_revisions[key] = entry.revision
                 changed |= self._apply(entry)
-        for key in [key for key in self._names if key not in self._mirror.entries]:
-            changed |= self._consider_gone(key)
+        for key in [key for key in self._replica_names if key not in self._mirror.entries]:
+            changed |= self._handle_missing_entry(key)
         for key in [key for key in self._missing_since if key in self._mirror.entries]:
             del self._missing_since[key]
-        changed |= self._drop_missed()
+        changed |= self._drop_unconfirmed()
         if changed:
             self._notify()
 
@@ -168,14 +170,14 @@
             return
         self._revisions[name] = revision
         if rep is not None:
-            self._told.add(name)
+            self._unconfirmed.add(name)
             self._put_replica(rep)
         elif self.state.replicas.pop(name, None) is not None:
             self.state.change += 1
-            for key in [key for key, known in self._names.items() if known == name]:
-                self._note_gone(key, revision)
+            for key in [key for key, known in self._replica_names.items() if known == name]:
+                self._record_removed(key, revision)
             log.info("replica gone", replica=name, told=True)
-        self._told_changed = True
+        self._has_remote_changes = True
 
     def take_leaving(self, name: str, born: int, source: str) -> bool:
         """Take over that a replica said that it leaves; tell whether that is new.
@@ -201,23 +203,23 @@
             listener(name)
         return True
 
-    def take_told_version(self, key: AdapterKey, version: int) -> None:
+    def apply_remote_version(self, key: AdapterKey, version: int) -> None:
         """Take over that another instance has seen a version named."""
-        self._told_changed |= self._take_version(NewestVersion(key, version))
+        self._has_remote_changes |= self._apply_version(NewestVersion(key, version))
 
-    def take_told_config(self, entry: KvEntry) -> None:
+    def apply_remote_config(self, entry: KvEntry) -> None:
         """Take over the configuration's entry that another instance has seen, if it is newer."""
-        known = self._read.get(entry.key, 0)
+        known = self._applied_revisions.get(entry.key, 0)
         if entry.revision <= known and era_of(entry.revision) == era_of(known):
             return
         # Between eras the version in the entry tells which is newer.
-        self._read[entry.key] = max(known, entry.revision)
-        self._told_changed |= self._apply(entry)
+        self._applied_revisions[entry.key] = max(known, entry.revision)
+        self._has_remote_changes |= self._apply(entry)
 
-    def notify_told(self) -> None:
+    def notify_remote_changes(self) -> None:
         """Tell listeners of what was taken over since the last call."""
-        if self._told_changed:
-            self._told_changed = False
+        if self._has_remote_changes:
+            self._has_remote_changes = False
             self._notify()
 
     def _notify(self) -> None:
@@ -225,23 +227,25 @@
         for listener in self._listeners:
             listener()
 
-    def _is_copied(self, entry: KvEntry) -> bool:
+    def _is_stale_restore(self, entry: KvEntry) -> bool:
         """Tell whether an entry was restored by a copy although its replica may be gone."""
-        seen_at = self._gone.get(entry.key)
-        if seen_at is None:
+        removed_revision = self._removed_revisions.get(entry.key)
+        if removed_revision is None:
             return False
         now, at = self._clock(), entry.revision
-        since = self._copied_since.setdefault(entry.key, now)
-        is_older = era_of(at) > era_of(seen_at) and revision_of(at) <= revision_of(seen_at)
+        since = self._restored_since.setdefault(entry.key, now)
+        is_older = era_of(at) > era_of(removed_revision) and revision_of(at) <= revision_of(
+            removed_revision
+        )
         if is_older and now - since < COPIED_GRACE_S:
             return True
-        del self._gone[entry.key], self._copied_since[entry.key]
+        del self._removed_revisions[entry.key], self._restored_since[entry.key]
         return False
 
-    def _note_gone(self, key: str, seen_at: int) -> None:
-        self._gone[key] = seen_at
-        if len(self._gone) > MOST_GONE:
-            del self._gone[next(iter(self._gone))]
+    def _record_removed(self, key: str, removed_revision: int) -> None:
+        self._removed_revisions[key] = removed_revision
+        if len(self._removed_revisions) > MAX_REMOVED_KEYS:
+            del self._removed_revisions[next(iter(self._removed_revisions))]
 
     def _apply(self, entry: KvEntry) -> bool:
         try:
@@ -255,14 +259,14 @@
             )
             return False
         if isinstance(fact, Snapshot):
-            return self._take_snapshot(entry, fact)
+            return self._apply_snapshot(entry, fact)
         if isinstance(fact, Replica):
-            return self._take_replica(entry, fact)
+            return self._apply_replica(entry, fact)
         if isinstance(fact, NewestVersion):
-            return self._take_version(fact)
+            return self._apply_version(fact)
         return False
 
-    def _take_snapshot(self, entry: KvEntry, fact: Snapshot) -> bool:
+    def _apply_snapshot(self, entry: KvEntry, fact: Snapshot) -> bool:
         self.is_readable = True
         known = self.state.snapshot
         if known is not None and fact.version <= known.version:
@@ -272,13 +276,13 @@
         log.info("configuration in force", version=fact.version, routes=len(fact.routes))
         return True
 
-    def _take_replica(self, entry: KvEntry, fact: Replica) -> bool:
-        self._names[entry.key] = fact.name
+    def _apply_replica(self, entry: KvEntry, fact: Replica) -> bool:
+        self._replica_names[entry.key] = fact.name
         if entry.revision < self.revision(fact.name):
             # Another instance has seen something newer.
             return False
         known = self.state.replicas.get(fact.name)
-        if known is not None and self._has_ended(known, fact):
+        if known is not None and self._is_ended_incarnation(known, fact):
             return False
         if known is not None and known.born and not fact.born:
             why = MalformedEntry("it does not tell the start that it told before", False, fact.name)
@@ -287,13 +291,13 @@
         self._put_replica(fact)
         return True
 
-    def _has_ended(self, known: Replica, fact: Replica) -> bool:
+    def _is_ended_incarnation(self, known: Replica, fact: Replica) -> bool:
         """Tell whether an entry restored from a copy describes an earlier life of a replica."""
         return known.born != fact.born and self.state.departures.has(fact.name, fact.born)
 
     def _drop_unreadable(self, entry: KvEntry, exc: MalformedEntry) -> bool:
         """Take an entry of another writer for what it is: it names no replica to use."""
-        self._names[entry.key] = exc.replica
+        self._replica_names[entry.key] = exc.replica
         if entry.revision < self.revision(exc.replica):
             return False
         self._revisions[exc.replica] = entry.revision
@@ -314,18 +318,18 @@
             self.state.departures.note(known.name, known.born)
             log.info("replica began again", replica=rep.name, born=rep.born, before=known.born)
         elif known is None or known.leaving != rep.leaving:
-            self._new.append(rep)
+            self._unlogged.append(rep)
 
     def _log_new(self) -> None:
-        new, self._new = self._new, []
-        if len(new) > EACH:
+        new, self._unlogged = self._unlogged, []
+        if len(new) > MAX_INDIVIDUAL_LOG_LINES:
             leaving = [rep.name for rep in new if rep.leaving]
             log.info("replicas", new=len(new), known=len(self.state.replicas), leaving=leaving)
             return
         for rep in new:
             log.info("replica", replica=rep.name, service=rep.service, leaving=rep.leaving)
 
-    def _take_version(self, fact: NewestVersion) -> bool:
+    def _apply_version(self, fact: NewestVersion) -> bool:
         if fact.version <= self.state.versions.get(fact.key, 0):
             return False
         self.state.versions[fact.key] = fact.version
@@ -333,31 +337,31 @@
         log.info("version named", weights=fact.key.text, version=fact.version)
         return True
 
-    def _drop_missed(self) -> bool:
+    def _drop_unconfirmed(self) -> bool:
         """Drop replicas that came and went between two looks at the store."""
-        for name in self._told & set(self._names.values()):
-            self._told.discard(name)
+        for name in self._unconfirmed & set(self._replica_names.values()):
+            self._unconfirmed.discard(name)
             self._missing_since.pop(name, None)
-        missed = [name for name in self._told if self._is_missed(name)]
+        missed = [name for name in self._unconfirmed if self._is_confirmation_overdue(name)]
         for name in missed:
-            self._told.discard(name)
+            self._unconfirmed.discard(name)
             self._missing_since.pop(name, None)
             if self.state.replicas.pop(name, None) is not None:
                 self.state.change += 1
                 log.info("replica gone", replica=name)
         return bool(missed)
 
-    def _is_missed(self, name: str) -> bool:
+    def _is_confirmation_overdue(self, name: str) -> bool:
         """Tell whether the entry of a replica that others reported is overdue."""
-        told_at, now = self.revision(name), self._clock()
-        if told_at > self._mirror.revision:
+        reported_revision, now = self.revision(name), self._clock()
+        if reported_revision > self._mirror.revision:
             return False
-        if not told_at or era_of(told_at) == era_of(self._mirror.revision):
+        if not reported_revision or era_of(reported_revision) == era_of(self._mirror.revision):
             return True
         # The store may have lost the entry; its replica writes it again.
         return now - self._missing_since.setdefault(name, now) >= LAPSED_GRACE_S
 
-    def _consider_gone(self, key: str) -> bool:
+    def _handle_missing_entry(self, key: str) -> bool:
         if key in self._mirror.missing:
             # Not seen to be deleted, only missing after an outage.
             now = self._clock()
@@ -365,9 +369,9 @@
             if now - missing_since < LAPSED_GRACE_S:
                 return False
             self._mirror.missing.discard(key)
-        name = self._names.pop(key)
+        name = self._replica_names.pop(key)
         self._missing_since.pop(key, None)
-        self._note_gone(key, self._read.pop(key, 0))
+        self._record_removed(key, self._applied_revisions.pop(key, 0))
         if self.state.replicas.pop(name, None) is None:
             return False
         self.state.change += 1
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -23,16 +23,16 @@
 
 FAILURE_COST = 12.0
 """A replica that always fails is taken for one with so many more requests waiting."""
-OTHER_HALL_COST = 0.3
+OTHER_HALL_COST_REQUESTS = 0.3
 """A nearer replica wins among equals only: bytes between halls have a price."""
 CHOICES = 16
 """Of more replicas than this a request looks at so many, drawn anew each time."""
-REQUEST_S = 0.1
+WAIT_PER_REQUEST_S = 0.1
 """Time that a request before a new one stands for where work is reckoned in seconds."""
 NOT_HELD = -1
-MOST_NAMED = 16
+MAX_LISTED_RESTING = 16
 """Upper bound of resting replicas listed in one request to the planner."""
-DOUBTED_RATE = 0.4
+SUSPECT_FAILURE_RATE = 0.4
 """Two failures one after the other, or more than that part of all."""
 
 
@@ -63,7 +63,7 @@
         "_clock",
         "_directory",
         "_health",
-        "_lives",
+        "_incarnations",
         "_loads",
         "_rng",
         "_seen_change",
@@ -100,7 +100,7 @@
         self._clock = clock
         self._rng = rng or random.Random(0)
         self._health: dict[str, Health] = {}
-        self._lives: dict[str, int] = {}
+        self._incarnations: dict[str, int] = {}
         self._loads: dict[str, ReplicaLoad] = {}
         # Weights usable on each replica as planners tell, and the other way round.
         self._directory: dict[str, dict[AdapterKey, int]] = {}
@@ -141,16 +141,16 @@
 
     def note_lives(self) -> list[Replica]:
         """Forget what is known of earlier lives of replicas; return those that began another."""
-        begun = []
+        restarted = []
         for name, rep in self.state.replicas.items():
-            before = self._lives.get(name, 0)
-            self._lives[name] = rep.born
+            before = self._incarnations.get(name, 0)
+            self._incarnations[name] = rep.born
             if before and before != rep.born:
-                begun.append(rep)
-                self._forget_life(name)
-        return begun
+                restarted.append(rep)
+                self._forget_incarnation(name)
+        return restarted
 
-    def _forget_life(self, replica: str) -> None:
+    def _forget_incarnation(self, replica: str) -> None:
         self.set_holdings(replica, {})
         self.kept.parts.forget(replica)
         self.limits.forget(replica)
@@ -198,17 +198,17 @@
     def reported(self, service: str, key: AdapterKey) -> list[Replica]:
         """Return the replicas of a service that say themselves that weights can be used there."""
         newest, known = self.state.versions.get(key, 0), self.state.replicas
-        self._note_reported()
+        self._refresh_reported()
         return [
             known[name]
             for name in self._reported.get(key, ())
             if name in known
             and known[name].service == service
             and not known[name].leaving
-            and _told_version(known[name].holdings, key) >= newest
+            and _reported_version(known[name].holdings, key) >= newest
         ]
 
-    def _note_reported(self) -> None:
+    def _refresh_reported(self) -> None:
         if self._reported_change == self.state.change:
             return
         self._reported_change = self.state.change
@@ -280,7 +280,7 @@
             return []
         candidates = itertools.chain(self.holders(service, key), self.usable(service))
         names = (rep.name for rep in candidates if self.rests.left_s(rep))
-        return list(dict.fromkeys(itertools.islice(names, MOST_NAMED)))
+        return list(dict.fromkeys(itertools.islice(names, MAX_LISTED_RESTING)))
 
     def holders(self, service: str, key: AdapterKey) -> list[Replica]:
         """Return the replicas of a service on which weights can be used now."""
@@ -301,13 +301,13 @@
     def told_version(self, replica: str, key: AdapterKey) -> int | None:
         """Return the version of weights on a replica, as planners or itself told; None if none."""
         known = self.state.replicas.get(replica)
-        own = _told_version(known.holdings, key) if known is not None else NOT_HELD
+        own = _reported_version(known.holdings, key) if known is not None else NOT_HELD
         version = max(own, self._directory.get(replica, {}).get(key, NOT_HELD))
         return None if version == NOT_HELD else version
 
     def holders_at(self, service: str, key: AdapterKey, version: int) -> list[Replica]:
         """Return the replicas of a service that hold weights at a certain version, as last told."""
-        self._note_reported()
+        self._refresh_reported()
         names = dict.fromkeys((*self._by_key.get(key, ()), *self._reported.get(key, ())))
         known = self.state.replicas
         return [
@@ -363,14 +363,14 @@
         speed = self.speeds.speed(usable[0].service) if usable else 1.0
         # The same engine again and again keeps the parts of prompts that come again.
         costs_s = [
-            (self._choice_s(rep, at, now), number, rep)
+            (self._selection_cost_s(rep, at, now), number, rep)
             for number, (rep, at) in enumerate(self.kept.at_each(usable, work, speed))
         ]
         return min(costs_s)[2] if costs_s else None
 
     def _choose_spread(self, usable: list[Replica], work: Work, now: float) -> Replica | None:
         """Return one of some engines by old news, for prompts that begin alike the same one."""
-        costs_s = [(rep, REQUEST_S * self.cost(rep, now, work)) for rep in usable]
+        costs_s = [(rep, WAIT_PER_REQUEST_S * self.cost(rep, now, work)) for rep in usable]
         mark = self.kept.mark(work, len(usable), self._rng)
         if mark is None or not usable:
             return choose_spread(costs_s, self.news_s, self._rng)
@@ -378,10 +378,10 @@
         chosen = choose_settled(named, self.news_s, mark)
         return next(rep for rep in usable if rep.name == chosen)
 
-    def _choice_s(self, replica: Replica, work: Work, now: float) -> float:
+    def _selection_cost_s(self, replica: Replica, work: Work, now: float) -> float:
         """Return what a request costs at an engine, and those that it would hold up, in seconds."""
-        spared_s = held_up_s(work.kept_tokens, self.speeds.speed(replica.service))
-        return REQUEST_S * self.cost(replica, now, work) - spared_s
+        saved_delay_s = held_up_s(work.kept_tokens, self.speeds.speed(replica.service))
+        return WAIT_PER_REQUEST_S * self.cost(replica, now, work) - saved_delay_s
 
     def allows(self, replica: Replica, now: float) -> bool:
         """Tell whether a request that may go elsewhere is to go to a replica.
@@ -410,10 +410,10 @@
         if work is None:
             cost = load.cost()
         else:
-            cost = self.expected_s(replica, load.busyness(), work) / REQUEST_S
+            cost = self.expected_s(replica, load.busyness(), work) / WAIT_PER_REQUEST_S
         cost += FAILURE_COST * self.health(replica.name).rate(now)
-        cost += self.limits.delay_s(replica.name) / REQUEST_S
-        return cost + (OTHER_HALL_COST if replica.hall != self.hall else 0.0)
+        cost += self.limits.delay_s(replica.name) / WAIT_PER_REQUEST_S
+        return cost + (OTHER_HALL_COST_REQUESTS if replica.hall != self.hall else 0.0)
 
     def is_late(self, replica: Replica, work: Work, target_at: float) -> bool:
         """Tell whether a request's first event would come too late if it was sent now.
@@ -467,7 +467,7 @@
         return [
             name
             for name, health in self._health.items()
-            if health.rate(now) > DOUBTED_RATE or not health.circuit.allows(now)
+            if health.rate(now) > SUSPECT_FAILURE_RATE or not health.circuit.allows(now)
         ]
 
     def forget_gone(self) -> None:
@@ -478,8 +478,8 @@
         for name in [name for name in self._health if name not in known]:
             del self._health[name]
         self.kept.parts.forget_gone(known, self._clock())
-        for name in [name for name in self._lives if name not in known]:
-            del self._lives[name]
+        for name in [name for name in self._incarnations if name not in known]:
+            del self._incarnations[name]
         for name, load in list(self._loads.items()):
             idle = not load.starting and not load.running and not any(load.queued)
             if idle and (name not in known or (self.is_scoped and name not in self._directory)):
@@ -496,5 +496,5 @@
     return Terms(spec.batch, spec.kv_tokens)
 
 
-def _told_version(holdings: t.Iterable[Holding], key: AdapterKey) -> int:
+def _reported_version(holdings: t.Iterable[Holding], key: AdapterKey) -> int:
     return next((held.version for held in holdings if held.key == key), NOT_HELD)
--- a/packages/gateway/src/gradelug_gateway/freshness.py
+++ b/packages/gateway/src/gradelug_gateway/freshness.py
@@ -11,12 +11,12 @@
 from .feed import Feed
 
 log = logbook.Logger("freshness")
-RENEW_PART = 0.5
+RENEW_FRACTION = 0.5
 """An own look is begun when so much of the bound has passed: what is left bears two that fail."""
-LOOK_S = 0.2
+MIN_POLL_INTERVAL_S = 0.2
 """Requests that need a proof have the store looked at this often at most: looks that bring none, as
 where a configuration cannot be read, would follow each other without a pause."""
-MARGIN_S = 0.1
+CLOCK_MARGIN_S = 0.1
 """Timers and the platform's clock may differ by so much within the bound."""
 
 
@@ -41,7 +41,7 @@
         Age of a proof that is good enough, in seconds; infinite where none is needed.
     """
 
-    __slots__ = ("_bound_s", "_clock", "_feed", "_mirror", "_told_at", "_was_proven")
+    __slots__ = ("_bound_s", "_clock", "_feed", "_mirror", "_remote_proven_at", "_was_proven")
 
     def __init__(
         self, mirror: Mirror, feed: Feed, clock: t.Callable[[], float], bound_s: float = math.inf
@@ -49,8 +49,8 @@
         self._mirror = mirror
         self._feed = feed
         self._clock = clock
-        self._bound_s = bound_s - MARGIN_S
-        self._told_at = -math.inf
+        self._bound_s = bound_s - CLOCK_MARGIN_S
+        self._remote_proven_at = -math.inf
         self._was_proven = True
 
     @property
@@ -63,14 +63,14 @@
     def proven_at(self) -> float:
         """When the configuration in force was the newest, by the runtime's clock."""
         own = self._mirror.proven_at if self._feed.is_readable else -math.inf
-        return max(own, self._told_at)
+        return max(own, self._remote_proven_at)
 
     @property
     def renew_at(self) -> float:
         """When this instance is to look itself unless it was told something newer."""
         if math.isinf(self._bound_s):
             return math.inf
-        return self.proven_at + self._bound_s * RENEW_PART
+        return self.proven_at + self._bound_s * RENEW_FRACTION
 
     @property
     def age_s(self) -> float:
@@ -88,7 +88,7 @@
             The moment, or an earlier one, by this instance's clock.
         """
         if config <= self.config:
-            self._told_at = max(self._told_at, at)
+            self._remote_proven_at = max(self._remote_proven_at, at)
 
     def is_proven(self) -> bool:
         """Tell whether a request that arrives now may be let in by its key."""
@@ -99,6 +99,6 @@
             log.warning(
                 "proof of the configuration", good=proven, config=self.config, age_s=round(age_s, 2)
             )
-        if not proven and self._clock() - self._mirror.looked_at >= LOOK_S:
+        if not proven and self._clock() - self._mirror.looked_at >= MIN_POLL_INTERVAL_S:
             self._mirror.hurry()
         return proven
--- a/packages/gateway/src/gradelug_gateway/health.py
+++ b/packages/gateway/src/gradelug_gateway/health.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class OutcomeTally:
     """How requests of this instance ended at a replica, until it is told.
 
     Parameters
@@ -71,16 +71,16 @@
 class Health:
     """Outcomes of the requests that were sent to a replica."""
 
-    __slots__ = ("_at", "_probed_at", "_rate", "circuit", "heard_at", "tally", "told")
+    __slots__ = ("_rate_at", "_probed_at", "_rate", "circuit", "heard_at", "tally", "told")
 
     def __init__(self) -> None:
         self.circuit = Circuit(CIRCUIT_FAILURES, CIRCUIT_OPEN_S)
         self._rate = 0.0
-        self._at = 0.0
+        self._rate_at = 0.0
         self._probed_at = float("-inf")
         self.heard_at = float("-inf")
         """When something came from it last."""
-        self.tally = Tally()
+        self.tally = OutcomeTally()
         self.told: dict[str, ToldFinding] = {}
         """Of all halls under an empty name, and of this instance's hall."""
 
@@ -91,7 +91,7 @@
 
     def rate(self, now: float) -> float:
         """Return the part of this instance's requests that failed lately, 0 to 1."""
-        return self._rate * math.exp2(-(now - self._at) / FAILURE_HALF_LIFE_S)
+        return self._rate * math.exp2(-(now - self._rate_at) / FAILURE_HALF_LIFE_S)
 
     def held_back(self, now: float) -> float:
         """Return the part of the requests that are to go elsewhere, 0 to 1."""
@@ -126,12 +126,12 @@
         self.tally.failed += failed
         self.tally.served += not failed
         self.tally.took_s += took_s
-        self._take(failed, now)
+        self._record(failed, now)
 
     def note_broken(self, now: float) -> None:
         """Take into account that a request was lost on the way, or not answered."""
         self.tally.broken += 1
-        self._take(True, now)
+        self._record(True, now)
 
     def note_late(self, now: float) -> None:
         """Take into account that an answer did not come in time, as from a replica with a queue.
@@ -139,26 +139,26 @@
         It is told to nobody: where much is asked for, all replicas are late now and then, and one
         that is left alone makes the others later.
         """
-        self._take(True, now)
+        self._record(True, now)
 
     def note_full(self, now: float) -> None:
         """Take into account that a request was not run for want of room."""
         self.tally.full += 1
-        self._take(False, now)
+        self._record(False, now)
 
     @property
     def has_tally(self) -> bool:
         """Whether a request ended that has not been told of."""
         return self.tally.count > 0
 
-    def take_tally(self) -> Tally:
+    def take_tally(self) -> OutcomeTally:
         """Return what has not been told yet, and begin anew."""
-        tally, self.tally = self.tally, Tally()
+        tally, self.tally = self.tally, OutcomeTally()
         return tally
 
-    def _take(self, failed: bool, now: float) -> None:
+    def _record(self, failed: bool, now: float) -> None:
         rate = self.rate(now) * (1 - FAILURE_WEIGHT) + FAILURE_WEIGHT * failed
-        self._rate, self._at = rate, now
+        self._rate, self._rate_at = rate, now
         if failed:
             self.circuit.note_failure(now)
         else:
--- a/packages/gateway/src/gradelug_gateway/services.py
+++ b/packages/gateway/src/gradelug_gateway/services.py
@@ -12,9 +12,9 @@
 
 from .organisations import Organisations
 
-PATIENCE_S = 2.0
-PATIENCE_TARGETS = 4.0
-PATIENCE_GAPS = 8.0
+MIN_PATIENCE_S = 2.0
+PATIENCE_TARGET_FACTOR = 4.0
+PATIENCE_GAP_FACTOR = 8.0
 """Callers give a stream up after the longest of these, as the platform's pages say."""
 
 
@@ -82,7 +82,9 @@
         """How long a caller waits for the next event of a stream, in seconds."""
         if not self.streaming:
             return math.inf
-        return max(PATIENCE_S, PATIENCE_TARGETS * self.target_s, PATIENCE_GAPS * self.gap_s)
+        return max(
+            MIN_PATIENCE_S, PATIENCE_TARGET_FACTOR * self.target_s, PATIENCE_GAP_FACTOR * self.gap_s
+        )
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/gateway/src/gradelug_gateway/sharedhealth.py
+++ b/packages/gateway/src/gradelug_gateway/sharedhealth.py
@@ -25,18 +25,18 @@
 from .model import FleetState
 
 log = logbook.Logger("sharedhealth")
-HOLDS_S = 3.0
+FINDING_TTL_S = 3.0
 """What a planner found holds for so long after it was told last, in seconds: a lost planner is
 replaced within 2 to 4 s, and its successor finds for itself what gateways would meet until then."""
-REPEAT_S = 0.5
+RESEND_INTERVAL_S = 0.5
 """It is told this often at least, in seconds, for gateways that have come and news that were lost;
 with 370 gateways news go out once in 0.9 s, three times within the time that a finding holds."""
-FAILING_STEP = 0.05
-TIME_STEP = 1.1
+FAILING_RATE_STEP = 0.05
+ANSWER_TIME_STEP_RATIO = 1.1
 """Changes smaller than this are not told: what is reckoned from them does not change by more."""
 DOUBTED_S = 1.0
 """An engine that fails an asker's requests is taken for one with so much more to read."""
-EJECTED_S = 3.0
+EJECTED_COST_S = 3.0
 """One that is left alone by all is taken for one with so much more: longer than most requests wait
 for another engine to take their weights in."""
 
@@ -54,11 +54,11 @@
         Keeps the records of replicas, and takes what is found of them.
     clock : callable
         The runtime's clock.
-    is_home : callable
+    covers_engineless : callable
         Whether the planner speaks for services without engines as well.
     """
 
-    __slots__ = ("_clock", "_doubts", "_fleet", "_instance", "_is_home", "_service")
+    __slots__ = ("_clock", "_doubts", "_fleet", "_instance", "_covers_engineless", "_service")
 
     def __init__(
         self,
@@ -66,13 +66,13 @@
         instance: str,
         fleet: Fleet,
         clock: t.Callable[[], float],
-        is_home: t.Callable[[], bool],
+        covers_engineless: t.Callable[[], bool],
     ) -> None:
         self._service = service
         self._instance = instance
         self._fleet = fleet
         self._clock = clock
-        self._is_home = is_home
+        self._covers_engineless = covers_engineless
         self._doubts = Doubts()
 
     def begin_stream(self) -> None:
@@ -102,7 +102,7 @@
 
     def take(self, message: pb.FromPlanner) -> None:
         """Take over what is found of replicas."""
-        until = self._clock() + HOLDS_S
+        until = self._clock() + FINDING_TTL_S
         for told in message.verdicts:
             if told.hall not in ("", self._fleet.hall):
                 continue
@@ -126,29 +126,29 @@
 
     def _replicas(self) -> dict[str, Health]:
         """Return the records with something to tell."""
-        is_home = self._is_home()
+        covers_engineless = self._covers_engineless()
         return {
             name: health
             for name, health in self._fleet.healths()
-            if health.has_tally and self._speaks_for(name, is_home)
+            if health.has_tally and self._covers(name, covers_engineless)
         }
 
-    def _speaks_for(self, replica: str, is_home: bool) -> bool:
+    def _covers(self, replica: str, covers_engineless: bool) -> bool:
         known = self._fleet.state.replicas.get(replica)
         if known is None or known.service == self._service:
             return known is not None
-        return is_home and not self._fleet.state.has_engines(known.service)
+        return covers_engineless and not self._fleet.state.has_engines(known.service)
 
 
 @dataclass(slots=True, frozen=True)
-class _Told:
+class _SentVerdict:
     failing: int
     held_back: float
     prober: str
     took: int
     at: float
 
-    def is_like(self, other: _Told) -> bool:
+    def matches(self, other: _SentVerdict) -> bool:
         return (self.failing, self.held_back, self.prober, self.took) == (
             other.failing,
             other.held_back,
@@ -157,7 +157,7 @@
         )
 
     @property
-    def is_nothing(self) -> bool:
+    def is_default(self) -> bool:
         return not (self.failing or self.held_back or self.took)
 
 
@@ -181,12 +181,12 @@
         "_findings",
         "_gather_s",
         "_members",
-        "_members_of",
+        "_members_version",
         "_pool",
         "_service",
         "_sources",
         "_state",
-        "_told",
+        "_sent",
     )
 
     def __init__(
@@ -203,10 +203,10 @@
         self._pool = VerdictPool(self._is_used)
         self._sources: dict[int, Source] = {}
         self._members: dict[str, list[str]] = {}
-        self._members_of = (-1, -1)
+        self._members_version = (-1, -1)
         """The state's change and configuration for which the members were looked up."""
         self._findings: dict[tuple[str, str], Finding] = {}
-        self._told: dict[tuple[str, str], _Told] = {}
+        self._sent: dict[tuple[str, str], _SentVerdict] = {}
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
         """Take over how a gateway's requests ended, and that it has any."""
@@ -228,15 +228,15 @@
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Judge the replicas anew and tell what has changed."""
-        members = self._look_up()
+        members = self._refresh_members()
         for change in self._pool.step(members, self._gather_s(), now):
             self._log(change)
         self._findings = {
             (finding.replica, finding.hall): finding
             for finding in self._pool.findings(members, now)
         }
-        for key in [key for key in self._told if key not in self._findings]:
-            del self._told[key]
+        for key in [key for key in self._sent if key not in self._findings]:
+            del self._sent[key]
             news.verdicts.add(replica=key[0], hall=key[1])
         for key, finding in self._findings.items():
             if self._is_due(key, finding, now):
@@ -261,49 +261,49 @@
             finding = self._findings.get((replica, hall))
             if finding is not None and finding.prober != follower.instance:
                 # A few failures are no reason for all to go elsewhere: that makes others late.
-                cost_s = max(cost_s, EJECTED_S * finding.held_back)
+                cost_s = max(cost_s, EJECTED_COST_S * finding.held_back)
         return cost_s
 
     def ejected_s(self, replica: str) -> float:
         """Return what weights cost more on an engine that is left alone by all, in seconds."""
         finding = self._findings.get((replica, ""))
-        return EJECTED_S * finding.held_back if finding is not None else 0.0
+        return EJECTED_COST_S * finding.held_back if finding is not None else 0.0
 
     def _is_used(self, replica: str) -> bool:
         engine = self._engines.get(replica)
         return engine is not None and engine.is_in_use()
 
     def _is_due(self, key: tuple[str, str], finding: Finding, now: float) -> bool:
-        told = _Told(
-            round(finding.failing / FAILING_STEP),
+        told = _SentVerdict(
+            round(finding.failing / FAILING_RATE_STEP),
             finding.held_back,
             finding.prober,
-            round(math.log(finding.took_s * 1000, TIME_STEP)) if finding.took_s else 0,
+            round(math.log(finding.took_s * 1000, ANSWER_TIME_STEP_RATIO)) if finding.took_s else 0,
             now,
         )
-        earlier = self._told.get(key)
-        if earlier is None and told.is_nothing:
+        earlier = self._sent.get(key)
+        if earlier is None and told.is_default:
             return False
-        if earlier is not None and earlier.is_like(told) and now - earlier.at < REPEAT_S:
+        if earlier is not None and earlier.matches(told) and now - earlier.at < RESEND_INTERVAL_S:
             return False
-        if told.is_nothing:
+        if told.is_default:
             # Told once more; then it is as good as unknown.
-            del self._told[key]
+            del self._sent[key]
         else:
-            self._told[key] = told
+            self._sent[key] = told
         return True
 
-    def _look_up(self) -> dict[str, list[str]]:
+    def _refresh_members(self) -> dict[str, list[str]]:
         snapshot = self._state.snapshot
         seen = (self._state.change, snapshot.version if snapshot is not None else -1)
-        if seen == self._members_of:
+        if seen == self._members_version:
             return self._members
-        self._members_of = seen
+        self._members_version = seen
         self._members = {}
-        is_home = self._state.home_service == self._service
+        covers_engineless = self._state.home_service == self._service
         for rep in self._state.replicas.values():
-            is_plain = is_home and not self._state.has_engines(rep.service)
-            if not rep.leaving and (rep.service == self._service or is_plain):
+            is_included = covers_engineless and not self._state.has_engines(rep.service)
+            if not rep.leaving and (rep.service == self._service or is_included):
                 self._members.setdefault(rep.service, []).append(rep.name)
         return self._members
 
--- a/packages/gateway/src/gradelug_gateway/standing.py
+++ b/packages/gateway/src/gradelug_gateway/standing.py
@@ -13,9 +13,9 @@
 from .model import FleetState
 
 log = logbook.Logger("standing")
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """A part is seen to be there this late at most."""
-MOST_S = 60.0
+MAX_WATCH_S = 60.0
 """What has not come by then is told by other figures."""
 
 
@@ -40,44 +40,44 @@
     ----------
     clock : callable
         The runtime's clock.
-    looks : mapping of Part to callable
+    checks : mapping of Part to callable
         Tells of each part whether it is there.
     """
 
-    __slots__ = ("_clock", "_looks", "_started_at", "_without_s")
+    __slots__ = ("_clock", "_checks", "_started_at", "_missing_s")
 
     def __init__(
-        self, clock: t.Callable[[], float], looks: t.Mapping[Part, t.Callable[[], bool]]
+        self, clock: t.Callable[[], float], checks: t.Mapping[Part, t.Callable[[], bool]]
     ) -> None:
         self._clock = clock
-        self._looks = looks
+        self._checks = checks
         self._started_at = clock()
-        self._without_s: dict[Part, float] = {}
+        self._missing_s: dict[Part, float] = {}
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every part has come."""
-        return len(self._without_s) == len(self._looks)
+        return len(self._missing_s) == len(self._checks)
 
     def without_s(self, part: Part) -> float:
         """Return how long a part was missing after the start, so far if it is, in seconds."""
-        known_s = self._without_s.get(part)
+        known_s = self._missing_s.get(part)
         return known_s if known_s is not None else self._clock() - self._started_at
 
     def look(self) -> None:
         """Note the parts that have come."""
-        for part, is_there in self._looks.items():
-            if part in self._without_s or not is_there():
+        for part, is_known in self._checks.items():
+            if part in self._missing_s or not is_known():
                 continue
-            after_s = self._without_s[part] = self._clock() - self._started_at
+            after_s = self._missing_s[part] = self._clock() - self._started_at
             log.info("part known", part=part.value, after_s=round(after_s, 3))
 
     async def run(self) -> None:
         """Look until all is there, or has long been missed."""
-        until = self._started_at + MOST_S
-        while not self.is_whole and self._clock() < until:
+        until = self._started_at + MAX_WATCH_S
+        while not self.is_complete and self._clock() < until:
             self.look()
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def part_looks(
@@ -100,19 +100,19 @@
     def has_config() -> bool:
         return state.snapshot is not None
 
-    def is_led() -> bool:
+    def has_planners() -> bool:
         return has_config() and all(directory.known(name) is not None for name in services)
 
-    def is_told() -> bool:
+    def is_followed() -> bool:
         return has_config() and all(directory.is_followed(name) for name in services)
 
     def has_holdings() -> bool:
-        return is_told() or any(rep.holdings for rep in state.replicas.values())
+        return is_followed() or any(rep.holdings for rep in state.replicas.values())
 
     return {
         Part.CONFIGURATION: has_config,
         Part.REPLICAS: lambda: mirror.revision > 0,
-        Part.LEADER: is_led,
+        Part.LEADER: has_planners,
         Part.HOLDINGS: has_holdings,
-        Part.LOADS: is_told,
+        Part.LOADS: is_followed,
     }
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/storenews.py
@@ -23,10 +23,10 @@
 log = logbook.Logger("storenews")
 TELL_SPACING_S = 0.3
 """A planner's own looks at the store are so far apart."""
-LISTED_AT_ONCE = 256
+MAX_REPLICAS_PER_MESSAGE = 256
 """Replicas that a gateway which joins without the store is told of in one message, some 25 KB: what
 is under way to 300 gateways at once fits in a few MB."""
-MOST_CONFIG_BYTES = 8_388_608
+MAX_CONFIG_BYTES = 8_388_608
 """The store's entries hold 1 MB."""
 LEAST_FOLLOWERS = 16
 """With fewer gateways the planner's looks would cost as much as theirs."""
@@ -52,14 +52,14 @@
 
     __slots__ = (
         "_clock",
-        "_config",
+        "_published_config",
         "_feed",
         "_freshness",
-        "_has_begun",
+        "_has_baseline",
         "_mirror",
-        "_passes_config",
-        "_replicas",
-        "_versions",
+        "_forwards_config",
+        "_published_replicas",
+        "_published_versions",
     )
 
     def __init__(
@@ -68,17 +68,17 @@
         mirror: Mirror,
         clock: t.Callable[[], float],
         freshness: Freshness,
-        passes_config: bool = True,
+        forwards_config: bool = True,
     ) -> None:
-        self._passes_config = passes_config
+        self._forwards_config = forwards_config
         self._feed = feed
         self._freshness = freshness
         self._mirror = mirror
         self._clock = clock
-        self._replicas: dict[str, Replica] = {}
-        self._versions: dict[AdapterKey, int] = {}
-        self._config = 0
-        self._has_begun = False
+        self._published_replicas: dict[str, Replica] = {}
+        self._published_versions: dict[AdapterKey, int] = {}
+        self._published_config = 0
+        self._has_baseline = False
 
     def news(self) -> pb.StoreNews | None:
         """Return what is new since the last call, None while the store does not answer.
@@ -89,33 +89,33 @@
         if not self._mirror.synced:
             return None
         state = self._feed.state
-        told = self._first(False)
-        if not self._has_begun:
-            self._has_begun = True
-            self._replicas = dict(state.replicas)
-            self._versions = dict(state.versions)
-            self._config = self._config_version(state)
+        told = self._new_message(False)
+        if not self._has_baseline:
+            self._has_baseline = True
+            self._published_replicas = dict(state.replicas)
+            self._published_versions = dict(state.versions)
+            self._published_config = self._config_version(state)
             return told
-        if self._config_version(state) != self._config:
+        if self._config_version(state) != self._published_config:
             self._add_config(told)
         for name, rep in state.replicas.items():
-            known = self._replicas.get(name)
+            known = self._published_replicas.get(name)
             if known is rep:
                 continue
             if known is None or _essence(known) != _essence(rep):
                 told.replicas.append(self._encode(rep))
-        gone = self._replicas.keys() - state.replicas.keys()
+        gone = self._published_replicas.keys() - state.replicas.keys()
         told.replicas.extend(
             pb.ReplicaFact(replica=name, revision=self._mirror.revision, gone=True) for name in gone
         )
         told.versions.extend(
             _encode_version(key, version)
             for key, version in state.versions.items()
-            if self._versions.get(key) != version
+            if self._published_versions.get(key) != version
         )
-        self._replicas = dict(state.replicas)
-        self._versions = dict(state.versions)
-        self._config = self._config_version(state)
+        self._published_replicas = dict(state.replicas)
+        self._published_versions = dict(state.versions)
+        self._published_config = self._config_version(state)
         return told
 
     def listing(self, since: int, is_first: bool) -> tuple[pb.StoreNews, int]:
@@ -136,17 +136,21 @@
             The revision up to which it knows all then; 0 if there is no further piece.
         """
         # What it has not seen of the rest cannot be known.
-        told = self._first(is_first)
+        told = self._new_message(is_first)
         if is_first:
-            told.versions.extend(_encode_version(*item) for item in self._versions.items())
+            told.versions.extend(
+                _encode_version(*item) for item in self._published_versions.items()
+            )
         later = sorted(
             (revision, name)
-            for name in self._replicas
+            for name in self._published_replicas
             if (revision := self._feed.revision(name)) > since
         )
-        reached = later[LISTED_AT_ONCE - 1][0] if len(later) > LISTED_AT_ONCE else 0
+        reached = (
+            later[MAX_REPLICAS_PER_MESSAGE - 1][0] if len(later) > MAX_REPLICAS_PER_MESSAGE else 0
+        )
         told.replicas.extend(
-            self._encode(self._replicas[name])
+            self._encode(self._published_replicas[name])
             for revision, name in later
             if not reached or revision <= reached
         )
@@ -155,14 +159,14 @@
     def _add_config(self, told: pb.StoreNews) -> None:
         """Pass a new configuration on, or have everybody look for it."""
         entry = self._feed.config_entry
-        if entry is None or not self._passes_config:
+        if entry is None or not self._forwards_config:
             told.look = True
             return
         told.config_entry.key = entry.key
         told.config_entry.revision = entry.revision
         told.config_entry.deflated = zlib.compress(entry.value)
 
-    def _first(self, look: bool) -> pb.StoreNews:
+    def _new_message(self, look: bool) -> pb.StoreNews:
         return pb.StoreNews(
             age_ms=round((self._clock() - self._mirror.looked_at) * 1000),
             look=look,
@@ -198,31 +202,31 @@
         Rests as long as the planner tells.
     clock : callable
         The runtime's clock.
-    spacing_s : float
+    poll_interval_s : float
         What is known of the store may be so old, in seconds.
-    may_rest : callable
+    can_pause : callable
         Tells whether this instance needs nothing else of the store.
     freshness : Freshness
         Is told what the planner has proven.
     """
 
-    __slots__ = ("_clock", "_feed", "_freshness", "_may_rest", "_mirror", "_spacing_s")
+    __slots__ = ("_clock", "_feed", "_freshness", "_can_pause", "_mirror", "_poll_interval_s")
 
     def __init__(
         self,
         feed: Feed,
         mirror: Mirror,
         clock: t.Callable[[], float],
-        spacing_s: float,
-        may_rest: t.Callable[[], bool],
+        poll_interval_s: float,
+        can_pause: t.Callable[[], bool],
         freshness: Freshness,
     ) -> None:
         self._feed = feed
         self._freshness = freshness
         self._mirror = mirror
         self._clock = clock
-        self._spacing_s = spacing_s
-        self._may_rest = may_rest
+        self._poll_interval_s = poll_interval_s
+        self._can_pause = can_pause
 
     @property
     def revision(self) -> int:
@@ -245,21 +249,21 @@
             self._feed.take_told(fact.replica, fact.revision, _decode(fact, state))
         for version in news.versions:
             key = AdapterKey(version.model, version.adapter)
-            self._feed.take_told_version(key, version.version)
+            self._feed.apply_remote_version(key, version.version)
         if news.HasField("config_entry"):
-            self._take_config(news.config_entry)
-        self._feed.notify_told()
+            self._apply_config(news.config_entry)
+        self._feed.notify_remote_changes()
         self._freshness.note_told(news.config, news.proven_ms / 1000 - ahead_s)
-        if self._may_rest():
-            until = self._clock() - news.age_ms / 1000 + self._spacing_s
+        if self._can_pause():
+            until = self._clock() - news.age_ms / 1000 + self._poll_interval_s
             self._mirror.rest_until(min(until, self._freshness.renew_at))
         if news.look:
             self._mirror.hurry()
 
-    def _take_config(self, told: pb.ConfigEntry) -> None:
+    def _apply_config(self, told: pb.ConfigEntry) -> None:
         inflate = zlib.decompressobj()
         try:
-            value = inflate.decompress(told.deflated, MOST_CONFIG_BYTES)
+            value = inflate.decompress(told.deflated, MAX_CONFIG_BYTES)
         except zlib.error as exc:
             log.error("a configuration that was told cannot be read", why=str(exc))
             self._mirror.hurry()
@@ -268,7 +272,7 @@
             log.error("a configuration that was told is too large", key=told.key)
             self._mirror.hurry()
             return
-        self._feed.take_told_config(KvEntry(told.key, value, told.revision))
+        self._feed.apply_remote_config(KvEntry(told.key, value, told.revision))
 
 
 def _essence(rep: Replica) -> tuple[str, str, str, bool, int, int]:
--- a/tests/grown_fleet.py
+++ b/tests/grown_fleet.py
@@ -29,7 +29,7 @@
 SPEC = EngineSpec((BaseModel("base-model", 500.0, 0.6, 14.0),), 1000.0, PLACES, 96, 100_000, 8.0)
 RUN_S = 2.0
 STEP_S = 0.05
-SAY_S = 0.5
+SEND_INTERVAL_S = 0.5
 ADAPTERS_PER_ENGINE = 20
 FEATURES = frozenset(Feature)
 
@@ -72,7 +72,7 @@
         self.asked = {}
         self.running = Counter()
         self.ends = []
-        self.said_at = 0.0
+        self.sent_at = 0.0
         self.reads = True
         self.bytes = self.messages = self.answered = self.refused = 0
 
@@ -113,8 +113,8 @@
         for replica in {replica for replica, _ in changed}:
             running = sum(count for use, count in self.running.items() if use[0] == replica)
             message.loads.add(replica=replica, running=running)
-        if message.asks or message.uses or now - self.said_at >= SAY_S:
-            self.said_at = now
+        if message.asks or message.uses or now - self.sent_at >= SEND_INTERVAL_S:
+            self.sent_at = now
             self.fleet.planner.take(self.follower, message)
 
     def read(self, now):
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -7,7 +7,7 @@
 from gradelug_coordination import KvUnavailable
 from gradelug_coordination.mirror import MOST_REST_S
 from gradelug_gateway.followers import Followers
-from gradelug_gateway.freshness import LOOK_S, MARGIN_S, RENEW_PART
+from gradelug_gateway.freshness import CLOCK_MARGIN_S, MIN_POLL_INTERVAL_S, RENEW_FRACTION
 from gradelug_gateway.storenews import LEAST_FOLLOWERS, TELL_SPACING_S, StoreListener, StoreTeller
 from gradelug_standins.kv import MemoryKv
 from gradelug_wire import placement_pb2 as pb
@@ -18,7 +18,7 @@
 BOUND_S = 5.0
 SPACING_S = 2.2
 NEWS_S = 0.25
-SAYS_S = 0.5
+SEND_INTERVAL_S = 0.5
 """A gateway sends something so often."""
 
 
@@ -94,7 +94,7 @@
         while True:
             sent_ms = math.floor(self.gateway.clock() * 1000)
             loop.call_later(self.up_s, self._hear, sent_ms)
-            await asyncio.sleep(SAYS_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
     def _hear(self, sent_ms):
         received_ms = math.ceil(self._by_planner(self.planner.clock()) * 1000)
@@ -170,7 +170,7 @@
     def test_a_told_proof_does_not_cover_a_configuration_that_is_not_known(self):
         async def scenario():
             world = World()
-            world.teller._passes_config = False
+            world.teller._forwards_config = False
             await world.name_config()
             await beat(world, 4.0)
             world.gateway.way.cut = True
@@ -222,7 +222,7 @@
             await world.name_config()
             await beat(world, 4.0)
             world.gateway.way.cut = world.planner.way.cut = True
-            await beat(world, BOUND_S + MARGIN_S)
+            await beat(world, BOUND_S + CLOCK_MARGIN_S)
             assert not world.gateway.freshness.is_proven()
             await world.stop()
 
@@ -237,7 +237,7 @@
             served = world.served
             await beat(world, 10.0)
             assert world.served - served >= 10.0 / 0.05 - 1
-            assert world.gateway.kv.looks <= 14.0 / (BOUND_S * RENEW_PART) * 2 + 2
+            assert world.gateway.kv.looks <= 14.0 / (BOUND_S * RENEW_FRACTION) * 2 + 2
             await world.stop()
 
         run(scenario)
@@ -254,7 +254,7 @@
             looks = world.gateway.kv.looks
             await beat(world, 4.0, 0.02)
             # Requests that ask for a proof all the time do not make it look without a pause.
-            assert world.gateway.kv.looks - looks <= 2 * 4.0 / LOOK_S
+            assert world.gateway.kv.looks - looks <= 2 * 4.0 / MIN_POLL_INTERVAL_S
             await world.stop()
 
         run(scenario)
@@ -292,7 +292,7 @@
     def test_whatever_is_cut_or_late(self, troubles, offset_s, passes):
         async def scenario():
             world = World(offset_s + 100.0)
-            world.teller._passes_config = passes
+            world.teller._forwards_config = passes
             await world.name_config()
             await beat(world, 3.0)
             for kind, for_s in troubles:
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -19,9 +19,9 @@
 from gradelug_gateway.settings import Feature
 from gradelug_gateway.sharedhealth import (
     DOUBTED_S,
-    EJECTED_S,
-    HOLDS_S,
-    REPEAT_S,
+    EJECTED_COST_S,
+    FINDING_TTL_S,
+    RESEND_INTERVAL_S,
     EndsTeller,
     HealthDesk,
 )
@@ -143,8 +143,8 @@
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         gateway.part.take(pb.FromPlanner(verdicts=[pb.Verdict(replica="e0", held_back=1.0)]))
         health = gateway.fleet.health("e0")
-        assert health.held_back(1.0 + HOLDS_S - 0.1) == 1.0
-        assert health.held_back(1.0 + HOLDS_S) == 0.0
+        assert health.held_back(1.0 + FINDING_TTL_S - 0.1) == 1.0
+        assert health.held_back(1.0 + FINDING_TTL_S) == 0.0
 
 
 class TestHealthDesk:
@@ -180,7 +180,7 @@
             if any(verdict.replica == "e1" for verdict in pair.step().verdicts):
                 rests.append(pair.now - last_at)
                 last_at = pair.now
-        assert max(rests) <= REPEAT_S + NEWS_S
+        assert max(rests) <= RESEND_INTERVAL_S + NEWS_S
         del pair.state.replicas["e1"]
         pair.state.change += 1
         told = [verdict for verdict in pair.step().verdicts if verdict.replica == "e1"]
@@ -218,8 +218,8 @@
         assert pair.desk.doubt_s("e1", first, ()) == 0.0
         assert pair.desk.doubt_s("e1", first, ("e1",)) == DOUBTED_S
         pair.fail("e1")
-        assert pair.desk.doubt_s("e1", first, ()) >= EJECTED_S
-        assert pair.desk.ejected_s("e1") == EJECTED_S
+        assert pair.desk.doubt_s("e1", first, ()) >= EJECTED_COST_S
+        assert pair.desk.ejected_s("e1") == EJECTED_COST_S
         for _ in range(8):
             pair.step()
         costs = [pair.desk.doubt_s("e1", follower, ()) for follower in pair.followers]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -164,7 +164,7 @@
             standing.look()
             there.clear()
             standing.look()
-        assert standing.is_whole
+        assert standing.is_complete
         assert standing.without_s(Part.CONFIGURATION) == 0.5
         assert {standing.without_s(part) for part in Part} == {0.5, 2.0}
         assert len(logs.records) == len(Part)
--- a/tests/test_storenews.py
+++ b/tests/test_storenews.py
@@ -15,7 +15,7 @@
 from gradelug_gateway.model import AdapterKey, FleetState, Replica, Snapshot
 from gradelug_gateway.storenews import (
     LEAST_FOLLOWERS,
-    LISTED_AT_ONCE,
+    MAX_REPLICAS_PER_MESSAGE,
     TELL_SPACING_S,
     StoreListener,
     StoreTeller,
@@ -97,10 +97,10 @@
             site.mirror,
             site.clock,
             SPACING_S,
-            lambda: self.may_rest,
+            lambda: self.can_pause,
             site.freshness,
         )
-        self.may_rest = True
+        self.can_pause = True
         planner = self.planner
         teller = StoreTeller(planner.feed, planner.mirror, site.clock, planner.freshness)
         self.teller = teller
@@ -168,7 +168,7 @@
     def test_a_configuration_is_passed_on_or_looked_at_at_once(self, passes):
         async def scenario():
             pair = Pair()
-            pair.teller._passes_config = passes
+            pair.teller._forwards_config = passes
             await pair.beat(4.0)
             looks = pair.gateway.kv.looks
             await pair.put("config", 5)
@@ -208,7 +208,7 @@
                 pair.planner.task.cancel()
                 pair.planner.mirror.synced = False
             elif why == "owns engines":
-                pair.may_rest = False
+                pair.can_pause = False
             await pair.put("config", 5)
             await pair.beat(SPACING_S + 0.6)
             assert pair.gateway.state.snapshot.version == 5
@@ -261,7 +261,7 @@
 
         async def scenario():
             pair = Pair()
-            for number in range(2 * LISTED_AT_ONCE + 10):
+            for number in range(2 * MAX_REPLICAS_PER_MESSAGE + 10):
                 await pair.put(f"s/r{number}", {"address": "r:1"})
             await asyncio.sleep(2.0)
             told, since, pieces = set(), 0, []
@@ -270,7 +270,7 @@
                 pieces.append(piece)
                 told.update(fact.replica for fact in piece.replicas)
             assert len(pieces) == 3
-            assert all(len(piece.replicas) <= LISTED_AT_ONCE for piece in pieces)
+            assert all(len(piece.replicas) <= MAX_REPLICAS_PER_MESSAGE for piece in pieces)
             assert told == pair.planner.state.replicas.keys()
             assert [piece.look for piece in pieces] == [True, False, False]
             known = pair.planner.mirror.revision
@@ -287,7 +287,7 @@
         async def scenario():
             pair = Pair()
             pair.task.cancel()
-            for number in range(2 * LISTED_AT_ONCE + 10):
+            for number in range(2 * MAX_REPLICAS_PER_MESSAGE + 10):
                 await pair.put(f"s/r{number}", {"address": "r:1"})
             await asyncio.sleep(2.0)
             pair.followers.tell_news(True)
@@ -300,7 +300,7 @@
                 told += [message.store for message in pair.follower.take_messages()]
             facts = [(fact.replica, fact.gone) for news in told for fact in news.replicas]
             assert ("r0", True) in facts
-            assert len({name for name, _ in facts}) == 2 * LISTED_AT_ONCE + 10
+            assert len({name for name, _ in facts}) == 2 * MAX_REPLICAS_PER_MESSAGE + 10
             assert [fact.version for news in told for fact in news.versions] == [2]
             assert pair.follower.has_store
             await pair.stop()
