--- a/packages/gateway/src/gradelug_gateway/freshness.py
+++ b/packages/gateway/src/gradelug_gateway/freshness.py
@@ -1,4 +1,7 @@
-"""How lately the configuration in force here was known to be the newest."""
+"""Age of the proof that the configuration in force on this instance is the newest.
+
+Admission uses it to reject keys once a revocation may have gone unnoticed for too long.
+"""
 
 from __future__ import annotations
 
@@ -12,33 +15,34 @@
 
 log = logbook.Logger("freshness")
 RENEW_FRACTION = 0.5
-"""An own look is begun when so much of the bound has passed: what is left bears two that fail."""
+"""Fraction of the bound after which this instance polls the store itself: the rest is enough for
+two failed attempts."""
 MIN_POLL_INTERVAL_S = 0.2
-"""Requests that need a proof have the store looked at this often at most: looks that bring none, as
-where a configuration cannot be read, would follow each other without a pause."""
+"""Minimum interval between polls that requests without a proof trigger, in seconds: polls that
+yield no proof, as with a malformed configuration, would otherwise follow without a pause."""
 CLOCK_MARGIN_S = 0.1
-"""Timers and the platform's clock may differ by so much within the bound."""
+"""Allowed difference between timers and the platform's clock within the bound, in seconds."""
 
 
 class Freshness:
-    """Proof that keys which are accepted here had not been taken away by a moment.
+    """Proof that the keys accepted here were not revoked up to a known time.
 
-    A key must not be accepted for a request that was sent later than a bound after the key was
-    taken away, by no instance, also by one that is cut off. So each instance reckons with the
-    moment at which its configuration was the newest for certain, by its own clock: before its
-    own look at the platform's store was begun, or, as another instance tells, before that one's
-    look was begun. What is older than the bound proves nothing any more.
+    No instance may accept a revoked key for a request that was sent later than a bound after the
+    revocation, not even while it is partitioned from the store. So each instance keeps the latest
+    time, by its own clock, at which its configuration was certainly the newest: the start of its
+    own last poll of the platform store, or of a poll that another instance reports. A proof that
+    is older than the bound does not count.
 
     Parameters
     ----------
     mirror : Mirror
-        Own looks at the store.
+        Local copy of the store, with the time of this instance's own polls.
     feed : Feed
-        Tells whether the newest configuration seen there could be read.
+        Provides the configuration in force, and whether the newest one could be decoded.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     bound_s : float
-        Age of a proof that is good enough, in seconds; infinite where none is needed.
+        Maximum age of a valid proof, in seconds; infinite if no proof is needed.
     """
 
     __slots__ = ("_bound_s", "_clock", "_feed", "_mirror", "_remote_proven_at", "_was_proven")
@@ -61,13 +65,13 @@
 
     @property
     def proven_at(self) -> float:
-        """When the configuration in force was the newest, by the runtime's clock."""
+        """Latest time when the configuration in force was the newest, by the runtime's clock."""
         own = self._mirror.proven_at if self._feed.is_readable else -math.inf
         return max(own, self._remote_proven_at)
 
     @property
     def renew_at(self) -> float:
-        """When this instance is to look itself unless it was told something newer."""
+        """When this instance polls the store itself unless it receives a newer proof before."""
         if math.isinf(self._bound_s):
             return math.inf
         return self.proven_at + self._bound_s * RENEW_FRACTION
@@ -78,26 +82,29 @@
         return self._clock() - self.proven_at
 
     def note_told(self, config: int, at: float) -> None:
-        """Note that another instance knew a version to be the newest at a moment.
+        """Record another instance's proof that a configuration was the newest at some time.
 
         Parameters
         ----------
         config : int
-            The version.
+            Version of the configuration.
         at : float
-            The moment, or an earlier one, by this instance's clock.
+            That time or an earlier one, by this instance's clock, in seconds.
         """
         if config <= self.config:
             self._remote_proven_at = max(self._remote_proven_at, at)
 
     def is_proven(self) -> bool:
-        """Tell whether a request that arrives now may be let in by its key."""
+        """Return whether a request that arrives now may be admitted by its key."""
         age_s = self.age_s
         proven = age_s <= self._bound_s
         if proven != self._was_proven:
             self._was_proven = proven
             log.warning(
-                "proof of the configuration", good=proven, config=self.config, age_s=round(age_s, 2)
+                "proof of the newest configuration expired or renewed",
+                good=proven,
+                config=self.config,
+                age_s=round(age_s, 2),
             )
         if not proven and self._clock() - self._mirror.looked_at >= MIN_POLL_INTERVAL_S:
             self._mirror.hurry()
--- a/packages/gateway/src/gradelug_gateway/health.py
+++ b/packages/gateway/src/gradelug_gateway/health.py
@@ -1,4 +1,8 @@
-"""How requests ended at a replica: what this instance saw, and what all found together."""
+"""Request outcomes of a replica, as this instance observed them and as all instances combined.
+
+The selection of replicas reads the failure rate, the circuit breaker and the verdicts of planners
+from here.
+"""
 
 from __future__ import annotations
 
@@ -9,26 +13,27 @@
 from gradelug_policy import Circuit
 
 FAILURE_WEIGHT = 0.25
-"""Share of the newest outcome in a replica's failure rate."""
+"""Weight of the newest outcome in a replica's failure rate, a moving average."""
 FAILURE_HALF_LIFE_S = 4.0
-"""A replica that is avoided gets no new outcomes; its failures count half after this."""
+"""Half-life of the failure rate, in seconds: a replica that is avoided gets no new outcomes."""
 CIRCUIT_FAILURES = 3
 CIRCUIT_OPEN_S = 1.5
 PROBE_SPACING_S = 0.1
-"""Requests that are to find out how a replica is are so far apart: the first one's outcome may save
-the next."""
+"""Minimum interval between probes of a replica, in seconds: the outcome of the first one may make
+the next unnecessary."""
 
 
 @dataclass(slots=True)
 class OutcomeTally:
-    """How requests of this instance ended at a replica, until it is told.
+    """Counts of this instance's request outcomes at a replica that are not reported yet.
 
     Parameters
     ----------
     served, failed, broken, full : int
-        Answered; failed by the replica; lost on the way or not answered; not run for want of room.
+        Requests that were answered; that the replica failed; that were lost in transit or got no
+        answer; that were not run for lack of capacity.
     took_s : float
-        Time that whole answers took together, in seconds.
+        Sum of the durations of complete answers, in seconds.
     """
 
     served: int = 0
@@ -39,26 +44,26 @@
 
     @property
     def count(self) -> int:
-        """All requests that ended."""
+        """Number of requests that ended."""
         return self.served + self.failed + self.broken + self.full
 
 
 @dataclass(slots=True, frozen=True)
 class ToldFinding:
-    """What all instances together found of a replica.
+    """A planner's verdict on a replica, from the outcomes that all gateways report.
 
     Parameters
     ----------
     failing : float
-        Part of the requests that fail, 0 to 1.
+        Fraction of the requests that fail, 0 to 1.
     held_back : float
-        Part of the requests that are to go elsewhere, 0 to 1.
+        Fraction of the requests to send to other replicas, 0 to 1; 1 if the replica is ejected.
     took_s : float
-        Mean time of an answer, in seconds; 0 if unknown.
+        Mean response time, in seconds; 0 if unknown.
     may_probe : bool
-        Whether this instance is the one that may probe it.
+        Whether this instance is the one that may probe the replica.
     until : float
-        How long it holds, by the runtime's clock.
+        When the verdict expires, by the runtime's clock, in seconds.
     """
 
     failing: float
@@ -69,7 +74,7 @@
 
 
 class Health:
-    """Outcomes of the requests that were sent to a replica."""
+    """Failure rate, circuit breaker and verdicts of one replica."""
 
     __slots__ = ("_rate_at", "_probed_at", "_rate", "circuit", "heard_at", "tally", "told")
 
@@ -79,49 +84,53 @@
         self._rate_at = 0.0
         self._probed_at = float("-inf")
         self.heard_at = float("-inf")
-        """When something came from it last."""
+        """When data was received from the replica last, by the runtime's clock, in seconds."""
         self.tally = OutcomeTally()
         self.told: dict[str, ToldFinding] = {}
-        """Of all halls under an empty name, and of this instance's hall."""
+        """Verdicts by hall: the one for all halls under an empty name, and that for this hall."""
 
     def shared_rate(self, now: float) -> float:
-        """Return the part of requests that failed lately, here or over all instances, 0 to 1."""
-        told = (found.failing for found in self._findings(now))
-        return max(self.rate(now), *told, 0.0)
+        """Return the highest recent failure rate, of this instance or of all combined, 0 to 1."""
+        shared = (verdict.failing for verdict in self._valid_verdicts(now))
+        return max(self.rate(now), *shared, 0.0)
 
     def rate(self, now: float) -> float:
-        """Return the part of this instance's requests that failed lately, 0 to 1."""
+        """Return the recent failure rate of this instance's requests, 0 to 1."""
         return self._rate * math.exp2(-(now - self._rate_at) / FAILURE_HALF_LIFE_S)
 
     def held_back(self, now: float) -> float:
-        """Return the part of the requests that are to go elsewhere, 0 to 1."""
-        return max((found.held_back for found in self._findings(now)), default=0.0)
+        """Return the fraction of the requests to send to other replicas, 0 to 1."""
+        return max((verdict.held_back for verdict in self._valid_verdicts(now)), default=0.0)
 
     def took_s(self, now: float) -> float:
-        """Return the mean time of an answer over all instances, 0 if unknown."""
-        return max((found.took_s for found in self._findings(now)), default=0.0)
+        """Return the mean response time over all instances, in seconds; 0 if unknown."""
+        return max((verdict.took_s for verdict in self._valid_verdicts(now)), default=0.0)
 
     def allows(self, now: float, chance: float) -> bool:
-        """Tell whether a request may be sent; `chance` is drawn evenly from 0 to 1."""
+        """Return whether a request may be sent; `chance` is a uniform random number, 0 to 1."""
         return self.circuit.allows(now) and chance >= self.held_back(now)
 
     def may_probe(self, now: float) -> bool:
-        """Tell whether the next request is to find out how the replica is."""
+        """Return whether the next request may be sent as a probe."""
         if now - self._probed_at < PROBE_SPACING_S:
             return False
-        return any(found.may_probe for found in self._findings(now))
+        return any(verdict.may_probe for verdict in self._valid_verdicts(now))
 
     def note_probe(self, now: float) -> None:
-        """Note that a request is to find out how the replica is."""
+        """Record that a request is sent as a probe."""
         self._probed_at = now
 
     def note(self, failed: bool, now: float, took_s: float = 0.0) -> None:
-        """Take into account that the replica failed a request or answered it.
+        """Record that the replica answered or failed a request.
 
         Parameters
         ----------
+        failed : bool
+            Whether the replica failed the request.
+        now : float
+            Time of the runtime's clock, in seconds.
         took_s : float
-            How long a whole answer took, in seconds; 0 to take no account of it.
+            Duration of a complete answer, in seconds; 0 to leave it out.
         """
         self.tally.failed += failed
         self.tally.served += not failed
@@ -129,30 +138,30 @@
         self._record(failed, now)
 
     def note_broken(self, now: float) -> None:
-        """Take into account that a request was lost on the way, or not answered."""
+        """Record that a request was lost in transit or got no answer."""
         self.tally.broken += 1
         self._record(True, now)
 
     def note_late(self, now: float) -> None:
-        """Take into account that an answer did not come in time, as from a replica with a queue.
+        """Record that an answer was late, as from a replica with a queue.
 
-        It is told to nobody: where much is asked for, all replicas are late now and then, and one
-        that is left alone makes the others later.
+        It is not reported to planners: under high load all replicas are late at times, and ejecting
+        one would delay the others further.
         """
         self._record(True, now)
 
     def note_full(self, now: float) -> None:
-        """Take into account that a request was not run for want of room."""
+        """Record that a request was not run for lack of capacity."""
         self.tally.full += 1
         self._record(False, now)
 
     @property
     def has_tally(self) -> bool:
-        """Whether a request ended that has not been told of."""
+        """Whether there are outcomes that are not reported yet."""
         return self.tally.count > 0
 
     def take_tally(self) -> OutcomeTally:
-        """Return what has not been told yet, and begin anew."""
+        """Return the outcomes that are not reported yet and reset the counts."""
         tally, self.tally = self.tally, OutcomeTally()
         return tally
 
@@ -164,5 +173,5 @@
         else:
             self.circuit.note_success()
 
-    def _findings(self, now: float) -> t.Iterator[ToldFinding]:
-        return (found for found in self.told.values() if now < found.until)
+    def _valid_verdicts(self, now: float) -> t.Iterator[ToldFinding]:
+        return (verdict for verdict in self.told.values() if now < verdict.until)
--- a/packages/gateway/src/gradelug_gateway/model.py
+++ b/packages/gateway/src/gradelug_gateway/model.py
@@ -1,4 +1,4 @@
-"""What the daemon knows, in one place: each part of it is a module of its own."""
+"""Types of the gateway's state, collected from the modules that define them for a single import."""
 
 from .engine_orders import Order as Order
 from .engine_orders import OrderOutcome as OrderOutcome
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -1,4 +1,4 @@
-"""Replicas, the weights that they hold, and what the platform has told of all of them."""
+"""Types for replicas, the weights that they hold and the state of the whole fleet."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class AdapterKey:
-    """A base model, or one of its adapters."""
+    """Identifies the weights of a base model or of one of its adapters."""
 
     model: str
     adapter: str = ""
 
     @property
     def text(self) -> str:
-        """Its name in logs and between processes."""
+        """Name of the weights in logs and in messages between processes."""
         return f"{self.model}/{self.adapter}" if self.adapter else self.model
 
 
 @dataclass(slots=True, frozen=True)
 class Holding:
-    """Weights that a replica holds, at a version (0: not told)."""
+    """Weights that a replica holds, and their version; 0 if unknown."""
 
     key: AdapterKey
     version: int
@@ -35,30 +35,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Replica:
-    """A replica, as it says of itself.
+    """State of a replica, as its own entry in the platform store describes it.
 
     Parameters
     ----------
     name : str
-        Unique to one start of the process.
+        Name of the replica.
     service, address, hall : str
-        What it serves, ``IP:port``, and where it stands.
+        Service that it belongs to, its address as ``IP:port``, and its hall.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new requests, as it is shutting down.
     slots : int
-        Requests run at once.
+        Maximum number of requests it runs concurrently.
     orders : int
-        How many orders it has taken.
+        Number of orders that it has accepted.
     holdings : tuple of Holding
-        Weights in its places.
+        Weights that are loaded.
     cached : frozenset of Holding
-        Weights that its host memory keeps, which load fast.
+        Weights cached in its host memory, which load fast.
     born : int
-        When its process started, in Unix milliseconds by its own clock; 0 if not told. It names a
-        life of the replica: one that started again under the name that it had knows nothing of
-        before. Clocks may step, so lives are told apart by this and not put in order.
+        Start time of its process, in Unix milliseconds by its own clock; 0 if unknown. It
+        identifies an incarnation: a replica that restarts under the same name has lost all earlier
+        state. Clocks may step, so incarnations are compared for equality only, not ordered.
     ends_in_s : float
-        Time from its notice until it is gone whatever it runs, in seconds; infinite if not told.
+        Time from its shutdown announcement until it is terminated with all that it runs, in
+        seconds; infinite if unknown.
     """
 
     name: str
@@ -76,7 +77,21 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineReport:
-    """State of an engine, as it stood a moment ago; `born` names its life, 0 if not told."""
+    """State that an engine reports on request.
+
+    Parameters
+    ----------
+    orders : int
+        Number of orders that it has accepted.
+    holdings, loading : tuple of Holding
+        Weights that are loaded, and those being loaded.
+    cached : frozenset of Holding
+        Weights cached in its host memory.
+    busy : bool
+        Whether it executes an order.
+    born : int
+        Identifies its incarnation; 0 if unknown.
+    """
 
     orders: int
     holdings: tuple[Holding, ...]
@@ -87,16 +102,16 @@
 
 
 class ToldLoad(t.NamedTuple):
-    """Requests of one instance, or of all, at a replica.
+    """Reported load of a replica by requests of one instance, or of all instances.
 
     Parameters
     ----------
     starting, running : int
-        Requests before and after their first event.
+        Number of requests before and after their first event.
     queued : tuple of int
-        Tokens of the prompts of those before it, by urgency.
+        Prompt tokens of the requests before their first event, by urgency.
     memory : int
-        What all of them hold of the replica's memory when they have ended, in tokens.
+        Memory that all requests occupy when they have ended, in tokens.
     """
 
     starting: int = 0
@@ -107,22 +122,22 @@
 
 @dataclass(slots=True)
 class FleetState:
-    """What the platform has told so far, kept up to date by a feed.
+    """View of configuration, replicas and versions, kept up to date by a feed.
 
     Parameters
     ----------
     snapshot : Snapshot or None
-        The newest configuration, None before the first.
+        Configuration in force; None before the first.
     replicas : dict
         Replicas by name.
     versions : dict
-        Newest version of adapters that were renewed.
+        Newest version of weights that were replaced at least once, by key.
     change : int
-        Grows with every change of the replicas.
+        Counter that grows with every change of the replicas.
     departures : Departures
-        Lives of replicas that leave.
+        Incarnations of replicas that are shutting down or have ended.
     namings : Namings
-        When versions were named.
+        When newest versions were published.
     """
 
     snapshot: Snapshot | None = None
@@ -133,17 +148,17 @@
     namings: Namings = field(default_factory=Namings)
 
     def is_leaving(self, rep: Replica) -> bool:
-        """Tell whether a replica takes no new work, as far as is known now."""
+        """Return whether a replica accepts no new requests, by the newest known state."""
         known = self.replicas.get(rep.name, rep)
         return known.leaving or self.departures.has(rep.name, rep.born)
 
     def has_engines(self, service: str) -> bool:
-        """Tell whether a service's replicas are engines."""
+        """Return whether a service's replicas are model engines."""
         found = self.snapshot.services.get(service) if self.snapshot is not None else None
         return found is not None and found.engine is not None
 
     @property
     def home_service(self) -> str:
-        """The service whose planner keeps what concerns all services, empty if there is none."""
+        """Service whose planner also keeps the state shared by all services; empty if none."""
         services = self.snapshot.services if self.snapshot is not None else {}
         return min((name for name in services if self.has_engines(name)), default="")
--- a/packages/gateway/src/gradelug_gateway/services.py
+++ b/packages/gateway/src/gradelug_gateway/services.py
@@ -1,4 +1,4 @@
-"""What the configuration says: routes, services, what their replicas are like."""
+"""Types for the configuration: routes, services and the specifications of their engines."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
 MIN_PATIENCE_S = 2.0
 PATIENCE_TARGET_FACTOR = 4.0
 PATIENCE_GAP_FACTOR = 8.0
-"""Callers give a stream up after the longest of these, as the platform's pages say."""
+"""Callers abandon a stream after the longest of three waits, as the platform documents: a minimum
+in seconds, a multiple of the route's target time and a multiple of its target pause between
+events."""
 
 
 class Repeat(Enum):
-    """What may be done to a request whose outcome is in doubt."""
+    """Whether a request with an unknown outcome may be retried."""
 
     FREELY = "freely"
-    """It may run again from its beginning."""
+    """It may be run again from the beginning."""
     NEVER = "never"
     RESUME = "resume"
-    """A stream; another run may go on after the last event that was delivered."""
+    """A stream that another run may continue after the last event that was delivered."""
 
 
 @dataclass(slots=True, frozen=True)
 class Share:
-    """A service's part of a route's traffic."""
+    """A service's share of a route's traffic."""
 
     service: str
     weight: float
@@ -38,28 +40,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Which service answers requests, and how.
+    """A rule that assigns matching requests to services.
 
     Parameters
     ----------
     name, host, prefix : str
-        Its name, and the host and the beginning of the path that it is for.
+        Name of the route, and the host and the path prefix that it matches.
     shares : tuple of Share
         Services, with weights that need not add up to 1.
     streaming : bool
-        Whether answers are streams of events.
+        Whether responses are event streams.
     repeat : Repeat
-        What may be done when an outcome is in doubt.
+        Whether a request with an unknown outcome may be retried.
     timeout_s : float
-        How long a request may be held, in seconds.
+        Maximum time until a request is answered, in seconds.
     target_s : float
-        Within this time, in seconds, an answer is worth most; streams: the first event.
+        Target time for the response, or for the first event of a stream, in seconds.
     gap_s : float
-        Longest pause between events that is still in time, in seconds.
+        Target for the longest pause between two events, in seconds.
     max_replicas : int
-        To how many replicas one request may be sent.
+        Maximum number of replicas that one request is sent to.
     rank : int
-        Urgency, 0 first.
+        Urgency; 0 is the most urgent.
     public : bool
         Whether its requests need no key.
     """
@@ -79,7 +81,7 @@
 
     @property
     def patience_s(self) -> float:
-        """How long a caller waits for the next event of a stream, in seconds."""
+        """How long a caller waits for the next event of a stream, in seconds; infinite if none."""
         if not self.streaming:
             return math.inf
         return max(
@@ -89,18 +91,18 @@
 
 @dataclass(slots=True, frozen=True)
 class BaseModel:
-    """A base model that engines may hold.
+    """A base model that engines may load.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the model.
     size_mb : float
-        Size of its weights.
+        Size of its weights, in MB.
     load_s : float
         Time to load it from the weight store, in seconds.
     adapter_mb : float
-        Size of one of its adapters.
+        Size of one of its adapters, in MB.
     """
 
     name: str
@@ -111,28 +113,28 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineSpec:
-    """What the replicas of a service of model engines are like.
+    """Specification of the engines of a service.
 
     Parameters
     ----------
     models : tuple of BaseModel
-        Models they may hold.
+        Base models that they may load.
     memory_mb : float
-        Memory for weights and adapters.
+        Memory for weights of models and adapters, in MB.
     adapter_slots : int
-        Places for adapters.
+        Maximum number of loaded adapters.
     batch : int
-        Requests run at once.
+        Maximum number of requests run concurrently.
     kv_tokens : int
-        Tokens that the memory of prompts holds.
+        Capacity of the KV cache, in tokens.
     loads_per_s : float
-        Loads from the weight store that all replicas together may begin.
+        Maximum rate at which all replicas together start loads from the weight store, per second.
     moves : bool
         Whether runs can be moved from one engine to another.
     backups : bool
-        Whether engines send the memory of a run to another one as it grows.
+        Whether engines copy the KV cache of a run to another engine while it grows.
     copy_terms : CopyTerms
-        What a copy of a run's memory takes.
+        Size and bandwidth of copies of a run's KV cache.
     """
 
     models: tuple[BaseModel, ...]
@@ -147,25 +149,25 @@
 
     @property
     def loads_at_once(self) -> float:
-        """Loads of base models that the weight store is meant to bear at once.
+        """Maximum number of base models loaded concurrently from the weight store.
 
-        It bears at least about as many adapters, which are smaller.
+        It can serve at least about as many loads of adapters, which are smaller.
         """
         return self.loads_per_s * min((model.load_s for model in self.models), default=0.0)
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A group of replicas that answer the same requests.
+    """A group of replicas that serve the same requests.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the service.
     max_conns : int
-        Connections that a replica takes from all callers together.
+        Maximum number of connections that a replica accepts from all callers together.
     engine : EngineSpec or None
-        Set for model engines.
+        Specification of its engines; None if its replicas are no model engines.
     """
 
     name: str
@@ -175,20 +177,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """A configuration, whole.
+    """A complete version of the configuration.
 
     Parameters
     ----------
     version : int
-        Grows with each.
+        Version number, which grows with each configuration.
     routes : tuple of Route
         All routes.
     services : mapping of str to Service
         Services by name.
     limits : ServerLimits
-        What callers may send.
+        Limits for requests of callers.
     organisations : Organisations
-        Those whose keys are accepted; where there is none, no key is asked for.
+        Organisations whose keys are accepted; if there is none, requests need no key.
     """
 
     version: int
--- a/packages/gateway/src/gradelug_gateway/sharedhealth.py
+++ b/packages/gateway/src/gradelug_gateway/sharedhealth.py
@@ -1,9 +1,10 @@
-"""Health of replicas known over all instances: what gateways tell, what a planner finds.
+"""Health of replicas aggregated over all instances.
 
-A gateway tells how its requests ended at replicas that anybody doubts, with the messages that it
-sends anyway; of replicas of services without engines always, for the times of their answers. The
-planner pools them (`gradelug_policy.verdicts`) and puts what it finds into its news. Replicas of
-services without engines have no planner: the one that is the home of the quotas speaks for them.
+Gateways report to a planner how their requests ended at replicas that are suspected of failures,
+within messages that they send anyway; for replicas of services without engines they always report,
+since the response times are needed there. The planner pools the reports
+(`gradelug_policy.verdicts`) and sends its verdicts to all its gateways. Services without engines
+have no planner of their own: the planner that keeps the quotas judges their replicas.
 """
 
 from __future__ import annotations
@@ -25,37 +26,42 @@
 from .model import FleetState
 
 log = logbook.Logger("sharedhealth")
-FINDING_TTL_S = 3.0
-"""What a planner found holds for so long after it was told last, in seconds: a lost planner is
-replaced within 2 to 4 s, and its successor finds for itself what gateways would meet until then."""
+VERDICT_TTL_S = 3.0
+"""How long a gateway applies a verdict after it was received last, in seconds: a failed planner is
+replaced within 2 to 4 s, and the new one makes verdicts of its own from then on."""
 RESEND_INTERVAL_S = 0.5
-"""It is told this often at least, in seconds, for gateways that have come and news that were lost;
-with 370 gateways news go out once in 0.9 s, three times within the time that a finding holds."""
+"""Interval at which unchanged verdicts are sent again, in seconds, for gateways that connected
+meanwhile and after lost messages. With 370 gateways messages are sent every 0.9 s, three times
+within the lifetime of a verdict."""
 FAILING_RATE_STEP = 0.05
 ANSWER_TIME_STEP_RATIO = 1.1
-"""Changes smaller than this are not told: what is reckoned from them does not change by more."""
+"""Verdicts that differ by less than these steps are not sent: the results calculated from them
+would not differ by more. The second one is a ratio of response times."""
 DOUBTED_S = 1.0
-"""An engine that fails an asker's requests is taken for one with so much more to read."""
+"""Cost of an engine that fails the requesting gateway's requests, as seconds of additional prefill
+work."""
 EJECTED_COST_S = 3.0
-"""One that is left alone by all is taken for one with so much more: longer than most requests wait
-for another engine to take their weights in."""
+"""Cost of an ejected engine, as seconds of additional prefill work: longer than most requests wait
+until another engine has loaded their weights."""
 
 
 class EndsTeller:
-    """Tells one planner how this instance's requests ended; implements `parts.GatewayPart`.
+    """Reports request outcomes to one planner and applies its verdicts.
+
+    Implements `parts.GatewayPart`.
 
     Parameters
     ----------
     service : str
-        Whose planner.
+        Service of the planner.
     instance : str
-        This instance.
+        Name of this instance.
     fleet : Fleet
-        Keeps the records of replicas, and takes what is found of them.
+        Holds the outcomes and the verdicts of each replica.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     covers_engineless : callable
-        Whether the planner speaks for services without engines as well.
+        Returns whether the planner also judges replicas of services without engines.
     """
 
     __slots__ = ("_clock", "_doubts", "_fleet", "_instance", "_covers_engineless", "_service")
@@ -76,13 +82,13 @@
         self._doubts = Doubts()
 
     def begin_stream(self) -> None:
-        """Forget what could not be told: it is older than what it would be taken for."""
+        """Drop outcomes that were not sent: the planner would take them for recent ones."""
         self._doubts.begin()
         for health in self._replicas().values():
             health.take_tally()
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Put the ends since the last message into this one, where they are of use."""
+        """Add the outcomes since the last message, for replicas whose outcomes are needed."""
         now = self._clock()
         for name, health in self._replicas().items():
             telling = self._decide(name, health, now)
@@ -101,20 +107,20 @@
             )
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take over what is found of replicas."""
-        until = self._clock() + FINDING_TTL_S
-        for told in message.verdicts:
-            if told.hall not in ("", self._fleet.hall):
+        """Apply the verdicts in a planner's message."""
+        until = self._clock() + VERDICT_TTL_S
+        for verdict in message.verdicts:
+            if verdict.hall not in ("", self._fleet.hall):
                 continue
-            self._fleet.health(told.replica).told[told.hall] = ToldFinding(
-                told.failing,
-                told.held_back,
-                told.took_ms / 1000,
-                bool(told.prober) and told.prober == self._instance,
+            self._fleet.health(verdict.replica).told[verdict.hall] = ToldFinding(
+                verdict.failing,
+                verdict.held_back,
+                verdict.took_ms / 1000,
+                bool(verdict.prober) and verdict.prober == self._instance,
                 until,
             )
-            if told.failing or told.held_back:
-                self._doubts.doubt(told.replica, self._clock())
+            if verdict.failing or verdict.held_back:
+                self._doubts.doubt(verdict.replica, self._clock())
 
     def _decide(self, name: str, health: Health, now: float) -> Telling:
         known = self._fleet.state.replicas.get(name)
@@ -125,7 +131,7 @@
         return self._doubts.decide(name, now)
 
     def _replicas(self) -> dict[str, Health]:
-        """Return the records with something to tell."""
+        """Return the records of replicas that this planner judges and that have unsent outcomes."""
         covers_engineless = self._covers_engineless()
         return {
             name: health
@@ -142,6 +148,8 @@
 
 @dataclass(slots=True, frozen=True)
 class _SentVerdict:
+    """A verdict as last sent, with its values rounded to steps."""
+
     failing: int
     held_back: float
     prober: str
@@ -162,18 +170,20 @@
 
 
 class HealthDesk:
-    """Pools what gateways tell of replicas at a planner; implements `parts.PlannerPart`.
+    """Aggregates the outcomes that gateways report to a planner and sends verdicts to them.
+
+    Implements `parts.PlannerPart`.
 
     Parameters
     ----------
     service : str
-        The planner's.
+        Service of the planner.
     state : FleetState
-        What the platform has told.
+        View of replicas and configuration, kept up to date by a feed.
     engines : mapping of str to Engine
-        The planner's; of one that is used and of which nothing is told nobody has a doubt.
+        The planner's engines by name. One in use without reported outcomes counts as healthy.
     gather_s : callable
-        Returns how long gateways gather what they tell, in seconds.
+        Returns the interval at which gateways send their messages, in seconds.
     """
 
     __slots__ = (
@@ -204,12 +214,12 @@
         self._sources: dict[int, Source] = {}
         self._members: dict[str, list[str]] = {}
         self._members_version = (-1, -1)
-        """The state's change and configuration for which the members were looked up."""
+        """Change counter and configuration version for which `_members` was built."""
         self._findings: dict[tuple[str, str], Finding] = {}
         self._sent: dict[tuple[str, str], _SentVerdict] = {}
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Take over how a gateway's requests ended, and that it has any."""
+        """Add the outcomes that a gateway reports, and that it has requests at all."""
         if not message.ends and not message.uses:
             return
         source = self._sources.get(follower.number)
@@ -217,17 +227,17 @@
             source = self._sources[follower.number] = Source(follower.instance, follower.hall)
         if message.uses:
             self._pool.hear(source, len(message.uses), now)
-        for told in message.ends:
-            ended = Ended(told.served, told.failed + told.broken, told.took_ms / 1000, told.full)
-            self._pool.note(told.replica, source, ended, now)
+        for ends in message.ends:
+            ended = Ended(ends.served, ends.failed + ends.broken, ends.took_ms / 1000, ends.full)
+            self._pool.note(ends.replica, source, ended, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Forget a gateway as a source."""
+        """Remove a disconnected gateway as a source of outcomes."""
         self._sources.pop(follower.number, None)
         self._pool.leave(follower.instance)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Judge the replicas anew and tell what has changed."""
+        """Update the verdicts of all replicas and add those that are due to a message."""
         members = self._refresh_members()
         for change in self._pool.step(members, self._gather_s(), now):
             self._log(change)
@@ -243,29 +253,31 @@
                 news.verdicts.append(_encode(finding))
 
     def forget(self, replica: str) -> None:
-        """Forget a replica."""
+        """Drop the outcomes of a replica."""
         self._pool.forget(replica)
 
     def doubt_s(self, replica: str, follower: Follower, doubted: t.Container[str]) -> float:
-        """Return what a request costs more on an engine that fails requests, in seconds.
+        """Return the additional cost of a request on an engine that fails requests, in seconds.
 
         Parameters
         ----------
+        replica : str
+            Name of the engine.
         follower : Follower
-            Whose request it is.
+            Gateway that sends the request.
         doubted : container of str
-            Replicas that fail this gateway's requests.
+            Names of replicas that fail this gateway's requests.
         """
         cost_s = DOUBTED_S if replica in doubted else 0.0
         for hall in {"", follower.hall}:
             finding = self._findings.get((replica, hall))
             if finding is not None and finding.prober != follower.instance:
-                # A few failures are no reason for all to go elsewhere: that makes others late.
+                # Only ejection counts: shifting load after a few failures delays other engines.
                 cost_s = max(cost_s, EJECTED_COST_S * finding.held_back)
         return cost_s
 
     def ejected_s(self, replica: str) -> float:
-        """Return what weights cost more on an engine that is left alone by all, in seconds."""
+        """Return the additional cost of placing weights on an ejected engine, in seconds."""
         finding = self._findings.get((replica, ""))
         return EJECTED_COST_S * finding.held_back if finding is not None else 0.0
 
@@ -274,7 +286,7 @@
         return engine is not None and engine.is_in_use()
 
     def _is_due(self, key: tuple[str, str], finding: Finding, now: float) -> bool:
-        told = _SentVerdict(
+        current = _SentVerdict(
             round(finding.failing / FAILING_RATE_STEP),
             finding.held_back,
             finding.prober,
@@ -282,15 +294,19 @@
             now,
         )
         earlier = self._sent.get(key)
-        if earlier is None and told.is_default:
+        if earlier is None and current.is_default:
             return False
-        if earlier is not None and earlier.matches(told) and now - earlier.at < RESEND_INTERVAL_S:
+        if (
+            earlier is not None
+            and earlier.matches(current)
+            and now - earlier.at < RESEND_INTERVAL_S
+        ):
             return False
-        if told.is_default:
-            # Told once more; then it is as good as unknown.
+        if current.is_default:
+            # Sent once more to revoke the earlier one; no verdict is the default.
             del self._sent[key]
         else:
-            self._sent[key] = told
+            self._sent[key] = current
         return True
 
     def _refresh_members(self) -> dict[str, list[str]]:
--- a/packages/gateway/src/gradelug_gateway/spacing.py
+++ b/packages/gateway/src/gradelug_gateway/spacing.py
@@ -1,4 +1,4 @@
-"""How far apart an instance looks at the platform's store."""
+"""Interval at which an instance polls the platform store, derived from the configured bounds."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from .settings import Bounds
 
 NOTICE_MARGIN_S = 0.8
-"""Changes on the platform are gathered for the time in which they must be acted on less this: for
-the store's answer, a packet lost on its way, and a request's way to a replica."""
+"""Part of the time limit for reacting to changes that is not spent waiting for the next poll, in
+seconds: it covers the store's response, one lost packet and the way of a request to a replica."""
 MIN_POLL_INTERVAL_S = 0.2
-"""Looks are no closer together than this, in seconds."""
+"""Lower bound of the poll interval, in seconds."""
 
 
 def store_spacing_s(bounds: Bounds) -> float:
-    """Return how far apart looks at the platform's store may be, in seconds."""
-    most_s = min(bounds.notice_s - NOTICE_MARGIN_S, bounds.revoke_s * RENEW_FRACTION)
-    return max(MIN_POLL_INTERVAL_S, most_s)
+    """Return the longest poll interval that keeps the bounds, in seconds."""
+    max_s = min(bounds.notice_s - NOTICE_MARGIN_S, bounds.revoke_s * RENEW_FRACTION)
+    return max(MIN_POLL_INTERVAL_S, max_s)
--- a/packages/gateway/src/gradelug_gateway/standing.py
+++ b/packages/gateway/src/gradelug_gateway/standing.py
@@ -1,4 +1,7 @@
-"""How long an instance was without each part of what it must know, after its start."""
+"""Time from the start of an instance until it has each part of the state that it needs to serve.
+
+The daemon runs it once after its start; metrics and log lines show the times.
+"""
 
 from __future__ import annotations
 
@@ -14,34 +17,34 @@
 
 log = logbook.Logger("standing")
 POLL_INTERVAL_S = 0.02
-"""A part is seen to be there this late at most."""
+"""Interval at which parts are checked, in seconds."""
 MAX_WATCH_S = 60.0
-"""What has not come by then is told by other figures."""
+"""Time after the start when checking ends, in seconds; other metrics show what is missing later."""
 
 
 class Part(Enum):
-    """What an instance must know to serve."""
+    """A part of the state that an instance needs to serve."""
 
     CONFIGURATION = "configuration"
     REPLICAS = "replicas"
-    """All that the platform's store lists."""
+    """All entries of the platform store."""
     LEADER = "leader"
-    """Where the planner of each service is."""
+    """Address of each service's planner."""
     HOLDINGS = "holdings"
-    """Where weights are, as a planner or replicas tell."""
+    """Locations of weights, reported by a planner or by replicas."""
     LOADS = "loads"
-    """What runs where, as a planner tells."""
+    """Load of the engines, reported by a planner."""
 
 
 class Standing:
-    """Notes when each part came.
+    """Records when each part of the state became available.
 
     Parameters
     ----------
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     checks : mapping of Part to callable
-        Tells of each part whether it is there.
+        Returns for each part whether it is available.
     """
 
     __slots__ = ("_clock", "_checks", "_started_at", "_missing_s")
@@ -56,16 +59,19 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every part has come."""
+        """Whether every part has been available."""
         return len(self._missing_s) == len(self._checks)
 
     def without_s(self, part: Part) -> float:
-        """Return how long a part was missing after the start, so far if it is, in seconds."""
+        """Return how long after the start a part was missing, in seconds.
+
+        For a part that is still missing, the time since the start.
+        """
         known_s = self._missing_s.get(part)
         return known_s if known_s is not None else self._clock() - self._started_at
 
     def look(self) -> None:
-        """Note the parts that have come."""
+        """Record and log the parts that became available since the last call."""
         for part, is_known in self._checks.items():
             if part in self._missing_s or not is_known():
                 continue
@@ -73,7 +79,7 @@
             log.info("part known", part=part.value, after_s=round(after_s, 3))
 
     async def run(self) -> None:
-        """Look until all is there, or has long been missed."""
+        """Check until all parts are available or the time limit has passed."""
         until = self._started_at + MAX_WATCH_S
         while not self.is_complete and self._clock() < until:
             self.look()
@@ -83,18 +89,18 @@
 def part_looks(
     state: FleetState, mirror: Mirror, directory: Directory, services: t.Collection[str]
 ) -> dict[Part, t.Callable[[], bool]]:
-    """Return how it is seen of each part whether it is there.
+    """Return a check for each part of the state that returns whether it is available.
 
     Parameters
     ----------
     state : FleetState
-        What the platform has told.
+        View of replicas and configuration, kept up to date by a feed.
     mirror : Mirror
-        Own reading of the store.
+        Local copy of the store.
     directory : Directory
-        The ways to planners.
+        Addresses of planners and the links to them.
     services : collection of str
-        Those that have planners; filled with the configuration.
+        Services that have planners; filled in once the configuration is known.
     """
 
     def has_config() -> bool:
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/storenews.py
@@ -1,8 +1,8 @@
-"""What a planner sees in the platform's store, told to the gateways that follow it.
+"""Distribution of store changes from a planner to the gateways connected to it.
 
-Each look at the store is a call, and all instances see the same changes. So the planner looks
-often, and its gateways rest as long as it tells them what it has seen: they look themselves when
-they are told nothing any more, and now and then in any case.
+Each poll of the platform store is a call, and all instances read the same changes. So the planner
+polls at a short interval and forwards what changed; gateways pause their own polling while such
+updates arrive. They poll again when updates stop, and once in a while in any case.
 """
 
 from __future__ import annotations
@@ -22,32 +22,33 @@
 
 log = logbook.Logger("storenews")
 TELL_SPACING_S = 0.3
-"""A planner's own looks at the store are so far apart."""
+"""Interval at which a planner polls the store, in seconds."""
 MAX_REPLICAS_PER_MESSAGE = 256
-"""Replicas that a gateway which joins without the store is told of in one message, some 25 KB: what
-is under way to 300 gateways at once fits in a few MB."""
+"""Maximum number of replicas listed in one message to a gateway that connects without a copy of the
+store, some 25 KB: messages in transit to 300 gateways at once fit in a few MB."""
 MAX_CONFIG_BYTES = 8_388_608
-"""The store's entries hold 1 MB."""
+"""Limit of a decompressed configuration; entries of the store hold up to 1 MB."""
 LEAST_FOLLOWERS = 16
-"""With fewer gateways the planner's looks would cost as much as theirs."""
+"""Gateways needed for a planner to distribute changes: with fewer, its own polling would cost as
+many calls as theirs."""
 
 
 class StoreTeller:
-    """Finds what has changed since gateways were told last.
+    """Collects the store changes that a planner has not sent to its gateways yet.
 
     Parameters
     ----------
     feed : Feed
-        What is known of the platform.
+        View of the fleet read from the store.
     mirror : Mirror
-        The copy of the store that it reads.
+        Local copy of the store that the feed reads.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     freshness : Freshness
-        When the configuration in force here was the newest.
-    passes_config : bool
-        Whether this instance's link bears it to pass a new configuration on to all: 83 times 50 KB
-        take 0.2 s of 200 Mbit/s and 3 s of 10.
+        When the configuration in force here was known to be the newest.
+    forwards_config : bool
+        Whether this instance's link is fast enough to forward a new configuration to all gateways:
+        83 times 50 KB take 0.2 s at 200 Mbit/s and 3 s at 10 Mbit/s.
     """
 
     __slots__ = (
@@ -81,34 +82,35 @@
         self._has_baseline = False
 
     def news(self) -> pb.StoreNews | None:
-        """Return what is new since the last call, None while the store does not answer.
+        """Return the changes since the last call, None while the store does not respond.
 
-        The first call returns nothing of what was there before: nobody was told of that, and
-        everybody is told of it by `listing`.
+        The first call returns no replicas and versions: what exists by then is sent to each
+        gateway in pages when it connects.
         """
         if not self._mirror.synced:
             return None
         state = self._feed.state
-        told = self._new_message(False)
+        update = self._new_message(False)
         if not self._has_baseline:
             self._has_baseline = True
             self._published_replicas = dict(state.replicas)
             self._published_versions = dict(state.versions)
             self._published_config = self._config_version(state)
-            return told
+            return update
         if self._config_version(state) != self._published_config:
-            self._add_config(told)
+            self._add_config(update)
         for name, rep in state.replicas.items():
             known = self._published_replicas.get(name)
             if known is rep:
                 continue
             if known is None or _essence(known) != _essence(rep):
-                told.replicas.append(self._encode(rep))
-        gone = self._published_replicas.keys() - state.replicas.keys()
-        told.replicas.extend(
-            pb.ReplicaFact(replica=name, revision=self._mirror.revision, gone=True) for name in gone
+                update.replicas.append(self._encode(rep))
+        removed = self._published_replicas.keys() - state.replicas.keys()
+        update.replicas.extend(
+            pb.ReplicaFact(replica=name, revision=self._mirror.revision, gone=True)
+            for name in removed
         )
-        told.versions.extend(
+        update.versions.extend(
             _encode_version(key, version)
             for key, version in state.versions.items()
             if self._published_versions.get(key) != version
@@ -116,61 +118,61 @@
         self._published_replicas = dict(state.replicas)
         self._published_versions = dict(state.versions)
         self._published_config = self._config_version(state)
-        return told
+        return update
 
     def listing(self, since: int, is_first: bool) -> tuple[pb.StoreNews, int]:
-        """Return the next piece of all that was told so far, for a gateway that does not know it.
+        """Return the next page of all that was sent so far, for a gateway that lacks it.
 
         Parameters
         ----------
         since : int
-            Revision of the store up to which the gateway knows of all replicas.
+            Store revision up to which the gateway has the state of all replicas.
         is_first : bool
-            Whether it is its first piece; versions are told with that.
+            Whether it is the gateway's first page, which includes the versions.
 
         Returns
         -------
         StoreNews
-            The piece.
+            The page.
         int
-            The revision up to which it knows all then; 0 if there is no further piece.
+            Store revision up to which the gateway has all with this page; 0 if it is the last one.
         """
-        # What it has not seen of the rest cannot be known.
-        told = self._new_message(is_first)
+        # Which other changes the gateway lacks is unknown, so the first page makes it poll.
+        update = self._new_message(is_first)
         if is_first:
-            told.versions.extend(
+            update.versions.extend(
                 _encode_version(*item) for item in self._published_versions.items()
             )
-        later = sorted(
+        newer = sorted(
             (revision, name)
             for name in self._published_replicas
             if (revision := self._feed.revision(name)) > since
         )
-        reached = (
-            later[MAX_REPLICAS_PER_MESSAGE - 1][0] if len(later) > MAX_REPLICAS_PER_MESSAGE else 0
+        page_end = (
+            newer[MAX_REPLICAS_PER_MESSAGE - 1][0] if len(newer) > MAX_REPLICAS_PER_MESSAGE else 0
         )
-        told.replicas.extend(
+        update.replicas.extend(
             self._encode(self._published_replicas[name])
-            for revision, name in later
-            if not reached or revision <= reached
+            for revision, name in newer
+            if not page_end or revision <= page_end
         )
-        return told, reached
+        return update, page_end
 
-    def _add_config(self, told: pb.StoreNews) -> None:
-        """Pass a new configuration on, or have everybody look for it."""
+    def _add_config(self, update: pb.StoreNews) -> None:
+        """Add a new configuration, or ask all gateways to poll the store for it."""
         entry = self._feed.config_entry
         if entry is None or not self._forwards_config:
-            told.look = True
+            update.look = True
             return
-        told.config_entry.key = entry.key
-        told.config_entry.revision = entry.revision
-        told.config_entry.deflated = zlib.compress(entry.value)
+        update.config_entry.key = entry.key
+        update.config_entry.revision = entry.revision
+        update.config_entry.deflated = zlib.compress(entry.value)
 
     def _new_message(self, look: bool) -> pb.StoreNews:
         return pb.StoreNews(
             age_ms=round((self._clock() - self._mirror.looked_at) * 1000),
             look=look,
-            # Rounded down: an earlier moment is as true.
+            # Rounded down: the proof holds for any earlier moment, too.
             proven_ms=math.floor(max(0.0, self._freshness.proven_at) * 1000),
             config=self._freshness.config,
         )
@@ -192,22 +194,22 @@
 
 
 class StoreListener:
-    """Takes what a planner has seen in the store, so that this instance need not look itself.
+    """Applies store changes that a planner sends, so that this instance can pause its own polling.
 
     Parameters
     ----------
     feed : Feed
-        Kept up to date.
+        View of the fleet that the changes are applied to.
     mirror : Mirror
-        Rests as long as the planner tells.
+        Local copy of the store, whose polling is paused while updates arrive.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     poll_interval_s : float
-        What is known of the store may be so old, in seconds.
+        Maximum age of the state read from the store, in seconds.
     can_pause : callable
-        Tells whether this instance needs nothing else of the store.
+        Returns whether this instance needs nothing from the store but what planners send.
     freshness : Freshness
-        Is told what the planner has proven.
+        Records the planner's proof that its configuration is the newest.
     """
 
     __slots__ = ("_clock", "_feed", "_freshness", "_can_pause", "_mirror", "_poll_interval_s")
@@ -230,19 +232,19 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which this instance knows of all replicas, 0 for none."""
+        """Store revision up to which this instance has the state of all replicas, 0 for none."""
         return self._mirror.revision
 
     def take(self, news: pb.StoreNews, ahead_s: float = math.inf) -> None:
-        """Apply a planner's news.
+        """Apply an update from a planner.
 
         Parameters
         ----------
         news : StoreNews
-            What it tells.
+            The update.
         ahead_s : float
-            The planner's clock is at most so much ahead of this instance's, in seconds; infinite
-            while nothing is known of it.
+            Upper bound of how far the planner's clock is ahead of this instance's, in seconds;
+            infinite while it is unknown.
         """
         state = self._feed.state
         for fact in news.replicas:
@@ -255,24 +257,24 @@
         self._feed.notify_remote_changes()
         self._freshness.note_told(news.config, news.proven_ms / 1000 - ahead_s)
         if self._can_pause():
-            until = self._clock() - news.age_ms / 1000 + self._poll_interval_s
-            self._mirror.rest_until(min(until, self._freshness.renew_at))
+            pause_until = self._clock() - news.age_ms / 1000 + self._poll_interval_s
+            self._mirror.rest_until(min(pause_until, self._freshness.renew_at))
         if news.look:
             self._mirror.hurry()
 
-    def _apply_config(self, told: pb.ConfigEntry) -> None:
-        inflate = zlib.decompressobj()
+    def _apply_config(self, update: pb.ConfigEntry) -> None:
+        decompressor = zlib.decompressobj()
         try:
-            value = inflate.decompress(told.deflated, MAX_CONFIG_BYTES)
+            value = decompressor.decompress(update.deflated, MAX_CONFIG_BYTES)
         except zlib.error as exc:
-            log.error("a configuration that was told cannot be read", why=str(exc))
+            log.error("configuration from the planner cannot be decompressed", why=str(exc))
             self._mirror.hurry()
             return
-        if not inflate.eof:
-            log.error("a configuration that was told is too large", key=told.key)
+        if not decompressor.eof:
+            log.error("configuration from the planner is too large or truncated", key=update.key)
             self._mirror.hurry()
             return
-        self._feed.apply_remote_config(KvEntry(told.key, value, told.revision))
+        self._feed.apply_remote_config(KvEntry(update.key, value, update.revision))
 
 
 def _essence(rep: Replica) -> tuple[str, str, str, bool, int, int]:
@@ -288,7 +290,7 @@
         return None
     known = state.replicas.get(fact.replica)
     if known is None or known.born != fact.born:
-        # What was known of an earlier life does not hold.
+        # The state of an earlier incarnation does not apply.
         known = Replica(fact.replica, "", "", "")
     return replace(
         known,
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -20,7 +20,7 @@
 from gradelug_gateway.sharedhealth import (
     DOUBTED_S,
     EJECTED_COST_S,
-    FINDING_TTL_S,
+    VERDICT_TTL_S,
     RESEND_INTERVAL_S,
     EndsTeller,
     HealthDesk,
@@ -143,8 +143,8 @@
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         gateway.part.take(pb.FromPlanner(verdicts=[pb.Verdict(replica="e0", held_back=1.0)]))
         health = gateway.fleet.health("e0")
-        assert health.held_back(1.0 + FINDING_TTL_S - 0.1) == 1.0
-        assert health.held_back(1.0 + FINDING_TTL_S) == 0.0
+        assert health.held_back(1.0 + VERDICT_TTL_S - 0.1) == 1.0
+        assert health.held_back(1.0 + VERDICT_TTL_S) == 0.0
 
 
 class TestHealthDesk:
