--- a/packages/gateway/src/gradelug_gateway/feed.py
+++ b/packages/gateway/src/gradelug_gateway/feed.py
@@ -177,7 +177,7 @@
         self._revisions[name] = revision
         if rep is not None:
             self._unconfirmed.add(name)
-            self._put_replica(rep)
+            self._update_replica(rep)
         elif self.state.replicas.pop(name, None) is not None:
             self.state.change += 1
             for key in [key for key, known in self._replica_names.items() if known == name]:
@@ -263,7 +263,7 @@
             fact = self._reader.read(entry)
         except MalformedEntry as exc:
             if exc.replica:
-                return self._drop_unreadable(entry, exc)
+                return self._remove_unusable(entry, exc)
             self.is_readable &= not exc.is_config
             log.error(
                 "malformed entry ignored; the last valid one stays in force",
@@ -299,16 +299,16 @@
             return False
         if known is not None and known.born and not fact.born:
             why = MalformedEntry("start time is missing but was given before", False, fact.name)
-            return self._drop_unreadable(entry, why)
+            return self._remove_unusable(entry, why)
         self._revisions[fact.name] = entry.revision
-        self._put_replica(fact)
+        self._update_replica(fact)
         return True
 
     def _is_ended_incarnation(self, known: Replica, fact: Replica) -> bool:
         """Return whether a restored entry describes an earlier incarnation of a replica."""
         return known.born != fact.born and self.state.departures.has(fact.name, fact.born)
 
-    def _drop_unreadable(self, entry: KvEntry, exc: MalformedEntry) -> bool:
+    def _remove_unusable(self, entry: KvEntry, exc: MalformedEntry) -> bool:
         """Remove the replica whose entry another writer replaced by one that is unusable."""
         self._replica_names[entry.key] = exc.replica
         if entry.revision < self.revision(exc.replica):
@@ -321,7 +321,7 @@
         )
         return was_known
 
-    def _put_replica(self, rep: Replica) -> None:
+    def _update_replica(self, rep: Replica) -> None:
         known = self.state.replicas.get(rep.name)
         if rep.leaving:
             self.state.departures.note(rep.name, rep.born)
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -169,7 +169,7 @@
             load.others = ToldLoad()
             load.told_running = 0
 
-    def set_homes(self, service: str, key: AdapterKey, homes: dict[str, int]) -> None:
+    def set_homes(self, service: str, key: AdapterKey, versions: dict[str, int]) -> None:
         """Replace the replicas of a service on which weights are usable.
 
         Parameters
@@ -178,13 +178,13 @@
             Service of the replicas; entries of other services stay.
         key : AdapterKey
             The weights.
-        homes : dict
+        versions : dict
             Versions of the weights by name of the replica.
         """
         for name in [name for name in self._by_key.get(key, ()) if self._serves(name, service)]:
-            if homes.get(name) != self._directory[name][key]:
+            if versions.get(name) != self._directory[name][key]:
                 self._drop_holding(name, key)
-        for name, version in homes.items():
+        for name, version in versions.items():
             self.add_holding(name, key, version)
 
     def forget_homes(self, service: str) -> None:
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/storenews.py
@@ -235,46 +235,46 @@
         """Store revision up to which this instance has the state of all replicas, 0 for none."""
         return self._mirror.revision
 
-    def take(self, news: pb.StoreNews, ahead_s: float = math.inf) -> None:
+    def take(self, update: pb.StoreNews, clock_offset_s: float = math.inf) -> None:
         """Apply an update from a planner.
 
         Parameters
         ----------
-        news : StoreNews
+        update : StoreNews
             The update.
-        ahead_s : float
+        clock_offset_s : float
             Upper bound of how far the planner's clock is ahead of this instance's, in seconds;
             infinite while it is unknown.
         """
         state = self._feed.state
-        for fact in news.replicas:
+        for fact in update.replicas:
             self._feed.take_told(fact.replica, fact.revision, _decode(fact, state))
-        for version in news.versions:
+        for version in update.versions:
             key = AdapterKey(version.model, version.adapter)
             self._feed.apply_remote_version(key, version.version)
-        if news.HasField("config_entry"):
-            self._apply_config(news.config_entry)
+        if update.HasField("config_entry"):
+            self._apply_config(update.config_entry)
         self._feed.notify_remote_changes()
-        self._freshness.note_told(news.config, news.proven_ms / 1000 - ahead_s)
+        self._freshness.note_told(update.config, update.proven_ms / 1000 - clock_offset_s)
         if self._can_pause():
-            pause_until = self._clock() - news.age_ms / 1000 + self._poll_interval_s
+            pause_until = self._clock() - update.age_ms / 1000 + self._poll_interval_s
             self._mirror.rest_until(min(pause_until, self._freshness.renew_at))
-        if news.look:
+        if update.look:
             self._mirror.hurry()
 
-    def _apply_config(self, update: pb.ConfigEntry) -> None:
+    def _apply_config(self, entry: pb.ConfigEntry) -> None:
         decompressor = zlib.decompressobj()
         try:
-            value = decompressor.decompress(update.deflated, MAX_CONFIG_BYTES)
+            value = decompressor.decompress(entry.deflated, MAX_CONFIG_BYTES)
         except zlib.error as exc:
             log.error("configuration from the planner cannot be decompressed", why=str(exc))
             self._mirror.hurry()
             return
         if not decompressor.eof:
-            log.error("configuration from the planner is too large or truncated", key=update.key)
+            log.error("configuration from the planner is too large or truncated", key=entry.key)
             self._mirror.hurry()
             return
-        self._feed.apply_remote_config(KvEntry(update.key, value, update.revision))
+        self._feed.apply_remote_config(KvEntry(entry.key, value, entry.revision))
 
 
 def _essence(rep: Replica) -> tuple[str, str, str, bool, int, int]:
--- a/tests/grown_fleet.py
+++ b/tests/grown_fleet.py
@@ -1,7 +1,7 @@
-"""A planner with many gateways and engines, the real code on a paused clock without sockets.
+"""Simulation of a planner with many gateways and engines.
 
-Gateways say what a gateway's link says, in the messages of the wire; what they are told is counted
-as it would go over the wire.
+The planner's code runs on a simulated clock without sockets. Gateways send the messages that a real
+gateway's link sends; the planner's messages to them are counted with their encoded size.
 """
 
 import asyncio
@@ -35,12 +35,12 @@
 
 
 class Orders:
-    """Engines that take every order at once."""
+    """Engines that accept every order immediately."""
 
     def __init__(self):
         self.reports = 0
         self.most_reports = 0
-        self.under_way = 0
+        self.in_progress = 0
         self.holdings = {}
 
     def may_order(self, replica):
@@ -51,16 +51,16 @@
 
     async def report(self, replica):
         self.reports += 1
-        self.under_way += 1
-        self.most_reports = max(self.most_reports, self.under_way)
+        self.in_progress += 1
+        self.most_reports = max(self.most_reports, self.in_progress)
         await asyncio.sleep(0.005)
-        self.under_way -= 1
+        self.in_progress -= 1
         held = (Holding(AdapterKey("base-model"), 1), *self.holdings[replica.name])
         return EngineReport(0, held, (), frozenset(), False)
 
 
 class Gateway:
-    """A gateway's side of the stream, reduced to what it says."""
+    """A gateway's end of the stream to the planner, reduced to the messages that it sends."""
 
     def __init__(self, fleet, number):
         self.fleet = fleet
@@ -93,8 +93,8 @@
     def step(self, now, starts):
         message = pb.FromGateway(sent_ms=round(now * 1000))
         changed = set()
-        begun = self.read(now) if self.reads else Counter()
-        changed.update(begun)
+        started = self.read(now) if self.reads else Counter()
+        changed.update(started)
         while self.ends and self.ends[0][0] <= now:
             _, use = self.ends.pop(0)
             self.running[use] -= 1
@@ -106,7 +106,7 @@
                 model="base-model",
                 adapter=adapter,
                 active=self.running[(replica, adapter)],
-                started=begun[(replica, adapter)],
+                started=started[(replica, adapter)],
             )
             if not self.running[(replica, adapter)]:
                 del self.running[(replica, adapter)]
@@ -118,12 +118,12 @@
             self.fleet.planner.take(self.follower, message)
 
     def read(self, now):
-        begun = Counter()
-        for told in self.follower.take_messages():
+        started = Counter()
+        for message in self.follower.take_messages():
             self.messages += 1
-            self.bytes += told.ByteSize()
-            self.take(told)
-            for answer in told.answers:
+            self.bytes += message.ByteSize()
+            self.take(message)
+            for answer in message.answers:
                 adapter = self.asked.pop(answer.ticket)
                 if not answer.replica:
                     self.refused += 1
@@ -132,11 +132,11 @@
                 use = (answer.replica, adapter)
                 self.running[use] += 1
                 self.ends.append((now + RUN_S, use))
-                begun[use] += 1
-        return begun
+                started[use] += 1
+        return started
 
-    def take(self, told):
-        """Take a message; for tests that look at what it holds."""
+    def take(self, message):
+        """Handle a message; for tests to override."""
 
 
 class GrownFleet:
@@ -145,9 +145,17 @@
     Parameters
     ----------
     gateways, engines : int
-        How many.
+        Number of gateways and of engines.
     starts_per_s : float
-        Requests that begin at each gateway a second.
+        Requests that start at each gateway per second.
+    seed : int
+        Seed of the random number generator.
+    gateway : type
+        Class of the simulated gateways.
+    may_scope : bool
+        Whether planners report to a gateway only the weights that it uses.
+    tells : bool
+        Whether the engines' entries in the store list their weights.
     """
 
     def __init__(
@@ -196,11 +204,11 @@
         self.busy_s = 0.0
 
     def draw(self, rng):
-        """Draw an adapter, a few of them most often."""
+        """Return a random adapter number, with low numbers most frequent."""
         return min(self.adapters - 1, int(self.adapters ** rng.random()) - 1)
 
     async def play(self, seconds, step_s=STEP_S):
-        """Let gateways ask, use and read; the processor's time of all but the waiting counts."""
+        """Run the gateways for some time, in seconds of the simulated clock."""
         until = self.clock() + seconds
         while self.clock() < until:
             for gateway in self.gateways:
@@ -222,7 +230,7 @@
 
 
 async def measure(gateways, engines, starts_per_s=2.0, seconds=4.0):
-    """Return what a fleet costs its planner, by name."""
+    """Return memory, traffic and CPU time that a fleet costs its planner, by name."""
     import tracemalloc
 
     tracemalloc.start()
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""Proof that a configuration was the newest: keys that were taken away are not accepted."""
+"""Proof that a configuration is the newest, so that revoked keys are not accepted."""
 
 import asyncio
 import json
@@ -13,17 +13,17 @@
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_storenews import CountedKv, Site, run
+from test_storenews import CountingKv, Instance, run
 
 BOUND_S = 5.0
 SPACING_S = 2.2
 NEWS_S = 0.25
 SEND_INTERVAL_S = 0.5
-"""A gateway sends something so often."""
+"""Interval at which the gateway sends a message, in seconds."""
 
 
-class WayToStore(CountedKv):
-    """An instance's way to the service: it may be cut, and answers may come late."""
+class StoreConnection(CountingKv):
+    """An instance's connection to the store, which may be cut or delay responses."""
 
     def __init__(self, kv):
         super().__init__(kv)
@@ -31,41 +31,49 @@
         self.delay_s = 0.0
 
     async def list(self, prefix):
-        return await self._late(await super().list(prefix))
+        return await self._delay(await super().list(prefix))
 
     async def watch(self, prefix, after):
         async for events in super().watch(prefix, after):
-            yield await self._late(events)
+            yield await self._delay(events)
 
-    async def _late(self, answer):
+    async def _delay(self, answer):
         if self.cut:
             raise KvUnavailable("cut")
         await asyncio.sleep(self.delay_s)
         return answer
 
 
-class Gateway(Site):
+class Gateway(Instance):
     def __init__(self, kv, spacing_s):
-        super().__init__(WayToStore(kv), spacing_s, BOUND_S)
-        self.way = self.kv.kv
+        super().__init__(StoreConnection(kv), spacing_s, BOUND_S)
+        self.connection = self.kv.kv
 
 
-class World:
-    """A planner and a gateway that rests while it is told; messages may be late or lost."""
+class Simulation:
+    """A planner and a gateway that pauses polling while it receives updates.
+
+    Messages may be delayed or lost.
+    """
 
     def __init__(self, offset_s=50.0):
         self.kv = MemoryKv()
         self.revision = 0
         self.version = 0
-        self.taken_at = {}
-        """When each version was acknowledged."""
+        self.published_at = {}
+        """When the store acknowledged each version."""
         self.planner = Gateway(self.kv, TELL_SPACING_S)
         self.gateway = Gateway(self.kv, SPACING_S)
-        site, planner = self.gateway, self.planner
+        instance, planner = self.gateway, self.planner
         self.offset_s = offset_s
-        """The planner's clock is ahead by this."""
+        """How far the planner's clock is ahead of the gateway's, in seconds."""
         self.listener = StoreListener(
-            site.feed, site.mirror, site.clock, SPACING_S, lambda: True, site.freshness
+            instance.feed,
+            instance.mirror,
+            instance.clock,
+            SPACING_S,
+            lambda: True,
+            instance.freshness,
         )
         teller = StoreTeller(planner.feed, planner.mirror, planner.clock, planner.freshness)
         self.teller = teller
@@ -73,34 +81,37 @@
         self.follower = self.followers.join("g", "g:1")
         for number in range(LEAST_FOLLOWERS):
             self.followers.join(f"g{number}", "h:1")
-        self.up_s = self.down_s = 0.001
-        self.ahead_s = math.inf
-        self.wrong = []
-        self.served = 0
-        self.tasks = [asyncio.create_task(job()) for job in (self._tell, self._say, self._watch)]
-
-    async def name_config(self):
+        self.uplink_s = self.downlink_s = 0.001
+        self.clock_offset_s = math.inf
+        self.violations = []
+        self.admitted = 0
+        self.tasks = [
+            asyncio.create_task(job())
+            for job in (self._send_updates, self._send_heartbeats, self._watch)
+        ]
+
+    async def publish_config(self):
         self.version += 1
         value = json.dumps(self.version).encode()
         swap = await self.kv.swap("config", value, self.revision)
         self.revision = swap.revision
-        self.taken_at[self.version] = self.gateway.clock()
+        self.published_at[self.version] = self.gateway.clock()
 
-    def _by_planner(self, at):
+    def _planner_time(self, at):
         return at + self.offset_s
 
-    async def _say(self):
+    async def _send_heartbeats(self):
         loop = asyncio.get_running_loop()
         while True:
             sent_ms = math.floor(self.gateway.clock() * 1000)
-            loop.call_later(self.up_s, self._hear, sent_ms)
+            loop.call_later(self.uplink_s, self._receive_heartbeat, sent_ms)
             await asyncio.sleep(SEND_INTERVAL_S)
 
-    def _hear(self, sent_ms):
-        received_ms = math.ceil(self._by_planner(self.planner.clock()) * 1000)
+    def _receive_heartbeat(self, sent_ms):
+        received_ms = math.ceil(self._planner_time(self.planner.clock()) * 1000)
         self.follower.echo = pb.Echo(sent_ms=sent_ms, received_ms=received_ms)
 
-    async def _tell(self):
+    async def _send_updates(self):
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(NEWS_S)
@@ -109,30 +120,30 @@
                 message.echo.CopyFrom(self.follower.echo)
                 if message.HasField("store"):
                     message.store.proven_ms += round(self.offset_s * 1000)
-                loop.call_later(self.down_s, self._take, message)
+                loop.call_later(self.downlink_s, self._receive_update, message)
 
-    def _take(self, message):
+    def _receive_update(self, message):
         if message.echo.sent_ms:
-            ahead_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
-            self.ahead_s = min(self.ahead_s, ahead_s)
+            clock_offset_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
+            self.clock_offset_s = min(self.clock_offset_s, clock_offset_s)
         if message.HasField("store"):
-            self.listener.take(message.store, self.ahead_s)
+            self.listener.take(message.store, self.clock_offset_s)
 
     async def _watch(self):
-        """Ask all the time whether a keyed request would be let in, and by which version."""
+        """Check continuously whether a request would be admitted and under which version."""
         while True:
             await asyncio.sleep(0.05)
             if not self.gateway.freshness.is_proven():
                 continue
-            self.served += 1
-            now, has = self.gateway.clock(), self.gateway.freshness.config
+            self.admitted += 1
+            now, known = self.gateway.clock(), self.gateway.freshness.config
             old = [
                 version
-                for version, at in self.taken_at.items()
-                if version > has and now - at > BOUND_S
+                for version, at in self.published_at.items()
+                if version > known and now - at > BOUND_S
             ]
             if old:
-                self.wrong.append((now, has, old))
+                self.violations.append((now, known, old))
 
     async def stop(self):
         for task in (*self.tasks, self.planner.task, self.gateway.task):
@@ -140,140 +151,140 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-async def beat(world, seconds, each_s=0.25):
-    """Let time pass; replicas write something all the time."""
+async def write_for(sim, seconds, each_s=0.25):
+    """Let time pass while replicas write to the store."""
     for step in range(round(seconds / each_s)):
         key = f"s/other{step % 2}"
-        known = await world.kv.get(key)
+        known = await sim.kv.get(key)
         value = json.dumps({"address": "o:1", "n": step}).encode()
-        await world.kv.swap(key, value, known.revision if known else 0)
+        await sim.kv.swap(key, value, known.revision if known else 0)
         await asyncio.sleep(each_s)
 
 
 class TestFreshness:
-    def test_a_gateway_that_rests_is_proven_by_what_it_is_told(self):
+    def test_updates_renew_the_proof_of_a_gateway_that_does_not_poll(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            looks = world.gateway.kv.looks
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            polls = sim.gateway.kv.polls
             oldest = 0.0
             for _ in range(40):
-                await beat(world, 0.25)
-                oldest = max(oldest, world.gateway.freshness.age_s)
-            assert world.gateway.kv.looks - looks <= 1 + 10.0 / MOST_REST_S
+                await write_for(sim, 0.25)
+                oldest = max(oldest, sim.gateway.freshness.age_s)
+            assert sim.gateway.kv.polls - polls <= 1 + 10.0 / MOST_REST_S
             assert oldest < 1.0
-            await world.stop()
+            await sim.stop()
 
         run(scenario)
 
-    def test_a_told_proof_does_not_cover_a_configuration_that_is_not_known(self):
+    def test_a_remote_proof_does_not_cover_an_unknown_configuration(self):
         async def scenario():
-            world = World()
-            world.teller._forwards_config = False
-            await world.name_config()
-            await beat(world, 4.0)
-            world.gateway.way.cut = True
-            await world.name_config()
-            await beat(world, 2.0)
-            assert world.gateway.freshness.is_proven()
-            await beat(world, BOUND_S - 2.0 + 0.25)
-            assert not world.gateway.freshness.is_proven()
-            world.gateway.way.cut = False
-            await beat(world, 1.0)
-            assert world.gateway.freshness.is_proven()
-            assert world.gateway.freshness.config == 2
-            await world.stop()
+            sim = Simulation()
+            sim.teller._forwards_config = False
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            sim.gateway.connection.cut = True
+            await sim.publish_config()
+            await write_for(sim, 2.0)
+            assert sim.gateway.freshness.is_proven()
+            await write_for(sim, BOUND_S - 2.0 + 0.25)
+            assert not sim.gateway.freshness.is_proven()
+            sim.gateway.connection.cut = False
+            await write_for(sim, 1.0)
+            assert sim.gateway.freshness.is_proven()
+            assert sim.gateway.freshness.config == 2
+            await sim.stop()
 
         run(scenario)
 
-    def test_a_gateway_without_the_store_is_proven_through_its_planner(self):
+    def test_a_gateway_without_the_store_renews_its_proof_through_the_planner(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            world.gateway.way.cut = True
-            await beat(world, 12.0)
-            assert world.gateway.freshness.is_proven()
-            assert not world.wrong
-            await world.stop()
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            sim.gateway.connection.cut = True
+            await write_for(sim, 12.0)
+            assert sim.gateway.freshness.is_proven()
+            assert not sim.violations
+            await sim.stop()
 
         run(scenario)
 
-    def test_without_the_store_it_learns_of_configurations_from_its_planner(self):
+    def test_a_gateway_without_the_store_receives_configurations_from_the_planner(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            world.gateway.way.cut = True
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            sim.gateway.connection.cut = True
             for version in range(2, 6):
-                await world.name_config()
-                await beat(world, 3.0)
-                assert world.gateway.freshness.config == version
-                assert world.gateway.freshness.is_proven()
-            assert not world.wrong
-            await world.stop()
+                await sim.publish_config()
+                await write_for(sim, 3.0)
+                assert sim.gateway.freshness.config == version
+                assert sim.gateway.freshness.is_proven()
+            assert not sim.violations
+            await sim.stop()
 
         run(scenario)
 
-    def test_cut_off_from_all_it_stops_within_the_bound(self):
+    def test_a_fully_partitioned_gateway_stops_within_the_bound(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            world.gateway.way.cut = world.planner.way.cut = True
-            await beat(world, BOUND_S + CLOCK_MARGIN_S)
-            assert not world.gateway.freshness.is_proven()
-            await world.stop()
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            sim.gateway.connection.cut = sim.planner.connection.cut = True
+            await write_for(sim, BOUND_S + CLOCK_MARGIN_S)
+            assert not sim.gateway.freshness.is_proven()
+            await sim.stop()
 
         run(scenario)
 
-    def test_without_a_planner_it_looks_itself_often_enough(self):
+    def test_without_a_planner_a_gateway_polls_often_enough(self):
         async def scenario():
-            world = World()
-            world.tasks[0].cancel()
-            await world.name_config()
-            await beat(world, 4.0)
-            served = world.served
-            await beat(world, 10.0)
-            assert world.served - served >= 10.0 / 0.05 - 1
-            assert world.gateway.kv.looks <= 14.0 / (BOUND_S * RENEW_FRACTION) * 2 + 2
-            await world.stop()
+            sim = Simulation()
+            sim.tasks[0].cancel()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            admitted = sim.admitted
+            await write_for(sim, 10.0)
+            assert sim.admitted - admitted >= 10.0 / 0.05 - 1
+            assert sim.gateway.kv.polls <= 14.0 / (BOUND_S * RENEW_FRACTION) * 2 + 2
+            await sim.stop()
 
         run(scenario)
 
-    def test_a_configuration_that_cannot_be_read_proves_nothing(self):
+    def test_a_malformed_configuration_yields_no_proof(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            await world.kv.swap("config", b'"unreadable"', world.revision)
-            await beat(world, BOUND_S + 1.0)
-            assert not world.gateway.freshness.is_proven()
-            assert not world.planner.freshness.is_proven()
-            looks = world.gateway.kv.looks
-            await beat(world, 4.0, 0.02)
-            # Requests that ask for a proof all the time do not make it look without a pause.
-            assert world.gateway.kv.looks - looks <= 2 * 4.0 / MIN_POLL_INTERVAL_S
-            await world.stop()
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            await sim.kv.swap("config", b'"unreadable"', sim.revision)
+            await write_for(sim, BOUND_S + 1.0)
+            assert not sim.gateway.freshness.is_proven()
+            assert not sim.planner.freshness.is_proven()
+            polls = sim.gateway.kv.polls
+            await write_for(sim, 4.0, 0.02)
+            # Requests that need a proof must not trigger polls without a pause.
+            assert sim.gateway.kv.polls - polls <= 2 * 4.0 / MIN_POLL_INTERVAL_S
+            await sim.stop()
 
         run(scenario)
 
-    def test_a_late_answer_of_the_store_proves_the_moment_before_the_question(self):
+    def test_a_late_response_proves_the_time_before_the_poll(self):
         async def scenario():
-            world = World()
-            await world.name_config()
-            await beat(world, 4.0)
-            world.tasks[0].cancel()
-            world.gateway.way.delay_s = 3.0
-            await beat(world, 12.0)
-            assert world.gateway.freshness.age_s >= 3.0
-            await world.stop()
+            sim = Simulation()
+            await sim.publish_config()
+            await write_for(sim, 4.0)
+            sim.tasks[0].cancel()
+            sim.gateway.connection.delay_s = 3.0
+            await write_for(sim, 12.0)
+            assert sim.gateway.freshness.age_s >= 3.0
+            await sim.stop()
 
         run(scenario)
 
 
-TROUBLES = st.lists(
+FAULTS = st.lists(
     st.tuples(
         st.sampled_from(
             ["config", "cut gateway", "cut planner", "heal", "late up", "late down", "late store"]
@@ -284,51 +295,51 @@
 )
 
 
-class TestRule:
-    """No instance accepts a key later than the bound after a configuration took it away."""
+class TestRevocationBound:
+    """No instance may accept a key later than the bound after its revocation."""
 
     @settings(derandomize=True, database=None, deadline=None, max_examples=60)
-    @given(TROUBLES, st.sampled_from([-40.0, 0.0, 50.0]), st.booleans())
-    def test_whatever_is_cut_or_late(self, troubles, offset_s, passes):
+    @given(FAULTS, st.sampled_from([-40.0, 0.0, 50.0]), st.booleans())
+    def test_no_revoked_key_is_accepted_under_any_faults(self, faults, offset_s, forwards):
         async def scenario():
-            world = World(offset_s + 100.0)
-            world.teller._forwards_config = passes
-            await world.name_config()
-            await beat(world, 3.0)
-            for kind, for_s in troubles:
-                await apply(world, kind, for_s)
-                await beat(world, for_s)
-            assert not world.wrong
-            assert world.served
-            await world.stop()
+            sim = Simulation(offset_s + 100.0)
+            sim.teller._forwards_config = forwards
+            await sim.publish_config()
+            await write_for(sim, 3.0)
+            for kind, for_s in faults:
+                await apply_fault(sim, kind, for_s)
+                await write_for(sim, for_s)
+            assert not sim.violations
+            assert sim.admitted
+            await sim.stop()
 
         run(scenario)
 
 
-async def apply(world, kind, for_s):
+async def apply_fault(sim, kind, for_s):
     if kind == "config":
-        await world.name_config()
+        await sim.publish_config()
     elif kind == "cut gateway":
-        world.gateway.way.cut = True
+        sim.gateway.connection.cut = True
     elif kind == "cut planner":
-        world.planner.way.cut = True
+        sim.planner.connection.cut = True
     elif kind == "late up":
-        world.up_s = 0.001 + for_s
+        sim.uplink_s = 0.001 + for_s
     elif kind == "late down":
-        world.down_s = 0.001 + for_s
+        sim.downlink_s = 0.001 + for_s
     elif kind == "late store":
-        world.gateway.way.delay_s = world.planner.way.delay_s = for_s
+        sim.gateway.connection.delay_s = sim.planner.connection.delay_s = for_s
     else:
-        world.gateway.way.cut = world.planner.way.cut = False
-        world.gateway.way.delay_s = world.planner.way.delay_s = 0.0
-        world.up_s = world.down_s = 0.001
+        sim.gateway.connection.cut = sim.planner.connection.cut = False
+        sim.gateway.connection.delay_s = sim.planner.connection.delay_s = 0.0
+        sim.uplink_s = sim.downlink_s = 0.001
 
 
-def test_without_a_bound_nothing_has_to_be_proven():
+def test_without_a_bound_no_proof_is_needed():
     async def scenario():
-        site = Site(MemoryKv(), SPACING_S)
-        assert site.freshness.is_proven()
-        assert site.freshness.renew_at == math.inf
-        site.task.cancel()
+        instance = Instance(MemoryKv(), SPACING_S)
+        assert instance.freshness.is_proven()
+        assert instance.freshness.renew_at == math.inf
+        instance.task.cancel()
 
     run(scenario)
--- a/tests/test_grown_start.py
+++ b/tests/test_grown_start.py
@@ -1,4 +1,4 @@
-"""A planner and its gateways that start all at once, as after power was lost."""
+"""Simultaneous start of a planner and its gateways, as after a power failure."""
 
 import asyncio
 import functools
@@ -12,30 +12,30 @@
 ENGINES = 600
 FIRST_S = 1.0
 STARTS_PER_S = 2.0
-"""Two in five gateways have asked by a quarter of a second, and 88 in 100 by a second."""
+"""Request rate of a gateway: 40% of them have sent a request after 0.25 s and 88% after 1 s."""
 SLACK = 1.1
-SYNCS = 64
-"""Engines are asked for their state so many at a time."""
+MAX_CONCURRENT_REPORTS = 64
+"""Number of engines whose state is requested concurrently."""
 
 
 class Fleet(GrownFleet):
-    """Notes when each gateway had its first answer."""
+    """A simulated fleet that records when each gateway got its first answer."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs, tells=True)
-        self.began = self.clock()
-        self.first = {}
+        self.started_at = self.clock()
+        self.first_answer_s = {}
 
-    async def play_for(self, seconds):
+    async def run_for(self, seconds):
         until = self.clock() + seconds
         while self.clock() < until:
             await self.play(0.05)
             for gateway in self.gateways:
                 if gateway.answered:
-                    self.first.setdefault(gateway.name, self.clock() - self.began)
+                    self.first_answer_s.setdefault(gateway.name, self.clock() - self.started_at)
 
-    def renew(self):
-        """Let another planner take over, which knows nothing; gateways come to it at once."""
+    def replace_planner(self):
+        """Replace the planner by one without state, to which all gateways connect at once."""
         self.task.cancel()
         return Fleet(len(self.gateways), ENGINES, self.starts_per_s)
 
@@ -50,52 +50,52 @@
 
 
 @functools.cache
-def first_second(gateways):
-    """Return what a fleet that starts at once costs its planner for each gateway."""
+def cost_of_first_second(gateways):
+    """Return the cost per gateway during the first second of a simultaneous start."""
 
     async def scenario():
         fleet = Fleet(gateways, ENGINES, STARTS_PER_S)
-        await fleet.play_for(FIRST_S)
-        told = fleet.count("bytes") / gateways
+        await fleet.run_for(FIRST_S)
+        sent_bytes = fleet.count("bytes") / gateways
         messages = fleet.count("messages") / gateways
-        firsts = sorted(fleet.first.values())
+        firsts = sorted(fleet.first_answer_s.values())
         unknown, refused = fleet.planner.unknown_engines, fleet.count("refused")
         most = fleet.orders.most_reports
         await fleet.stop()
-        return told, messages, firsts, unknown, refused, most
+        return sent_bytes, messages, firsts, unknown, refused, most
 
     return play(scenario)
 
 
 class TestStart:
-    def test_what_each_gateway_is_told_at_first_does_not_grow_with_them(self):
-        few = first_second(GATEWAYS[0])
+    def test_initial_bytes_per_gateway_do_not_grow_with_the_gateways(self):
+        few = cost_of_first_second(GATEWAYS[0])
         for gateways in GATEWAYS[1:]:
-            many = first_second(gateways)
+            many = cost_of_first_second(gateways)
             assert many[0] <= SLACK * few[0]
             assert many[1] <= SLACK * few[1]
 
     @pytest.mark.parametrize("gateways", GATEWAYS)
-    def test_gateways_place_before_all_engines_have_reported(self, gateways):
-        told, _, firsts, unknown, refused, most = first_second(gateways)
+    def test_requests_are_placed_before_all_engines_have_reported(self, gateways):
+        sent_bytes, _, firsts, unknown, refused, most = cost_of_first_second(gateways)
         assert len(firsts) >= 0.8 * gateways
         assert firsts[gateways // 4] <= 0.25
         assert not refused
-        assert most <= SYNCS
+        assert most <= MAX_CONCURRENT_REPORTS
         assert unknown == 0
-        assert told < 10_000
+        assert sent_bytes < 10_000
 
-    def test_a_leader_lost_again_in_the_middle_costs_its_own_time_alone(self):
-        """The next one begins from nothing, and gateways have answers as soon as from the first."""
+    def test_a_second_planner_failure_delays_only_by_its_own_duration(self):
+        """The next planner starts without state and must answer gateways as fast as the first one."""
 
         async def scenario():
             first = Fleet(GATEWAYS[-1], ENGINES, STARTS_PER_S)
-            await first.play_for(0.3)
+            await first.run_for(0.3)
             assert first.planner.unknown_engines > 0
-            second = first.renew()
+            second = first.replace_planner()
             await asyncio.gather(first.task, return_exceptions=True)
-            await second.play_for(FIRST_S)
-            firsts, refused = sorted(second.first.values()), second.count("refused")
+            await second.run_for(FIRST_S)
+            firsts, refused = sorted(second.first_answer_s.values()), second.count("refused")
             await second.stop()
             return firsts, refused
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""What one gateway costs its planner, and is told, does not grow with the fleet."""
+"""Traffic from a planner to one gateway, which must not grow with the size of the fleet."""
 
 import functools
 
@@ -11,12 +11,12 @@
 ENGINES = (300, 900, 2700)
 SECONDS = 3.0
 SLACK = 1.1
-"""Bytes and messages depend a little on what is drawn."""
+"""Allowed ratio between runs: bytes and messages vary with the random requests."""
 
 
 @functools.cache
-def measured(gateways, engines, may_scope=True):
-    """Return bytes when joining, and bytes and messages a second, each for one gateway."""
+def cost_per_gateway(gateways, engines, may_scope=True):
+    """Return bytes at the connection, and bytes and messages per second, each for one gateway."""
 
     async def scenario():
         fleet = GrownFleet(gateways, engines, 1.0, may_scope=may_scope)
@@ -24,11 +24,11 @@
         joined = fleet.count("bytes") / gateways
         fleet.reset()
         await fleet.play(SECONDS)
-        told = fleet.count("bytes") / gateways / SECONDS
+        sent = fleet.count("bytes") / gateways / SECONDS
         messages = fleet.count("messages") / gateways / SECONDS
         assert fleet.count("answered") > 0.8 * gateways * SECONDS
         await fleet.stop()
-        return joined, told, messages
+        return joined, sent, messages
 
     loop = new_loop()
     try:
@@ -39,28 +39,28 @@
 
 
 class TestGrowth:
-    def test_what_a_gateway_is_told_does_not_grow_with_the_gateways(self):
-        """With 370 of them each was told 40 KB a second, and 196 KB when it joined."""
-        first, *others = [measured(gateways, 600) for gateways in GATEWAYS]
-        for found in others:
-            for few, many in zip(first, found, strict=True):
+    def test_bytes_per_gateway_do_not_grow_with_the_gateways(self):
+        """Guards against 40 KB per second and 196 KB at the connection for each of 370 gateways."""
+        first, *others = [cost_per_gateway(gateways, 600) for gateways in GATEWAYS]
+        for costs in others:
+            for few, many in zip(first, costs, strict=True):
                 assert many <= SLACK * few
 
-    def test_what_a_gateway_is_told_does_not_grow_with_the_engines(self):
-        first, *others = [measured(100, engines) for engines in ENGINES]
-        for found in others:
-            for few, many in zip(first, found, strict=True):
+    def test_bytes_per_gateway_do_not_grow_with_the_engines(self):
+        first, *others = [cost_per_gateway(100, engines) for engines in ENGINES]
+        for costs in others:
+            for few, many in zip(first, costs, strict=True):
                 assert many <= SLACK * few
 
     @pytest.mark.parametrize("gateways", GATEWAYS)
-    def test_a_gateway_is_told_less_than_a_tenth_of_what_an_instance_may_take(self, gateways):
-        """An instance may take 10 KB a second for all of its control."""
-        joined, told, _ = measured(gateways, 600)
-        assert told < 1_000
+    def test_a_gateway_receives_less_than_a_tenth_of_its_limit(self, gateways):
+        """The limit for all control traffic of an instance is 10 KB per second."""
+        joined, sent, _ = cost_per_gateway(gateways, 600)
+        assert sent < 1_000
         assert joined < 10_000
 
-    def test_without_scoped_news_it_grows(self):
-        """The measure finds what it is for."""
-        few, many = measured(50, 600, False), measured(150, 600, False)
+    def test_without_scoped_updates_bytes_per_gateway_grow(self):
+        """Shows that the test setup detects growth."""
+        few, many = cost_per_gateway(50, 600, False), cost_per_gateway(150, 600, False)
         assert many[1] > SLACK * few[1]
         assert few[0] > 100_000
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -1,4 +1,4 @@
-"""How requests ended, from gateways to a planner, and what it found, back to all of them."""
+"""Reports of request outcomes from gateways to a planner, and its verdicts back to all of them."""
 
 import asyncio
 import random
@@ -20,8 +20,8 @@
 from gradelug_gateway.sharedhealth import (
     DOUBTED_S,
     EJECTED_COST_S,
-    VERDICT_TTL_S,
     RESEND_INTERVAL_S,
+    VERDICT_TTL_S,
     EndsTeller,
     HealthDesk,
 )
@@ -52,7 +52,7 @@
 
 
 class Gateway:
-    """A gateway's end, to the planner of one service."""
+    """A gateway's connection to the planner of one service."""
 
     def __init__(self, state, name, hall, clock, service="llm", home="llm"):
         self.name, self.hall = name, hall
@@ -65,8 +65,8 @@
         return message
 
 
-class Pair:
-    """Gateways and a planner's desk, without a network between them."""
+class Connections:
+    """Gateways connected directly to a planner's health aggregation, without a network."""
 
     def __init__(self, gateways=9, service="llm", state=None):
         self.now = 0.0
@@ -85,7 +85,7 @@
         return self.now
 
     def step(self):
-        """Let everybody tell what there is to tell; return the news."""
+        """Exchange one round of messages; return the planner's message."""
         self.now += NEWS_S
         for gateway, follower in zip(self.gateways, self.followers, strict=True):
             self.desk.take(follower, gateway.message(), self.now)
@@ -96,7 +96,7 @@
         return news
 
     def fail(self, replica, steps=6):
-        """Let requests of all gateways fail at a replica, until it is ejected."""
+        """Let requests of all gateways fail at a replica until it is ejected."""
         for _ in range(steps):
             for gateway in self.gateways:
                 gateway.fleet.health(replica).note(True, self.now)
@@ -104,7 +104,7 @@
 
 
 class TestEndsTeller:
-    def test_ends_are_told_once_to_the_planner_of_their_service(self):
+    def test_outcomes_are_reported_once_to_the_planner_of_their_service(self):
         state = new_state()
         gateway = Gateway(state, "g", "a", lambda: 1.0)
         for name in ("e0", "o0", "p0", "gone"):
@@ -113,33 +113,33 @@
             health.note(True, 1.0)
             health.note_broken(1.0)
             health.note_full(1.0)
-        ends = {told.replica: told for told in gateway.message().ends}
-        assert sorted(ends) == ["e0", "p0"]
-        told = ends["e0"]
-        assert (told.served, told.failed, told.broken, told.full) == (1, 1, 1, 1)
-        assert told.took_ms == 250
+        by_name = {ends.replica: ends for ends in gateway.message().ends}
+        assert sorted(by_name) == ["e0", "p0"]
+        ends = by_name["e0"]
+        assert (ends.served, ends.failed, ends.broken, ends.full) == (1, 1, 1, 1)
+        assert ends.took_ms == 250
         assert not gateway.message().ends
 
-    def test_the_home_alone_is_told_of_services_without_engines(self):
+    def test_services_without_engines_are_reported_to_the_coordinating_planner_only(self):
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0, "other", "llm")
         for name in ("o0", "p0"):
             gateway.fleet.health(name).note(True, 1.0)
-        assert [told.replica for told in gateway.message().ends] == ["o0"]
+        assert [ends.replica for ends in gateway.message().ends] == ["o0"]
 
-    def test_what_could_not_be_told_is_not_told_later(self):
+    def test_unsent_outcomes_are_dropped_on_reconnect(self):
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         gateway.fleet.health("e0").note(True, 1.0)
         gateway.part.begin_stream()
         assert not gateway.message().ends
 
-    def test_a_finding_for_another_hall_is_not_taken_over(self):
+    def test_a_verdict_for_another_hall_is_ignored(self):
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         for hall, held_back in (("b", 1.0), ("a", 0.5)):
             verdict = pb.Verdict(replica="e0", hall=hall, held_back=held_back)
             gateway.part.take(pb.FromPlanner(verdicts=[verdict]))
         assert gateway.fleet.health("e0").held_back(1.0) == 0.5
 
-    def test_findings_age_out_when_the_planner_is_lost(self):
+    def test_verdicts_expire_without_a_planner(self):
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         gateway.part.take(pb.FromPlanner(verdicts=[pb.Verdict(replica="e0", held_back=1.0)]))
         health = gateway.fleet.health("e0")
@@ -149,186 +149,186 @@
 
 class TestHealthDesk:
     @pytest.mark.parametrize("replica", ["e1", "p1"])
-    def test_what_some_gateways_meet_all_know(self, replica):
-        pair = Pair()
-        pair.fail(replica)
-        newcomer = Gateway(pair.state, "new", "b", pair.clock)
-        pair.gateways.append(newcomer)
-        pair.followers.append(pair.followers[0])
+    def test_failures_of_some_gateways_reach_all_gateways(self, replica):
+        conns = Connections()
+        conns.fail(replica)
+        new_gateway = Gateway(conns.state, "new", "b", conns.clock)
+        conns.gateways.append(new_gateway)
+        conns.followers.append(conns.followers[0])
         for _ in range(3):
-            pair.step()
-        assert newcomer.fleet.health(replica).held_back(pair.now) == 1.0
-        assert newcomer.fleet.health("e2").held_back(pair.now) == 0.0
+            conns.step()
+        assert new_gateway.fleet.health(replica).held_back(conns.now) == 1.0
+        assert new_gateway.fleet.health("e2").held_back(conns.now) == 0.0
 
-    def test_another_planner_finds_nothing_of_services_without_engines(self):
-        pair = Pair(service="other")
-        pair.fail("p1")
-        assert all(g.fleet.health("p1").held_back(pair.now) == 0.0 for g in pair.gateways)
+    def test_other_planners_do_not_judge_services_without_engines(self):
+        conns = Connections(service="other")
+        conns.fail("p1")
+        assert all(g.fleet.health("p1").held_back(conns.now) == 0.0 for g in conns.gateways)
 
-    def test_nothing_is_told_while_all_is_well(self):
-        pair = Pair()
+    def test_no_verdicts_are_sent_without_failures(self):
+        conns = Connections()
         for _ in range(20):
-            for gateway in pair.gateways:
-                gateway.fleet.health("e0").note(False, pair.now)
-            assert not pair.step().verdicts
-
-    def test_a_finding_is_told_again_before_it_ages_out_and_when_it_is_over(self):
-        pair = Pair()
-        pair.fail("e1")
-        last_at, rests = pair.now, []
+            for gateway in conns.gateways:
+                gateway.fleet.health("e0").note(False, conns.now)
+            assert not conns.step().verdicts
+
+    def test_a_verdict_is_resent_before_it_expires_and_revoked_at_its_end(self):
+        conns = Connections()
+        conns.fail("e1")
+        last_at, intervals = conns.now, []
         for _ in range(12):
-            if any(verdict.replica == "e1" for verdict in pair.step().verdicts):
-                rests.append(pair.now - last_at)
-                last_at = pair.now
-        assert max(rests) <= RESEND_INTERVAL_S + NEWS_S
-        del pair.state.replicas["e1"]
-        pair.state.change += 1
-        told = [verdict for verdict in pair.step().verdicts if verdict.replica == "e1"]
-        assert told
-        assert all(verdict.held_back == 0.0 for verdict in told)
-        assert not any(verdict.replica == "e1" for verdict in pair.step().verdicts)
-
-    def test_one_gateway_is_named_to_probe(self):
-        pair = Pair()
-        pair.fail("e1")
-        named = set()
+            if any(verdict.replica == "e1" for verdict in conns.step().verdicts):
+                intervals.append(conns.now - last_at)
+                last_at = conns.now
+        assert max(intervals) <= RESEND_INTERVAL_S + NEWS_S
+        del conns.state.replicas["e1"]
+        conns.state.change += 1
+        verdicts = [verdict for verdict in conns.step().verdicts if verdict.replica == "e1"]
+        assert verdicts
+        assert all(verdict.held_back == 0.0 for verdict in verdicts)
+        assert not any(verdict.replica == "e1" for verdict in conns.step().verdicts)
+
+    def test_a_single_gateway_is_assigned_as_prober(self):
+        conns = Connections()
+        conns.fail("e1")
+        probers = set()
         for _ in range(20):
-            pair.step()
-            health = [gateway.fleet.health("e1") for gateway in pair.gateways]
-            probers = sum(each.may_probe(pair.now) for each in health)
-            assert probers <= 1
-            named.add(probers)
-        assert 1 in named
-
-    def test_half_of_three_replicas_is_one(self):
-        pair = Pair()
+            conns.step()
+            health = [gateway.fleet.health("e1") for gateway in conns.gateways]
+            count = sum(each.may_probe(conns.now) for each in health)
+            assert count <= 1
+            probers.add(count)
+        assert 1 in probers
+
+    def test_at_most_one_of_three_replicas_is_ejected(self):
+        conns = Connections()
         for _ in range(8):
-            for gateway in pair.gateways:
-                gateway.fleet.health("p0").note(True, pair.now)
-                gateway.fleet.health("p1").note(True, pair.now)
-                gateway.fleet.health("p2").note(False, pair.now)
-            pair.step()
-        held = [pair.gateways[0].fleet.health(f"p{n}").held_back(pair.now) for n in range(3)]
+            for gateway in conns.gateways:
+                gateway.fleet.health("p0").note(True, conns.now)
+                gateway.fleet.health("p1").note(True, conns.now)
+                gateway.fleet.health("p2").note(False, conns.now)
+            conns.step()
+        held = [conns.gateways[0].fleet.health(f"p{n}").held_back(conns.now) for n in range(3)]
         assert sorted(held) == [0.0, 0.0, 1.0]
         assert held[2] == 0.0
 
-    def test_an_ejected_engine_costs_more_than_a_doubted_one_except_for_its_prober(self):
-        pair = Pair()
-        first = pair.followers[0]
-        assert pair.desk.doubt_s("e1", first, ()) == 0.0
-        assert pair.desk.doubt_s("e1", first, ("e1",)) == DOUBTED_S
-        pair.fail("e1")
-        assert pair.desk.doubt_s("e1", first, ()) >= EJECTED_COST_S
-        assert pair.desk.ejected_s("e1") == EJECTED_COST_S
+    def test_an_ejected_engine_costs_more_than_a_suspect_one_except_for_its_prober(self):
+        conns = Connections()
+        first = conns.followers[0]
+        assert conns.desk.doubt_s("e1", first, ()) == 0.0
+        assert conns.desk.doubt_s("e1", first, ("e1",)) == DOUBTED_S
+        conns.fail("e1")
+        assert conns.desk.doubt_s("e1", first, ()) >= EJECTED_COST_S
+        assert conns.desk.ejected_s("e1") == EJECTED_COST_S
         for _ in range(8):
-            pair.step()
-        costs = [pair.desk.doubt_s("e1", follower, ()) for follower in pair.followers]
+            conns.step()
+        costs = [conns.desk.doubt_s("e1", follower, ()) for follower in conns.followers]
         assert costs.count(0.0) == 1
 
-    def test_a_few_failures_send_no_requests_to_other_engines(self):
-        pair = Pair()
+    def test_a_few_failures_shift_no_requests_to_other_engines(self):
+        conns = Connections()
         for step in range(8):
-            for gateway in pair.gateways:
-                gateway.fleet.health("e1").note(step == 4, pair.now)
-            pair.step()
-        newcomer = pair.followers[0]
-        assert pair.desk._findings[("e1", "")].failing > 0.05
-        assert pair.desk.doubt_s("e1", newcomer, ()) == 0.0
+            for gateway in conns.gateways:
+                gateway.fleet.health("e1").note(step == 4, conns.now)
+            conns.step()
+        follower = conns.followers[0]
+        assert conns.desk._findings[("e1", "")].failing > 0.05
+        assert conns.desk.doubt_s("e1", follower, ()) == 0.0
 
-    def test_a_gateway_that_has_left_is_no_source(self):
-        pair = Pair()
-        for follower in pair.followers:
-            pair.desk.leave(follower, pair.now)
-        pair.step()
-        assert not pair.desk._pool._sources
+    def test_a_disconnected_gateway_is_no_source(self):
+        conns = Connections()
+        for follower in conns.followers:
+            conns.desk.leave(follower, conns.now)
+        conns.step()
+        assert not conns.desk._pool._sources
 
 
-class TestCalmFleet:
-    """Requests that are answered, as nearly all are, are no matter for messages."""
+class TestHealthyFleet:
+    """Answered requests, which are nearly all, must not cause messages."""
 
     def play(self, gateways, engines, failing, steps=40):
-        """Return entries about replicas told by gateways, and by the planner."""
-        pair = Pair(gateways, state=new_state(engines, 0))
-        rng, told, found = random.Random(gateways), 0, 0
+        """Return the numbers of entries sent by gateways and of verdicts sent by the planner."""
+        conns = Connections(gateways, state=new_state(engines, 0))
+        rng, sent, received = random.Random(gateways), 0, 0
         for _ in range(steps):
-            for gateway in pair.gateways:
+            for gateway in conns.gateways:
                 for number in rng.sample(range(engines), 6):
                     bad = number < failing and rng.random() < 0.45
-                    gateway.fleet.health(f"e{number}").note(bad, pair.now)
-            pair.now += NEWS_S
-            for gateway, follower in zip(pair.gateways, pair.followers, strict=True):
+                    gateway.fleet.health(f"e{number}").note(bad, conns.now)
+            conns.now += NEWS_S
+            for gateway, follower in zip(conns.gateways, conns.followers, strict=True):
                 message = gateway.message()
-                told += len(message.ends)
-                pair.desk.take(follower, message, pair.now)
+                sent += len(message.ends)
+                conns.desk.take(follower, message, conns.now)
             news = pb.FromPlanner()
-            pair.desk.fill(news, pair.now)
-            found += len(news.verdicts)
-            for gateway in pair.gateways:
+            conns.desk.fill(news, conns.now)
+            received += len(news.verdicts)
+            for gateway in conns.gateways:
                 gateway.part.take(news)
-        return told, found
+        return sent, received
 
     @pytest.mark.parametrize("gateways", [4, 40, 120])
-    def test_a_calm_fleet_tells_nothing(self, gateways):
+    def test_a_healthy_fleet_sends_nothing(self, gateways):
         assert self.play(gateways, 40, 0) == (0, 0)
 
-    def test_what_is_told_grows_with_requests_at_failing_replicas_alone(self):
-        """With each engine more, of 40 to 160, no entry more while as many fail."""
-        told = {engines: self.play(40, engines, 1)[0] for engines in (40, 80, 160)}
-        # Each gateway's six requests a step fall on the failing one in 6 of so many.
-        for engines, entries in told.items():
+    def test_reports_grow_only_with_requests_at_failing_replicas(self):
+        """With one failing engine, more healthy engines add no entries."""
+        sent = {engines: self.play(40, engines, 1)[0] for engines in (40, 80, 160)}
+        # Each gateway sends six requests in a step to engines drawn at random.
+        for engines, entries in sent.items():
             at_failing = 40 * 40 * 6 / engines
             assert 0 < entries <= 1.2 * at_failing
 
-    def test_ten_failing_tell_ten_times_as_much_as_one_and_no_more(self):
+    def test_reports_grow_at_most_linearly_with_failing_replicas(self):
         one, ten = (self.play(40, 80, failing)[0] for failing in (1, 10))
         assert ten <= 12 * one
 
-    def test_of_replicas_without_engines_all_is_told(self):
-        """Their shares go by the times of their answers."""
+    def test_all_outcomes_are_reported_for_services_without_engines(self):
+        """Their shares of traffic depend on the response times."""
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         for name in ("e0", "p0"):
             gateway.fleet.health(name).note(False, 1.0, took_s=0.1)
-        assert [told.replica for told in gateway.message().ends] == ["p0"]
+        assert [ends.replica for ends in gateway.message().ends] == ["p0"]
 
     @pytest.mark.parametrize("part", [{"failing": 0.2}, {"held_back": 0.5}])
-    def test_what_the_planner_doubts_is_told_of_with_what_was_kept(self, part):
+    def test_retained_outcomes_are_reported_once_the_planner_suspects_a_replica(self, part):
         gateway = Gateway(new_state(), "g", "a", lambda: 1.0)
         gateway.fleet.health("e0").note(False, 1.0)
         assert not gateway.message().ends
         gateway.part.take(pb.FromPlanner(verdicts=[pb.Verdict(replica="e0", **part)]))
         gateway.fleet.health("e0").note(False, 1.0)
-        assert [told.served for told in gateway.message().ends] == [2]
+        assert [ends.served for ends in gateway.message().ends] == [2]
 
-    def test_a_gateway_with_requests_elsewhere_is_named_to_probe(self):
-        pair = Pair()
-        pair.fail("e1")
-        calm = pair.all_followers.join("calm", "")
-        named = set()
+    def test_a_gateway_with_requests_elsewhere_is_assigned_as_prober(self):
+        conns = Connections()
+        conns.fail("e1")
+        unaffected = conns.all_followers.join("calm", "")
+        probers = set()
         for _ in range(60):
-            pair.now += NEWS_S
+            conns.now += NEWS_S
             use = pb.Use(replica="e2", model="m", active=1, started=1)
-            pair.desk.take(calm, pb.FromGateway(uses=[use]), pair.now)
+            conns.desk.take(unaffected, pb.FromGateway(uses=[use]), conns.now)
             news = pb.FromPlanner()
-            pair.desk.fill(news, pair.now)
-            named |= {verdict.prober for verdict in news.verdicts}
-        assert "calm" in named
+            conns.desk.fill(news, conns.now)
+            probers |= {verdict.prober for verdict in news.verdicts}
+        assert "calm" in probers
 
     @pytest.mark.parametrize("in_use", [True, False])
-    def test_engines_in_use_of_which_nothing_is_told_do_well(self, in_use):
-        """Six of twenty fail; nothing is told of the others."""
-        pair = Pair(state=new_state(20, 0))
-        engines = {name: Engine(rep, SPEC) for name, rep in pair.state.replicas.items()}
+    def test_engines_in_use_without_reports_count_as_healthy(self, in_use):
+        """Six of twenty engines fail; nothing is reported for the others."""
+        conns = Connections(state=new_state(20, 0))
+        engines = {name: Engine(rep, SPEC) for name, rep in conns.state.replicas.items()}
         for engine in engines.values():
             engine.take_use(1, AdapterKey("m", "a"), int(in_use))
-        pair.desk = HealthDesk("llm", pair.state, engines, lambda: 0.2)
+        conns.desk = HealthDesk("llm", conns.state, engines, lambda: 0.2)
         rng = random.Random(4)
         for _ in range(20):
             for number in range(6):
-                for gateway in pair.gateways:
-                    gateway.fleet.health(f"e{number}").note(rng.random() < 0.45, pair.now)
-            pair.step()
-        health = pair.gateways[0].fleet.health
-        held = {number for number in range(20) if health(f"e{number}").held_back(pair.now)}
+                for gateway in conns.gateways:
+                    gateway.fleet.health(f"e{number}").note(rng.random() < 0.45, conns.now)
+            conns.step()
+        health = conns.gateways[0].fleet.health
+        held = {number for number in range(20) if health(f"e{number}").held_back(conns.now)}
         assert held == (set(range(6)) if in_use else set())
 
 
@@ -350,7 +350,7 @@
         return answers[0].replica if answers else ""
 
     @pytest.mark.parametrize("shared", [True, False])
-    def test_requests_go_to_an_engine_that_others_do_not_fail_at(self, shared):
+    def test_requests_avoid_an_engine_that_fails_for_other_gateways(self, shared):
         async def scenario():
             planner = self.make(frozenset({Feature.SHARED_HEALTH}) if shared else frozenset())
             gateways = [planner.join(f"g{number}", f"{number}:1") for number in range(9)]
@@ -365,8 +365,8 @@
                     ends = [pb.Ends(replica=first, failed=1)]
                     planner.take(gateway, pb.FromGateway(ends=ends, hall=HALLS[number % 3]))
                 planner.followers.tell_news(True)
-            told = [v for m in gateways[0].take_messages() for v in m.verdicts if v.ejected]
-            assert bool(told) == shared
+            verdicts = [v for m in gateways[0].take_messages() for v in m.verdicts if v.ejected]
+            assert bool(verdicts) == shared
             chosen = {self.ask(planner, gateways[0], ticket) for ticket in range(2, 6)}
             if shared:
                 assert chosen == {({"e0", "e1"} - {first}).pop()}
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What an instance does until it is up: reads its code, opens its door, reads the store."""
+"""Start of an instance: imports, early listening socket, first reads of the store."""
 
 import ast
 import asyncio
@@ -27,8 +27,8 @@
 NOT_NEEDED = ("cattrs", "attr", "gradelug_config.catalog", "gradelug_coordination.once", "fire")
 
 
-def told_names(package):
-    """Return the names that a package tells type checkers of, with their modules."""
+def exported_names(package):
+    """Return the names that a package declares for type checkers, with their modules."""
     tree = ast.parse(Path(package.__file__).read_text())
     (branch,) = [node for node in tree.body if isinstance(node, ast.If)]
     return {
@@ -39,9 +39,9 @@
     }
 
 
-class TestReading:
-    def test_what_only_other_programs_need_is_not_read(self):
-        """It took a fifth of the time to be up."""
+class TestImports:
+    def test_modules_of_other_programs_are_not_imported(self):
+        """Guards against imports of unused modules, which took a fifth of the start-up time."""
         program = (
             f"import sys; sys.path[:0] = [{str(ROOT / 'platform')!r}];"
             "import gradelug_platform.main;"
@@ -53,26 +53,26 @@
         assert done.stdout.strip() == "[]"
 
     @pytest.mark.parametrize("package", LAZY)
-    def test_each_name_that_a_package_tells_of_is_there(self, package):
-        names = told_names(package)
+    def test_each_exported_name_can_be_imported(self, package):
+        names = exported_names(package)
         assert names == package._HOMES
         for name, module in names.items():
-            home = importlib.import_module(f"{package.__name__}.{module}")
-            assert getattr(package, name) is getattr(home, name)
+            target = importlib.import_module(f"{package.__name__}.{module}")
+            assert getattr(package, name) is getattr(target, name)
 
     @pytest.mark.parametrize("package", LAZY)
-    def test_other_names_are_not(self, package):
+    def test_unknown_names_raise_attribute_error(self, package):
         with pytest.raises(AttributeError, match="no_such_name"):
             _ = package.no_such_name
 
 
-class TestDoor:
+class TestEarlySocket:
     def settings(self, tmp_path, monkeypatch, text):
         path = tmp_path / "settings.toml"
         path.write_text(text)
         monkeypatch.setenv(door.SETTINGS_VARIABLE, str(path))
 
-    def test_who_calls_before_the_process_is_whole_is_answered_by_it(self, tmp_path, monkeypatch):
+    def test_requests_before_the_server_runs_are_answered_by_it(self, tmp_path, monkeypatch):
         self.settings(tmp_path, monkeypatch, '[Listen]\nFront = "127.0.0.1:0"\n')
         opened = door.open_door([])
         arrivals = []
@@ -112,7 +112,7 @@
 
         began = asyncio.run(scenario())
         first, second, third = arrivals
-        # Nobody knows when the first came; it is answered within its time for certain.
+        # The arrival of the first is unknown; the opening of the socket is the safe assumption.
         assert first == opened.since
         assert second > first
         assert third >= began
@@ -128,11 +128,11 @@
             "[Listen]\nFront = 'x'",
         ],
     )
-    def test_without_an_address_it_stays_closed(self, tmp_path, monkeypatch, text):
+    def test_without_a_valid_address_no_socket_is_opened(self, tmp_path, monkeypatch, text):
         self.settings(tmp_path, monkeypatch, text)
         assert door.open_door([]) is None
 
-    def test_an_address_that_is_taken_is_told(self, tmp_path, monkeypatch, capsys):
+    def test_an_address_in_use_is_reported(self, tmp_path, monkeypatch, capsys):
         taken = socket.create_server(("127.0.0.1", 0))
         port = taken.getsockname()[1]
         self.settings(tmp_path, monkeypatch, f'[Listen]\nFront = "127.0.0.1:{port}"\n')
@@ -141,37 +141,37 @@
         taken.close()
 
     @pytest.mark.parametrize("arg", ["--check", "--without=scoped-news,early-door"])
-    def test_it_can_be_left_closed(self, tmp_path, monkeypatch, arg):
+    def test_opening_the_socket_can_be_disabled(self, tmp_path, monkeypatch, arg):
         self.settings(tmp_path, monkeypatch, '[Listen]\nFront = "127.0.0.1:0"\n')
         assert door.open_door([arg]) is None
 
-    def test_it_is_a_feature_of_the_gateway(self):
+    def test_the_early_socket_is_a_feature_of_the_gateway(self):
         assert Feature(door.EARLY_DOOR) is Feature.EARLY_DOOR
 
 
-class TestStanding:
-    def test_each_part_is_told_once_with_the_time_without_it(self):
-        now, there = [10.0], set()
-        looks = {part: functools.partial(there.__contains__, part) for part in Part}
-        standing = Standing(lambda: now[0], looks)
+class TestStartupProgress:
+    def test_each_part_is_logged_once_with_the_time_until_it_was_known(self):
+        now, known = [10.0], set()
+        checks = {part: functools.partial(known.__contains__, part) for part in Part}
+        progress = Standing(lambda: now[0], checks)
         with logbook.TestHandler() as logs:
             now[0] = 10.5
-            assert standing.without_s(Part.LEADER) == 0.5
-            there.add(Part.CONFIGURATION)
-            standing.look()
+            assert progress.without_s(Part.LEADER) == 0.5
+            known.add(Part.CONFIGURATION)
+            progress.look()
             now[0] = 12.0
-            there.update(Part)
-            standing.look()
-            there.clear()
-            standing.look()
-        assert standing.is_complete
-        assert standing.without_s(Part.CONFIGURATION) == 0.5
-        assert {standing.without_s(part) for part in Part} == {0.5, 2.0}
+            known.update(Part)
+            progress.look()
+            known.clear()
+            progress.look()
+        assert progress.is_complete
+        assert progress.without_s(Part.CONFIGURATION) == 0.5
+        assert {progress.without_s(part) for part in Part} == {0.5, 2.0}
         assert len(logs.records) == len(Part)
 
 
-def read_together(instances, entries, reads_per_s, silent_s=0.0):
-    """Return when the last instance had read all, how many never did, and the calls."""
+def read_concurrently(instances, entries, reads_per_s, silent_s=0.0):
+    """Return when the last instance had read all, how many did not, and the number of calls."""
 
     async def scenario():
         store = CrowdedStore(50, reads_per_s, 1e9)
@@ -187,26 +187,26 @@
         loop.close()
 
 
-class TestTogether:
+class TestConcurrentStart:
     @pytest.mark.parametrize("instances", [50, 100])
-    def test_listings_of_many_that_start_at_once_do_not_begin_anew(self, instances):
-        """A refused page lost the whole listing: 100 made 4,913 calls and took 9.25 s."""
+    def test_listings_of_many_starting_instances_do_not_restart(self, instances):
+        """A refused page must not discard the listing: then 100 made 4,913 calls in 9.25 s."""
         needed = instances * 600 // 50
-        last_s, missing, calls = read_together(instances, 600, 400.0)
+        last_s, missing, calls = read_concurrently(instances, 600, 400.0)
         assert not missing
-        # With a listing go the watches that follow it.
+        # The calls include the watches that follow each listing.
         assert calls <= 1.5 * needed
         assert last_s <= needed / 400.0 + 2.0
 
-    def test_a_store_that_comes_back_from_silence_is_not_read_in_a_storm(self):
+    def test_a_recovering_store_is_not_overloaded(self):
         needed = 50 * 600 // 50
-        last_s, missing, calls = read_together(50, 600, 400.0, silent_s=3.0)
+        last_s, missing, calls = read_concurrently(50, 600, 400.0, silent_s=3.0)
         assert not missing
         assert calls <= 1.5 * needed
-        # A call that was swallowed, and the longest pause after it, come on top.
+        # Added are the timeout of an unanswered call and the longest pause after it.
         assert last_s <= 3.0 + 0.7 + 0.8 + needed / 400.0 + 1.0
 
-    def test_alone_it_takes_no_longer(self):
-        last_s, missing, _ = read_together(1, 600, 400.0)
+    def test_a_single_instance_is_not_delayed(self):
+        last_s, missing, _ = read_concurrently(1, 600, 400.0)
         assert not missing
         assert last_s < 0.7
