--- a/tests/test_grown_start.py
+++ b/tests/test_grown_start.py
@@ -86,7 +86,7 @@
         assert sent_bytes < 10_000
 
     def test_a_second_planner_failure_delays_only_by_its_own_duration(self):
-        """The next planner starts without state and must answer gateways as fast as the first one."""
+        """The next planner starts without state and must answer as fast as the first one."""
 
         async def scenario():
             first = Fleet(GATEWAYS[-1], ENGINES, STARTS_PER_S)
