--- a/packages/gateway/src/gradelug_gateway/feed.py
+++ b/packages/gateway/src/gradelug_gateway/feed.py
@@ -1,8 +1,8 @@
 """Applies changes of the platform store's entries to this instance's view of the fleet.
 
 A feed reads the mirrored entries after each change, and takes in replicas, versions and
-configurations that another instance reports before the mirror shows them. Gateways and planners
-run one each for as long as the process lives.
+configurations that another instance reports before the mirror shows them. Each instance runs one
+for as long as its process lives.
 """
 
 from __future__ import annotations
@@ -243,11 +243,11 @@
         removed_revision = self._removed_revisions.get(entry.key)
         if removed_revision is None:
             return False
-        now, at = self._clock(), entry.revision
+        now, revision = self._clock(), entry.revision
         since = self._restored_since.setdefault(entry.key, now)
-        is_older = era_of(at) > era_of(removed_revision) and revision_of(at) <= revision_of(
-            removed_revision
-        )
+        is_older = era_of(revision) > era_of(removed_revision) and revision_of(
+            revision
+        ) <= revision_of(removed_revision)
         if is_older and now - since < COPIED_GRACE_S:
             return True
         del self._removed_revisions[entry.key], self._restored_since[entry.key]
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -74,7 +74,7 @@
         "_incarnations",
         "_loads",
         "_rng",
-        "_seen_change",
+        "_indexed_change",
         "_reported",
         "_reported_change",
         "hall",
@@ -114,7 +114,7 @@
         self._directory: dict[str, dict[AdapterKey, int]] = {}
         self._by_key: dict[AdapterKey, dict[str, int]] = {}
         self._by_service: dict[str, list[Replica]] = {}
-        self._seen_change = -1
+        self._indexed_change = -1
         self._reported: dict[AdapterKey, list[str]] = {}
         """Names of replicas by weights that they report themselves, as of `_reported_change`."""
         self._reported_change = -1
@@ -271,8 +271,8 @@
 
     def usable(self, service: str) -> list[Replica]:
         """Return the replicas of a service that are not leaving."""
-        if self._seen_change != self.state.change:
-            self._seen_change = self.state.change
+        if self._indexed_change != self.state.change:
+            self._indexed_change = self.state.change
             self._by_service = {}
             for rep in self.state.replicas.values():
                 if not rep.leaving:
--- a/packages/gateway/src/gradelug_gateway/health.py
+++ b/packages/gateway/src/gradelug_gateway/health.py
@@ -18,7 +18,7 @@
 """Half-life of the failure rate, in seconds: a replica that is avoided gets no new outcomes."""
 CIRCUIT_FAILURES = 3
 CIRCUIT_OPEN_S = 1.5
-PROBE_SPACING_S = 0.1
+PROBE_INTERVAL_S = 0.1
 """Minimum interval between probes of a replica, in seconds: the outcome of the first one may make
 the next unnecessary."""
 
@@ -112,7 +112,7 @@
 
     def may_probe(self, now: float) -> bool:
         """Return whether the next request may be sent as a probe."""
-        if now - self._probed_at < PROBE_SPACING_S:
+        if now - self._probed_at < PROBE_INTERVAL_S:
             return False
         return any(verdict.may_probe for verdict in self._valid_verdicts(now))
 
--- a/packages/gateway/src/gradelug_gateway/sharedhealth.py
+++ b/packages/gateway/src/gradelug_gateway/sharedhealth.py
@@ -34,7 +34,7 @@
 meanwhile and after lost messages. With 370 gateways messages are sent every 0.9 s, three times
 within the lifetime of a verdict."""
 FAILING_RATE_STEP = 0.05
-ANSWER_TIME_STEP_RATIO = 1.1
+RESPONSE_TIME_STEP_RATIO = 1.1
 """Verdicts that differ by less than these steps are not sent: the results calculated from them
 would not differ by more. The second one is a ratio of response times."""
 DOUBTED_S = 1.0
@@ -91,11 +91,11 @@
         """Add the outcomes since the last message, for replicas whose outcomes are needed."""
         now = self._clock()
         for name, health in self._replicas().items():
-            telling = self._decide(name, health, now)
-            if telling is Telling.KEEP:
+            decision = self._decide(name, health, now)
+            if decision is Telling.KEEP:
                 continue
             tally = health.take_tally()
-            if telling is Telling.DROP:
+            if decision is Telling.DROP:
                 continue
             message.ends.add(
                 replica=name,
@@ -290,7 +290,11 @@
             round(finding.failing / FAILING_RATE_STEP),
             finding.held_back,
             finding.prober,
-            round(math.log(finding.took_s * 1000, ANSWER_TIME_STEP_RATIO)) if finding.took_s else 0,
+            (
+                round(math.log(finding.took_s * 1000, RESPONSE_TIME_STEP_RATIO))
+                if finding.took_s
+                else 0
+            ),
             now,
         )
         earlier = self._sent.get(key)
@@ -311,15 +315,15 @@
 
     def _refresh_members(self) -> dict[str, list[str]]:
         snapshot = self._state.snapshot
-        seen = (self._state.change, snapshot.version if snapshot is not None else -1)
-        if seen == self._members_version:
+        version = (self._state.change, snapshot.version if snapshot is not None else -1)
+        if version == self._members_version:
             return self._members
-        self._members_version = seen
+        self._members_version = version
         self._members = {}
         covers_engineless = self._state.home_service == self._service
         for rep in self._state.replicas.values():
-            is_included = covers_engineless and not self._state.has_engines(rep.service)
-            if not rep.leaving and (rep.service == self._service or is_included):
+            is_engineless = covers_engineless and not self._state.has_engines(rep.service)
+            if not rep.leaving and (rep.service == self._service or is_engineless):
                 self._members.setdefault(rep.service, []).append(rep.name)
         return self._members
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -67,7 +67,7 @@
         instance, planner = self.gateway, self.planner
         self.offset_s = offset_s
         """How far the planner's clock is ahead of the gateway's, in seconds."""
-        self.listener = StoreListener(
+        self.subscriber = StoreListener(
             instance.feed,
             instance.mirror,
             instance.clock,
@@ -75,9 +75,9 @@
             lambda: True,
             instance.freshness,
         )
-        teller = StoreTeller(planner.feed, planner.mirror, planner.clock, planner.freshness)
-        self.teller = teller
-        self.followers = Followers({}, planner.clock, teller)
+        publisher = StoreTeller(planner.feed, planner.mirror, planner.clock, planner.freshness)
+        self.publisher = publisher
+        self.followers = Followers({}, planner.clock, publisher)
         self.follower = self.followers.join("g", "g:1")
         for number in range(LEAST_FOLLOWERS):
             self.followers.join(f"g{number}", "h:1")
@@ -127,7 +127,7 @@
             clock_offset_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
             self.clock_offset_s = min(self.clock_offset_s, clock_offset_s)
         if message.HasField("store"):
-            self.listener.take(message.store, self.clock_offset_s)
+            self.subscriber.take(message.store, self.clock_offset_s)
 
     async def _watch(self):
         """Check continuously whether a request would be admitted and under which version."""
@@ -181,7 +181,7 @@
     def test_a_remote_proof_does_not_cover_an_unknown_configuration(self):
         async def scenario():
             sim = Simulation()
-            sim.teller._forwards_config = False
+            sim.publisher._forwards_config = False
             await sim.publish_config()
             await write_for(sim, 4.0)
             sim.gateway.connection.cut = True
@@ -303,7 +303,7 @@
     def test_no_revoked_key_is_accepted_under_any_faults(self, faults, offset_s, forwards):
         async def scenario():
             sim = Simulation(offset_s + 100.0)
-            sim.teller._forwards_config = forwards
+            sim.publisher._forwards_config = forwards
             await sim.publish_config()
             await write_for(sim, 3.0)
             for kind, for_s in faults:
--- a/tests/test_storenews.py
+++ b/tests/test_storenews.py
@@ -92,7 +92,7 @@
         self.planner = Instance(self.kv, TELL_SPACING_S)
         self.gateway = Instance(self.kv, SPACING_S)
         instance = self.gateway
-        self.listener = StoreListener(
+        self.subscriber = StoreListener(
             instance.feed,
             instance.mirror,
             instance.clock,
@@ -102,22 +102,22 @@
         )
         self.can_pause = True
         planner = self.planner
-        teller = StoreTeller(planner.feed, planner.mirror, instance.clock, planner.freshness)
-        self.teller = teller
-        self.followers = Followers({}, instance.clock, teller)
+        publisher = StoreTeller(planner.feed, planner.mirror, instance.clock, planner.freshness)
+        self.publisher = publisher
+        self.followers = Followers({}, instance.clock, publisher)
         self.follower = self.followers.join("g", "g:1")
         for number in range(gateways - 1):
             self.followers.join(f"g{number}", "h:1")
         self.is_sending = True
-        self.task = asyncio.create_task(self._tell())
+        self.task = asyncio.create_task(self._send_updates())
 
-    async def _tell(self):
+    async def _send_updates(self):
         while True:
             await asyncio.sleep(NEWS_S)
             self.followers.tell_news(True)
             for message in self.follower.take_messages():
                 if self.is_sending and message.HasField("store"):
-                    self.listener.take(message.store)
+                    self.subscriber.take(message.store)
 
     async def put(self, key, value):
         expected = self.revisions.get(key, 0)
@@ -168,7 +168,7 @@
     def test_a_configuration_is_forwarded_or_polled_for_immediately(self, forwards):
         async def scenario():
             conn = Connection()
-            conn.teller._forwards_config = forwards
+            conn.publisher._forwards_config = forwards
             await conn.write_for(4.0)
             polls = conn.gateway.kv.polls
             await conn.put("config", 5)
@@ -189,7 +189,7 @@
             await conn.write_for(4.0)
             polls = conn.gateway.kv.polls
             broken = pb.ConfigEntry(key="config", revision=99, deflated=deflated)
-            conn.listener.take(pb.StoreNews(age_ms=1, config=9, config_entry=broken))
+            conn.subscriber.take(pb.StoreNews(age_ms=1, config=9, config_entry=broken))
             await conn.write_for(1.0)
             assert conn.gateway.state.snapshot is None
             assert conn.gateway.kv.polls > polls
@@ -197,12 +197,12 @@
 
         run(scenario)
 
-    @pytest.mark.parametrize("why", ["not told", "planner lost the store", "owns engines", "few"])
+    @pytest.mark.parametrize("why", ["no updates", "planner lost the store", "owns engines", "few"])
     def test_without_updates_a_gateway_polls_at_its_own_interval(self, why):
         async def scenario():
             conn = Connection(LEAST_FOLLOWERS - 1 if why == "few" else LEAST_FOLLOWERS)
             await conn.write_for(4.0)
-            if why == "not told":
+            if why == "no updates":
                 conn.is_sending = False
             elif why == "planner lost the store":
                 conn.planner.task.cancel()
@@ -266,7 +266,7 @@
             await asyncio.sleep(2.0)
             received, since, pages = set(), 0, []
             while not pages or since:
-                page, since = conn.teller.listing(since, not pages)
+                page, since = conn.publisher.listing(since, not pages)
                 pages.append(page)
                 received.update(fact.replica for fact in page.replicas)
             assert len(pages) == 3
@@ -276,7 +276,7 @@
             known = conn.planner.mirror.revision
             await conn.put("s/late", {"address": "l:1"})
             await asyncio.sleep(2.0)
-            page, since = conn.teller.listing(known, True)
+            page, since = conn.publisher.listing(known, True)
             assert [fact.replica for fact in page.replicas] == ["late"]
             assert not since
             await conn.stop()
