--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -366,21 +366,21 @@
             Whether the request may probe an ejected replica.
         """
         now = self._clock()
-        found = [
+        candidates = [
             rep
             for rep in replicas
             if rep.name not in excluded
             and (only is None or rep.name in only)
             and not self.rests.left_s(rep)
         ]
-        if len(found) > CHOICES:
-            found = self._rng.sample(found, CHOICES)
-        probe_target = self.to_probe(found, now) if may_probe else None
+        if len(candidates) > CHOICES:
+            candidates = self._rng.sample(candidates, CHOICES)
+        probe_target = self.to_probe(candidates, now) if may_probe else None
         if probe_target is not None:
             return probe_target
-        allowed = [rep for rep in found if self.allows(rep, now)]
+        allowed = [rep for rep in candidates if self.allows(rep, now)]
         # If all replicas fail, requests are sent anyway: some of them succeed.
-        usable = allowed or found
+        usable = allowed or candidates
         if work is None:
             return min(usable, key=lambda rep: self.cost(rep, now), default=None)
         if self.room is not None and self.news_s > FRESH_S:
@@ -388,8 +388,8 @@
         speed = self.speeds.speed(usable[0].service) if usable else 1.0
         # Equal costs fall to the same engine each time, which keeps its prompt cache in use.
         costs_s = [
-            (self._selection_cost_s(rep, at, now), number, rep)
-            for number, (rep, at) in enumerate(self.kept.at_each(usable, work, speed))
+            (self._selection_cost_s(rep, work_at, now), number, rep)
+            for number, (rep, work_at) in enumerate(self.kept.at_each(usable, work, speed))
         ]
         return min(costs_s)[2] if costs_s else None
 
@@ -408,9 +408,9 @@
         return next(rep for rep in usable if rep.name == chosen)
 
     def _selection_cost_s(self, replica: Replica, work: Work, now: float) -> float:
-        """Return the cost of a request at an engine less the delay its cached prefix saves others.
+        """Return the cost of a request at an engine, in seconds.
 
-        In seconds.
+        The delay that a cached prefix saves other requests is deducted.
         """
         saved_delay_s = held_up_s(work.kept_tokens, self.speeds.speed(replica.service))
         return WAIT_PER_REQUEST_S * self.cost(replica, now, work) - saved_delay_s
@@ -451,8 +451,8 @@
         displace another: the planner may know an engine with free capacity.
         """
         now, busy = self._clock(), self.load(replica.name).busyness()
-        at = self.kept.at(replica.name, work)
-        is_late = now + self.expected_s(replica, busy, at) > target_at
+        work_at = self.kept.at(replica.name, work)
+        is_late = now + self.expected_s(replica, busy, work_at) > target_at
         return is_late or self.is_full(replica, work)
 
     def fits(self, service: str, work: Work) -> bool:
@@ -460,8 +460,8 @@
 
         The answer is not counted: it may end before its maximum length.
         """
-        most = self.terms_of(service).memory_tokens
-        return self.room is None or not most or work.prompt_tokens <= most
+        max_tokens = self.terms_of(service).memory_tokens
+        return self.room is None or not max_tokens or work.prompt_tokens <= max_tokens
 
     def equalled(self, service: str, work: Work) -> Work:
         """Return a request's work, with the common urgency where slots are the bottleneck."""
