--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -12,7 +12,7 @@
 from .organisations import Principal
 
 log = logbook.Logger("admitting")
-ELSEWHERE_S = 0.05
+OTHER_INSTANCE_RETRY_AFTER_S = 0.05
 """Another instance may have a proof that is newer."""
 
 
@@ -54,12 +54,14 @@
         if not organisations:
             return Admission(snapshot.version, None, shows_credentials=True)
         if route.public:
-            return Admission(snapshot.version, self._known_sender(req, snapshot))
+            return Admission(snapshot.version, self._identify_sender(req, snapshot))
         if not self._freshness.is_proven():
-            raise Refused("the configuration is not known to be the newest", ELSEWHERE_S)
+            raise Refused(
+                "the configuration is not known to be the newest", OTHER_INSTANCE_RETRY_AFTER_S
+            )
         return Admission(snapshot.version, authenticate(req.credentials, organisations))
 
-    def _known_sender(self, req: Request, snapshot: Snapshot) -> Principal | None:
+    def _identify_sender(self, req: Request, snapshot: Snapshot) -> Principal | None:
         """Return who sent a request that needs no key, if it carries one that is known."""
         if not req.credentials or not self._freshness.is_proven():
             return None
--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/answering.py
@@ -17,7 +17,7 @@
 from .sending import Sender
 
 log = logbook.Logger("answering")
-RETRY_AFTER_S = 0.3
+DEFAULT_RETRY_AFTER_S = 0.3
 """When to come back where nothing tells better."""
 
 
@@ -56,10 +56,10 @@
 
     def expire(self, job: Job) -> None:
         """Answer a request whose time has run out."""
-        if job.in_doubt or job.inc.started:
+        if job.may_have_run or job.inc.started:
             self.fail(job, Failed("out of time", GATEWAY_TIMEOUT))
         else:
-            self.refuse(job, Refused("out of time before it was sent", RETRY_AFTER_S))
+            self.refuse(job, Refused("out of time before it was sent", DEFAULT_RETRY_AFTER_S))
 
     def refuse(self, job: Job, exc: Refused) -> None:
         """Answer that a request was not run, or that it may have been if that is so."""
@@ -79,7 +79,7 @@
             sends=job.sends,
         )
         self._meters.outcome(job.route.name, "blocked" if isinstance(exc, Blocked) else "refused")
-        self.answer_self(job.inc, job.req.id, 503, exc.retry_after_s)
+        self.answer_without_body(job.inc, job.req.id, 503, exc.retry_after_s)
 
     def limit(self, job: Job, exc: Limited) -> None:
         """Answer that an organisation's quota is used up."""
@@ -99,7 +99,7 @@
         )
         self._meters.outcome(job.route.name, "limited")
         self._meters.limited(exc.organisation, job.route.rank, exc.inputs.standing)
-        self.answer_self(job.inc, job.req.id, 429, exc.retry_after_s)
+        self.answer_without_body(job.inc, job.req.id, 429, exc.retry_after_s)
 
     def deny(self, inc: Incoming, req: Request, route: Route, why: str) -> None:
         """Answer that a request carries no good key."""
@@ -130,11 +130,11 @@
             # Left without its end, the answer cannot be taken for whole.
             return
         if job.failure is not None:
-            self._sender.pass_on(job, *job.failure)
+            self._sender.forward_response(job, *job.failure)
             return
-        self.answer_self(job.inc, job.req.id, exc.status, None)
+        self.answer_without_body(job.inc, job.req.id, exc.status, None)
 
-    def answer_self(
+    def answer_without_body(
         self, inc: Incoming, request_id: str, status: int, retry_after_s: float | None
     ) -> None:
         """Answer without a body."""
--- a/packages/gateway/src/gradelug_gateway/budgets.py
+++ b/packages/gateway/src/gradelug_gateway/budgets.py
@@ -15,10 +15,10 @@
 them broke off. With nine in its place 195 of them could spend 20 times what they share."""
 
 
-SETTLED_S = 3.0
+COUNT_SETTLE_S = 3.0
 """Instances that were lost together are counted again one by one, within a second or two of a
 planner: a first count is believed after this time, in seconds."""
-MISSED_S = 3.0
+FOLLOW_TIMEOUT_S = 3.0
 """An instance that has followed no planner for so long, in seconds, may be counted no more."""
 
 
@@ -44,7 +44,7 @@
         """Counts that hold until a moment, the greatest first."""
         self._followed_at = -math.inf
 
-    def note(self, told: int, now: float) -> int:
+    def note(self, reported_count: int, now: float) -> int:
         """Take over a count and return among how many instances to share.
 
         Parameters
@@ -54,13 +54,20 @@
         now : float
             By the runtime's clock.
         """
-        if told:
-            if now - self._followed_at > MISSED_S:
-                self._counts = [(GATEWAYS_GUESS, now + SETTLED_S)]
+        if reported_count:
+            if now - self._followed_at > FOLLOW_TIMEOUT_S:
+                self._counts = [(GATEWAYS_GUESS, now + COUNT_SETTLE_S)]
             self._followed_at = now
-            kept = [(count, until) for count, until in self._counts if count > told and until > now]
-            self._counts = [*kept, (told, now + self._window_s + MISSED_S + SETTLED_S)]
-        if now - self._followed_at > MISSED_S or not self._counts:
+            kept = [
+                (count, until)
+                for count, until in self._counts
+                if count > reported_count and until > now
+            ]
+            self._counts = [
+                *kept,
+                (reported_count, now + self._window_s + FOLLOW_TIMEOUT_S + COUNT_SETTLE_S),
+            ]
+        if now - self._followed_at > FOLLOW_TIMEOUT_S or not self._counts:
             return GATEWAYS_GUESS
         return self._counts[0][0]
 
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -46,7 +46,7 @@
     """
 
     __slots__ = (
-        "busy",
+        "busyness",
         "conn",
         "event_at",
         "expected_s",
@@ -54,10 +54,10 @@
         "job",
         "longest_s",
         "pauses",
-        "released",
+        "is_released",
         "replica",
         "run",
-        "running",
+        "is_running",
         "sent_at",
         "status",
         "work",
@@ -69,21 +69,21 @@
         replica: Replica,
         conn: Connection,
         work: Work,
-        busy: Busyness,
+        busyness: Busyness,
         sent_at: float,
         expected_s: float,
     ) -> None:
         self.work = work
-        self.busy = busy
+        self.busyness = busyness
         self.sent_at = sent_at
         self.expected_s = expected_s
         self.job = job
         self.replica = replica
         self.conn = conn
-        self.running = False
+        self.is_running = False
         self.run: Run | None = None
         """Its run, where runs can go on."""
-        self.released = False
+        self.is_released = False
         self.status = 0
         """Of the answer; 0 until there is one."""
         self.event_at = sent_at
@@ -96,14 +96,14 @@
     @property
     def stage(self) -> Stage:
         """How far the request got."""
-        if self.running:
+        if self.is_running:
             return Stage.RUNNING
         return Stage.BEGUN if self.status else Stage.SENT
 
     @property
-    def weight(self) -> float:
+    def failure_weight(self) -> float:
         """How much it would say against the request that its replica ended now."""
-        if self.running:
+        if self.is_running:
             return RUNNING
         # A stream's head is sent as it begins; of other answers nothing comes before they are made.
         return WAITING if self.job.route.streaming and not self.status else BEGUN
@@ -111,4 +111,4 @@
     def release(self, pool: HttpPool, head: ResponseHead) -> None:
         """Give the connection back after a whole answer."""
         pool.release(self.conn, head)
-        self.released = True
+        self.is_released = True
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -72,10 +72,10 @@
     __slots__ = (
         "absent",
         "absences",
-        "asked",
+        "was_planner_asked",
         "backup",
         "charge",
-        "chosen_here",
+        "is_chosen_locally",
         "config",
         "copy",
         "deadline_at",
@@ -85,15 +85,15 @@
         "failure",
         "fingerprint",
         "inc",
-        "in_doubt",
-        "in_use",
+        "may_have_run",
+        "weights_in_use_at",
         "is_paid",
         "placed_s",
         "principal",
         "rank",
         "req",
-        "room_elsewhere",
-        "room_s",
+        "has_capacity_elsewhere",
+        "capacity_retry_s",
         "route",
         "sends",
         "service",
@@ -136,16 +136,16 @@
         """The replica that said it lacks the weights, until the planner was told."""
         self.absences = 0
         """How often a replica said so."""
-        self.asked = False
+        self.was_planner_asked = False
         """Whether the planner was to be asked for a better replica than those known here."""
-        self.chosen_here = False
+        self.is_chosen_locally = False
         """Whether this instance chose its replica by itself, and no planner."""
-        self.room_s = 0.0
+        self.capacity_retry_s = 0.0
         """When there is room for it at a replica that takes no more now, in seconds."""
-        self.room_elsewhere = False
+        self.has_capacity_elsewhere = False
         """Whether another replica had room then."""
         self.sends = 0
-        self.in_doubt = False
+        self.may_have_run = False
         """Whether it may have run without an answer that reached us."""
         self.failure: tuple[ResponseHead, bytes] | None = None
         """A replica's own failure, answered unless another sending does better."""
@@ -156,7 +156,7 @@
         """Where a copy of its run is kept as it grows."""
         self.copy: Copy | None = None
         """From what its run is to go on."""
-        self.in_use = ""
+        self.weights_in_use_at = ""
         """The engine whose weights stay in use for its memory between two sendings."""
         self.is_paid = False
         """Whether its next sending was taken from the budget already."""
@@ -168,7 +168,7 @@
     @property
     def is_unrun(self) -> bool:
         """Whether it has not run, nor can it any more unless it is sent."""
-        return not (self.in_doubt or self.failure is not None or self.inc.started)
+        return not (self.may_have_run or self.failure is not None or self.inc.started)
 
     def give_back(self) -> None:
         """Return what it was granted, if it has not run."""
--- a/packages/gateway/src/gradelug_gateway/patience.py
+++ b/packages/gateway/src/gradelug_gateway/patience.py
@@ -11,14 +11,14 @@
 from .values import RequestValues
 from .wishes import PATIENCE_MARGIN_S
 
-RETURNING_PART = 0.97
+RETURNING_WAIT_FRACTION = 0.97
 """A caller that has less than this part of the usual time was refused before."""
-ROOM_PART = 0.6
+MAX_CAPACITY_WAIT_FRACTION = 0.6
 """A request waits for room no longer than this part of its target; the rest is for its answer."""
 NO_DEMAND = Demand()
 
 
-class Patience:
+class WaitPolicy:
     """Tells how long requests wait.
 
     Parameters
@@ -41,12 +41,12 @@
     def is_returning(self, job: Job) -> bool:
         """Tell whether a request is another try of its caller: it has less than all of the time."""
         req, name = job.req, job.route.name
-        return req.wait_s < RETURNING_PART * self._values.longest_wait(name, req.wait_s)
+        return req.wait_s < RETURNING_WAIT_FRACTION * self._values.longest_wait(name, req.wait_s)
 
-    def until(self, job: Job) -> float:
+    def placement_deadline(self, job: Job) -> float:
         """Return until when a request waits before it is sent."""
-        until = min(job.deadline_at, job.req.arrived_at + job.route.patience_s)
-        return until - PATIENCE_MARGIN_S
+        latest_at = min(job.deadline_at, job.req.arrived_at + job.route.patience_s)
+        return latest_at - PATIENCE_MARGIN_S
 
     def demand(self, job: Job, replica: Replica) -> Demand:
         """Return how much a request needs room at its replica, and how long it waits for it."""
@@ -54,9 +54,9 @@
             return NO_DEMAND
         value = self._values.value(job.route, job.rank, job.req)
         begun = job.inc.started or job.copy is not None
-        return Demand(self._room_until(job, replica, begun), job.rank, value, begun)
+        return Demand(self._capacity_wait_deadline(job, replica, begun), job.rank, value, begun)
 
-    def has_open(self, job: Job, replica: Replica) -> bool:
+    def has_unlimited_alternative(self, job: Job, replica: Replica) -> bool:
         """Tell whether a request may go to another replica, one without a limit or a rest."""
         only = job.candidates()
         return any(
@@ -68,12 +68,15 @@
             for rep in self._fleet.usable(job.service.name)
         )
 
-    def _room_until(self, job: Job, replica: Replica, begun: bool) -> float:
+    def _capacity_wait_deadline(self, job: Job, replica: Replica, begun: bool) -> float:
         if begun:
             return job.deadline_at
-        if job.chosen_here and self.has_open(job, replica):
+        if job.is_chosen_locally and self.has_unlimited_alternative(job, replica):
             return self._clock()
         if self.is_returning(job):
-            return self.until(job)
+            return self.placement_deadline(job)
         # What would be late takes the room of one that would not: it had better come back.
-        return min(self.until(job), job.req.arrived_at + ROOM_PART * job.route.target_s)
+        return min(
+            self.placement_deadline(job),
+            job.req.arrived_at + MAX_CAPACITY_WAIT_FRACTION * job.route.target_s,
+        )
--- a/packages/gateway/src/gradelug_gateway/plain.py
+++ b/packages/gateway/src/gradelug_gateway/plain.py
@@ -15,24 +15,24 @@
 import logbook
 from gradelug_policy.plain import PlainShares, PlainView
 
-from .answering import RETRY_AFTER_S
+from .answering import DEFAULT_RETRY_AFTER_S
 from .exceptions import Refused
 from .fleet import Fleet
 from .job import Job
 from .metrics import Meters
 from .model import Replica
-from .resting import check_rest
+from .resting import check_backoff
 
 log = logbook.Logger("plain")
-PAUSE_PART = 0.4
+FULL_RETRY_FRACTION = 0.4
 """A replica that was full is tried again after this part of the time that an answer takes: with six
 slots two or three requests have ended by then."""
-LEAST_PAUSE_S = 0.005
-USUAL_S = 0.05
+MIN_FULL_RETRY_S = 0.005
+DEFAULT_ANSWER_S = 0.05
 """Time of an answer, in seconds, where nothing is known of it yet."""
-WAIT_PART = 0.5
+MAX_WAIT_FRACTION = 0.5
 """A request waits here no longer than this part of its target; the rest is for its answer."""
-NO_REPLICA_S = 0.25
+NO_REPLICA_TIMEOUT_S = 0.25
 """How long a request waits for a replica to turn up before it is refused."""
 POLL_S = 0.05
 
@@ -53,7 +53,16 @@
         costs least is chosen, and nobody waits.
     """
 
-    __slots__ = ("_clock", "_fleet", "_full_until", "_lines", "_meters", "_rng", "_shares", "is_on")
+    __slots__ = (
+        "_clock",
+        "_fleet",
+        "_full_until",
+        "_queues",
+        "_meters",
+        "_rng",
+        "_plain_shares",
+        "is_queueing_enabled",
+    )
 
     def __init__(
         self,
@@ -61,38 +70,42 @@
         clock: t.Callable[[], float],
         rng: random.Random,
         meters: Meters,
-        shares_health: bool,
+        uses_shared_health: bool,
     ) -> None:
-        self.is_on = shares_health
+        self.is_queueing_enabled = uses_shared_health
         """Whether requests may wait."""
         self._fleet = fleet
         self._clock = clock
         self._rng = rng
         self._meters = meters
-        self._shares: dict[str, PlainShares] = {}
-        self._lines: dict[str, _Line] = {}
+        self._plain_shares: dict[str, PlainShares] = {}
+        self._queues: dict[str, _CapacityQueue] = {}
         self._full_until: dict[str, float] = {}
         """Replicas that said lately that they have no room."""
 
     async def place(self, job: Job) -> Replica:
         """Return a replica for a request; raises `Refused` if there is none."""
-        give_up_at = self._clock() + NO_REPLICA_S
-        full = self._full_for(job) if self.is_on and not job.sends else None
+        give_up_at = self._clock() + NO_REPLICA_TIMEOUT_S
+        full = (
+            self._first_free_if_all_full(job)
+            if self.is_queueing_enabled and not job.sends
+            else None
+        )
         if full is not None:
             await self.wait(job, full)
         while True:
-            check_rest(self._fleet, job)
+            check_backoff(self._fleet, job)
             replica = self._choose(job)
             if replica is not None:
                 return replica
             if self._clock() >= give_up_at:
-                raise Refused("no replica is usable", RETRY_AFTER_S)
+                raise Refused("no replica is usable", DEFAULT_RETRY_AFTER_S)
             await asyncio.sleep(POLL_S)
 
     def note_full(self, replica: Replica) -> None:
         """Note that a replica has said that it has no room."""
         now = self._clock()
-        self._full_until[replica.name] = now + self._times(replica, now)[1]
+        self._full_until[replica.name] = now + self._answer_and_retry_s(replica, now)[1]
 
     async def wait(self, job: Job, replica: Replica) -> None:
         """Wait until a replica that had no room may have some.
@@ -103,71 +116,71 @@
             If the request would be too late then.
         """
         now = self._clock()
-        took_s, pause_s = self._times(replica, now)
-        line = self._lines.setdefault(job.service.name, _Line(self._clock))
+        took_s, pause_s = self._answer_and_retry_s(replica, now)
+        queue = self._queues.setdefault(job.service.name, _CapacityQueue(self._clock))
         target_at = job.req.arrived_at + job.route.target_s
-        latest_at = target_at - max(took_s, (1 - WAIT_PART) * job.route.target_s)
-        place = (job.rank, target_at)
-        if now + (line.ahead(place) + 1) * pause_s > latest_at:
-            raise Refused("the plain service is full", RETRY_AFTER_S)
+        latest_at = target_at - max(took_s, (1 - MAX_WAIT_FRACTION) * job.route.target_s)
+        priority = (job.rank, target_at)
+        if now + (queue.count_before(priority) + 1) * pause_s > latest_at:
+            raise Refused("the plain service is full", DEFAULT_RETRY_AFTER_S)
         self._meters.waited_plain()
         jitter = 0.5 + self._rng.random()
-        if not await line.wait(place, pause_s * jitter, latest_at):
-            raise Refused("the plain service is full", RETRY_AFTER_S)
+        if not await queue.wait(priority, pause_s * jitter, latest_at):
+            raise Refused("the plain service is full", DEFAULT_RETRY_AFTER_S)
 
-    def note_end(self, service: str) -> None:
+    def note_finished(self, service: str) -> None:
         """Note that a request of a service has left its replica: there may be room."""
-        line = self._lines.get(service)
-        if line is not None:
-            line.let_go()
+        queue = self._queues.get(service)
+        if queue is not None:
+            queue.release_first()
 
     def forget_gone(self) -> None:
         """Drop what is known of replicas that are gone."""
         known = self._fleet.state.replicas
         now = self._clock()
         self._full_until = {name: at for name, at in self._full_until.items() if at > now}
-        for shares in self._shares.values():
+        for shares in self._plain_shares.values():
             shares.keep(known)
 
-    def _times(self, replica: Replica, now: float) -> tuple[float, float]:
+    def _answer_and_retry_s(self, replica: Replica, now: float) -> tuple[float, float]:
         """Return the time of an answer, and the pause until there may be room, in seconds."""
-        took_s = self._fleet.health(replica.name).took_s(now) or USUAL_S
-        return took_s, max(LEAST_PAUSE_S, PAUSE_PART * took_s)
+        took_s = self._fleet.health(replica.name).took_s(now) or DEFAULT_ANSWER_S
+        return took_s, max(MIN_FULL_RETRY_S, FULL_RETRY_FRACTION * took_s)
 
-    def _full_for(self, job: Job) -> Replica | None:
+    def _first_free_if_all_full(self, job: Job) -> Replica | None:
         """Return the replica that has room next if all of them have said that they have none."""
-        usable, now = self._awake(job), self._clock()
+        usable, now = self._available(job), self._clock()
         if not usable or any(self._full_until.get(rep.name, now) <= now for rep in usable):
             return None
         return min(usable, key=lambda rep: self._full_until[rep.name])
 
-    def has_other(self, job: Job) -> bool:
+    def has_alternative(self, job: Job) -> bool:
         """Tell whether a request may go to a replica that has not failed or refused it."""
         only = job.candidates()
-        usable = self._awake(job)
+        usable = self._available(job)
         return any(
             rep.name not in job.excluded and (only is None or rep.name in only) for rep in usable
         )
 
-    def _awake(self, job: Job) -> list[Replica]:
+    def _available(self, job: Job) -> list[Replica]:
         """Return the replicas of a request's service that take new work and do not rest."""
         usable = self._fleet.usable(job.service.name)
         return [rep for rep in usable if not self._fleet.rests.left_s(rep)]
 
     def _choose(self, job: Job) -> Replica | None:
-        usable = self._awake(job)
-        if not self.is_on:
+        usable = self._available(job)
+        if not self.is_queueing_enabled:
             found = self._fleet.choose(usable, job.excluded, job.candidates())
             if found is None and job.candidates() is None:
                 found = self._fleet.choose(usable)
             return found
         only = job.candidates()
-        found_all = [rep for rep in usable if only is None or rep.name in only]
-        found_some = [rep for rep in found_all if rep.name not in job.excluded]
+        allowed = [rep for rep in usable if only is None or rep.name in only]
+        preferred = [rep for rep in allowed if rep.name not in job.excluded]
         # Of a request that failed everywhere another try is as good at any of them.
-        return self._share(job, found_some or (found_all if only is None else []))
+        return self._choose_by_share(job, preferred or (allowed if only is None else []))
 
-    def _share(self, job: Job, found: t.Sequence[Replica]) -> Replica | None:
+    def _choose_by_share(self, job: Job, found: t.Sequence[Replica]) -> Replica | None:
         if not found:
             return None
         now = self._clock()
@@ -178,7 +191,7 @@
         # When all of them fail, some requests still get through.
         found = [rep for rep in found if self._fleet.allows(rep, now)] or found
         found = [rep for rep in found if self._full_until.get(rep.name, now) <= now] or found
-        shares = self._shares.setdefault(job.service.name, PlainShares(self._rng))
+        shares = self._plain_shares.setdefault(job.service.name, PlainShares(self._rng))
         chosen = shares.choose([self._view(rep, now) for rep in found])
         return next(rep for rep in found if rep.name == chosen)
 
@@ -193,27 +206,27 @@
         )
 
 
-class _Line:
+class _CapacityQueue:
     """Requests that wait for room at a service, in order of urgency and target."""
 
-    __slots__ = ("_clock", "_numbers", "_waiting")
+    __slots__ = ("_clock", "_sequence", "_waiting")
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._waiting: list[tuple[tuple[int, float], int, asyncio.Future[bool]]] = []
 
-    def ahead(self, place: tuple[int, float]) -> int:
+    def count_before(self, priority: tuple[int, float]) -> int:
         """Return how many wait that go before a request."""
-        return sum(other <= place and not fut.done() for other, _, fut in self._waiting)
+        return sum(other <= priority and not fut.done() for other, _, fut in self._waiting)
 
-    async def wait(self, place: tuple[int, float], pause_s: float, latest_at: float) -> bool:
+    async def wait(self, priority: tuple[int, float], pause_s: float, latest_at: float) -> bool:
         """Wait for one's turn; tell whether it came in time."""
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[bool] = loop.create_future()
-        heapq.heappush(self._waiting, (place, next(self._numbers), fut))
+        heapq.heappush(self._waiting, (priority, next(self._sequence), fut))
         # Somebody's turn comes after each pause, whether or not a request of this instance ends.
-        loop.call_later(pause_s, self.let_go)
+        loop.call_later(pause_s, self.release_first)
         try:
             async with asyncio.timeout_at(latest_at):
                 return await fut
@@ -223,7 +236,7 @@
             self._waiting = [entry for entry in self._waiting if entry[2] is not fut]
             heapq.heapify(self._waiting)
 
-    def let_go(self) -> None:
+    def release_first(self) -> None:
         """Let the first of those that wait try."""
         while self._waiting:
             _, _, fut = heapq.heappop(self._waiting)
--- a/packages/gateway/src/gradelug_gateway/resting.py
+++ b/packages/gateway/src/gradelug_gateway/resting.py
@@ -7,7 +7,7 @@
 from .job import Job
 
 
-def check_rest(fleet: Fleet, job: Job) -> None:
+def check_backoff(fleet: Fleet, job: Job) -> None:
     """Raise `Refused` if all replicas that may run a request rest.
 
     Parameters
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -11,8 +11,8 @@
 import logbook
 from gradelug_http import ClientGone, Incoming
 
-from .admitting import ELSEWHERE_S, Admitter
-from .answering import RETRY_AFTER_S, Answerer
+from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, Admitter
+from .answering import DEFAULT_RETRY_AFTER_S, Answerer
 from .authentication import renew
 from .budgets import RetryBudgets
 from .directory import Directory, Wish
@@ -21,11 +21,11 @@
 from .job import Job, Outcome
 from .metrics import Meters
 from .model import AdapterKey, Copy, CopyKind, Repeat, Replica, Request, Service
-from .patience import Patience
+from .patience import WaitPolicy
 from .plain import PlainPlacer
 from .ports import BadRequest, Dialect
 from .quotas import Applicant, Quotas
-from .resting import check_rest
+from .resting import check_backoff
 from .routing import RouteTable, choose_service
 from .runs import LastingRuns
 from .sending import Sender
@@ -34,16 +34,16 @@
 from .wishes import begun_wish
 
 log = logbook.Logger("serving")
-NOT_READY_S = 0.03
+ABSENT_RETRY_DELAY_S = 0.03
 """Pause before a request is sent again to a replica whose weights are about to be ready."""
-FIRST_CONFIG_S = 2.0
+FIRST_CONFIG_WAIT_S = 2.0
 """How long a request waits for the first configuration after a start, while the store answers.
 1,700 routes and 145 replicas are reckoned at 1.2 MB, 0.9 s of a link of 10 Mbit/s; instances that
 start at once share the store's link as well."""
 POLL_S = 0.05
-NEVER_S = 60.0
+OVERSIZED_RETRY_AFTER_S = 60.0
 """A request that no engine can run had better not come back before the engines are others."""
-COPY_REST_S = 0.5
+MAX_BACKOFF_WAIT_S = 0.5
 """Longest rest of its engine that a run waits for, in seconds; callers wait 2 s for an event."""
 MAX_SENDS = 6
 """Bound on sendings of one request, whatever their outcomes."""
@@ -82,7 +82,7 @@
 
     __slots__ = (
         "_admitter",
-        "_answer",
+        "_answerer",
         "_budgets",
         "_clock",
         "_dialect",
@@ -91,10 +91,10 @@
         "_fleet",
         "_lasting",
         "_meters",
-        "_patience",
-        "_plain",
+        "_wait_policy",
+        "_plain_placer",
         "_quotas",
-        "_refuses_from",
+        "_refuses_after_at",
         "_rng",
         "_sender",
         "_table",
@@ -116,7 +116,7 @@
         admitter: Admitter,
         quotas: Quotas,
         expects_config: t.Callable[[], bool] = lambda: False,
-        shares_health: bool = True,
+        uses_shared_health: bool = True,
         lasting: LastingRuns | None = None,
         tally: ShareTally | None = None,
     ) -> None:
@@ -133,21 +133,21 @@
         self._admitter = admitter
         self._quotas = quotas
         self._expects_config = expects_config
-        self._plain = PlainPlacer(fleet, clock, rng, meters, shares_health)
-        self._answer = Answerer(dialect, sender, admitter, meters, clock)
+        self._plain_placer = PlainPlacer(fleet, clock, rng, meters, uses_shared_health)
+        self._answerer = Answerer(dialect, sender, admitter, meters, clock)
         self._table = RouteTable(())
         self._table_version = -1
-        self._refuses_from = math.inf
+        self._refuses_after_at = math.inf
         self._values = RequestValues()
-        self._patience = Patience(fleet, self._values, clock)
+        self._wait_policy = WaitPolicy(fleet, self._values, clock)
 
     def forget_gone(self) -> None:
         """Drop what is known of replicas that are gone."""
-        self._plain.forget_gone()
+        self._plain_placer.forget_gone()
 
     def refuse_from(self, at: float) -> None:
         """Refuse requests that arrive from a moment on: the process is about to end."""
-        self._refuses_from = at
+        self._refuses_after_at = at
 
     async def serve(self, inc: Incoming) -> None:
         """Answer a request."""
@@ -155,7 +155,7 @@
             req = self._dialect.read_request(inc)
         except BadRequest as exc:
             log.info("rejected", why=str(exc))
-            self._answer.answer_self(inc, "", 400, None)
+            self._answerer.answer_without_body(inc, "", 400, None)
             return
         if self._fleet.state.snapshot is None:
             await self._await_config(req)
@@ -170,18 +170,18 @@
                     await self._run(job)
                 finally:
                     self._sender.release_weights(job)
-                    self._free_copies(job)
+                    self._release_kv_copy(job)
         except TimeoutError:
-            self._answer.expire(job)
+            self._answerer.expire(job)
         except Refused as exc:
-            self._answer.refuse(job, exc)
+            self._answerer.refuse(job, exc)
         except Failed as exc:
-            self._answer.fail(job, exc)
+            self._answerer.fail(job, exc)
         except Limited as exc:
-            self._answer.limit(job, exc)
+            self._answerer.limit(job, exc)
         except Unauthenticated as exc:
             job.give_back()
-            self._answer.deny(job.inc, job.req, job.route, str(exc))
+            self._answerer.deny(job.inc, job.req, job.route, str(exc))
         except (asyncio.CancelledError, ClientGone):
             job.give_back()
             self._meters.outcome(job.route.name, "left")
@@ -190,14 +190,14 @@
         else:
             self._meters.latency(job.route.streaming, self._clock() - started)
 
-    def _free_copies(self, job: Job) -> None:
+    def _release_kv_copy(self, job: Job) -> None:
         """Free the memory that a request leaves behind."""
         if self._lasting is not None and job.copy is not None and job.copy is not job.used:
             self._lasting.weights.give_up(job.copy)
 
     async def _await_config(self, req: Request) -> None:
         """Wait for a first configuration that is on its way."""
-        until = self._clock() + min(FIRST_CONFIG_S, req.wait_s / 2)
+        until = self._clock() + min(FIRST_CONFIG_WAIT_S, req.wait_s / 2)
         while self._fleet.state.snapshot is None and self._expects_config():
             if self._clock() >= until:
                 return
@@ -205,13 +205,13 @@
 
     def _admit(self, inc: Incoming, req: Request) -> Job | None:
         snapshot = self._fleet.state.snapshot
-        if self._clock() >= self._refuses_from:
+        if self._clock() >= self._refuses_after_at:
             log.info("refused", id=req.id, why="this instance is about to end")
-            self._answer.answer_self(inc, req.id, 503, ELSEWHERE_S)
+            self._answerer.answer_without_body(inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S)
             return None
         if snapshot is None:
             log.info("refused", id=req.id, why="no configuration is known yet")
-            self._answer.answer_self(inc, req.id, 503, RETRY_AFTER_S)
+            self._answerer.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
             return None
         if snapshot.version != self._table_version:
             self._table = RouteTable(snapshot.routes)
@@ -219,17 +219,17 @@
         route = self._table.find(req.host, req.path)
         if route is None:
             log.info("no route", id=req.id, host=req.host, path=req.path, config=snapshot.version)
-            self._answer.answer_self(inc, req.id, 404, None)
+            self._answerer.answer_without_body(inc, req.id, 404, None)
             return None
         try:
             admission = self._admitter.admit(req, route, snapshot)
         except Unauthenticated as exc:
-            self._answer.deny(inc, req, route, str(exc))
+            self._answerer.deny(inc, req, route, str(exc))
             return None
         except Refused as exc:
             log.info("refused", id=req.id, why=str(exc), config=snapshot.version)
             self._meters.outcome(route.name, "refused")
-            self._answer.answer_self(inc, req.id, 503, exc.retry_after_s)
+            self._answerer.answer_without_body(inc, req.id, 503, exc.retry_after_s)
             return None
         name = choose_service(route, self._rng)
         service = snapshot.services.get(name) or Service(name, 1)
@@ -264,27 +264,29 @@
     async def _run(self, job: Job) -> None:
         while True:
             self._sender.check(job)
-            began = self._clock()
-            replica = await self._place_again(job)
-            job.placed_s += self._clock() - began
-            self._check_key(job)
+            started_at = self._clock()
+            replica = await self._place_with_fallback(job)
+            job.placed_s += self._clock() - started_at
+            self._revalidate_key(job)
             outcome = Outcome.UNKNOWN
             self._tally.begin(job)
             try:
-                outcome = await self._sender.send(job, replica, self._patience.demand(job, replica))
+                outcome = await self._sender.send(
+                    job, replica, self._wait_policy.demand(job, replica)
+                )
             finally:
                 # Who found no room leaves none behind: all that wait would be sent at once.
                 if outcome not in (Outcome.FULL, Outcome.LIMITED):
-                    self._plain.note_end(job.service.name)
+                    self._plain_placer.note_finished(job.service.name)
                 self._tally.end(job, outcome)
             if outcome is Outcome.DONE:
                 return
             if outcome is Outcome.LIMITED:
-                self._consider_limited(job, replica)
+                self._handle_limited(job, replica)
             else:
-                await self._consider_again(job, replica, outcome)
+                await self._prepare_retry(job, replica, outcome)
 
-    def _check_key(self, job: Job) -> None:
+    def _revalidate_key(self, job: Job) -> None:
         """See to it that a key is still good after a change of the configuration."""
         snapshot = self._fleet.state.snapshot
         if job.principal is None or snapshot is None or snapshot.version == job.config:
@@ -301,26 +303,26 @@
 
     async def _place(self, job: Job) -> Replica:
         key = job.req.key
-        job.chosen_here = False
+        job.is_chosen_locally = False
         if job.copy is not None and key is not None:
-            return await self._place_copy(job, job.copy, key)
-        check_rest(self._fleet, job)
+            return await self._place_at_kv_copy(job, job.copy, key)
+        check_backoff(self._fleet, job)
         if job.service.engine is not None and key is not None:
             return await self._place_weights(job, key)
-        job.chosen_here = True
-        return await self._plain.place(job)
+        job.is_chosen_locally = True
+        return await self._plain_placer.place(job)
 
     async def _place_weights(self, job: Job, key: AdapterKey) -> Replica:
         if not self._fleet.fits(job.service.name, job.work):
-            raise Refused("its prompt is larger than an engine's memory", NEVER_S)
+            raise Refused("its prompt is larger than an engine's memory", OVERSIZED_RETRY_AFTER_S)
         known = None
         if not job.absent:
             holders = self._fleet.holders(job.service.name, key)
             known = self._fleet.choose(
                 holders, job.excluded, job.candidates(), job.work, job.may_repeat()
             )
-            if known is not None and not self._had_better_ask(job, known):
-                job.chosen_here = True
+            if known is not None and not self._should_ask_planner(job, known):
+                job.is_chosen_locally = True
                 return known
         excluded = {*job.excluded, *self._fleet.resting(job.service.name, key)}
         return await self._ask_planner(job, key, excluded, job.candidates(), known)
@@ -337,7 +339,7 @@
         replica = await self._directory.place(
             job.service.name,
             key,
-            wish=self._wish(job),
+            wish=self._build_wish(job),
             excluded=excluded,
             only=only,
             absent=job.absent,
@@ -346,7 +348,7 @@
         job.absent = ""
         return replica
 
-    async def _place_again(self, job: Job) -> Replica:
+    async def _place_with_fallback(self, job: Job) -> Replica:
         """Return where a request is sent next: where its memory is, as long as it has any."""
         while True:
             try:
@@ -355,15 +357,15 @@
                 if job.copy is None:
                     raise
                 log.info("run cannot go on", id=job.req.id, why=str(exc))
-                self._drop_copy(job, job.copy)
+                self._drop_kv_copy(job, job.copy)
                 if job.copy is None and not job.may_repeat():
                     raise
 
-    async def _place_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
+    async def _place_at_kv_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
         """Return the engine that keeps the memory of a run, with the weights on it."""
         holder = copy.holder
         rest_s = self._fleet.rests.left_s(holder)
-        if rest_s > COPY_REST_S:
+        if rest_s > MAX_BACKOFF_WAIT_S:
             raise Refused("the engine that keeps its memory rests", rest_s)
         if rest_s:
             await asyncio.sleep(rest_s)
@@ -374,32 +376,38 @@
         if holds and job.absent != holder.name:
             return holder
         if weights is None or not weights.can_load(copy, key):
-            raise Refused("other weights would be loaded than those of its memory", RETRY_AFTER_S)
+            raise Refused(
+                "other weights would be loaded than those of its memory", DEFAULT_RETRY_AFTER_S
+            )
         replica = await self._ask_planner(job, key, (), (holder.name,))
         job.copy = replace(copy, was_loaded=True)
         return replica
 
-    def _had_better_ask(self, job: Job, replica: Replica) -> bool:
+    def _should_ask_planner(self, job: Job, replica: Replica) -> bool:
         """Tell whether the planner may know of a better replica than the one that is known here."""
-        if job.asked or job.inc.started or not self._directory.is_followed(job.service.name):
+        if (
+            job.was_planner_asked
+            or job.inc.started
+            or not self._directory.is_followed(job.service.name)
+        ):
             return False
-        job.asked = True
+        job.was_planner_asked = True
         if self._directory.asks_first(job.service.name) or self._fleet.is_ejected(replica.name):
             return True
         if self._fleet.limits.rate(replica.name) is not None:
             return True
         return self._fleet.is_late(replica, job.work, job.req.arrived_at + job.route.target_s)
 
-    def _wish(self, job: Job) -> Wish:
+    def _build_wish(self, job: Job) -> Wish:
         route, req = job.route, job.req
         if job.inc.started:
             return begun_wish(job, self._clock(), self._tally.party(job))
         return Wish(
             rank=job.rank,
             value=self._values.value(route, job.rank, req),
-            returning=self._patience.is_returning(job),
+            returning=self._wait_policy.is_returning(job),
             target_at=req.arrived_at + route.target_s,
-            until=self._patience.until(job),
+            until=self._wait_policy.placement_deadline(job),
             work=job.work,
             party=self._tally.party(job),
             request=req.id,
@@ -407,18 +415,20 @@
 
     # Replicas that take only so many requests a second, or rest.
 
-    def _consider_limited(self, job: Job, replica: Replica) -> None:
+    def _handle_limited(self, job: Job, replica: Replica) -> None:
         """Let a request for which a replica has no room go elsewhere, or end it."""
         job.excluded.add(replica.name)
         job.sends += 1
         if job.copy is not None:
-            self._drop_copy(job, job.copy)
+            self._drop_kv_copy(job, job.copy)
             if job.copy is None and not job.may_repeat():
                 raise Failed("where its memory is, no more requests are taken")
             return
-        has_other = job.room_elsewhere or self._patience.has_open(job, replica)
-        if job.sends >= MAX_SENDS or not has_other:
-            raise Refused("its replicas take no more requests now", job.room_s)
+        has_alternative = job.has_capacity_elsewhere or self._wait_policy.has_unlimited_alternative(
+            job, replica
+        )
+        if job.sends >= MAX_SENDS or not has_alternative:
+            raise Refused("its replicas take no more requests now", job.capacity_retry_s)
 
     # Sending again.
 
@@ -433,28 +443,30 @@
         while not self._budgets.try_retry(service, unrun):
             if self._clock() + self._budgets.next_s(service) >= until:
                 # Whoever comes back is a new request, and needs no repetition.
-                raise Refused("the budget of repeated sendings is spent", RETRY_AFTER_S)
+                raise Refused("the budget of repeated sendings is spent", DEFAULT_RETRY_AFTER_S)
             await asyncio.sleep(POLL_S)
 
     def _may_wait(self, job: Job, replica: Replica) -> bool:
         """Tell whether a request for which there was no room may be sent to a replica again."""
-        if not self._plain.is_on or job.service.engine is not None:
+        if not self._plain_placer.is_queueing_enabled or job.service.engine is not None:
             return False
         if self._fleet.rests.left_s(replica):
             return False
-        return not self._plain.has_other(job) and self._budgets.has_retry(job.service.name)
+        return not self._plain_placer.has_alternative(job) and self._budgets.has_retry(
+            job.service.name
+        )
 
-    def _goes_on(self, job: Job, outcome: Outcome) -> bool:
+    def _try_continue_run(self, job: Job, outcome: Outcome) -> bool:
         """Tell whether the run of a request goes on from its memory, if it is kept somewhere."""
         if self._lasting is None or not self._lasting.is_lasting(job) or outcome is Outcome.RAN:
             return False
-        is_tried = job.copy is not None and job.copy is job.used
-        if is_tried and job.copy is not None and outcome is Outcome.UNKNOWN:
+        was_used_last = job.copy is not None and job.copy is job.used
+        if was_used_last and job.copy is not None and outcome is Outcome.UNKNOWN:
             # It serves once.
             job.copy = None
-        elif is_tried and job.copy is not None and not self._can_load(job, outcome):
-            self._drop_copy(job, job.copy)
-        if job.copy is None and (outcome is Outcome.UNKNOWN or is_tried):
+        elif was_used_last and job.copy is not None and not self._can_load_weights(job, outcome):
+            self._drop_kv_copy(job, job.copy)
+        if job.copy is None and (outcome is Outcome.UNKNOWN or was_used_last):
             job.copy, job.backup = job.backup, None
         if job.copy is None or job.sends >= MAX_SENDS:
             return False
@@ -474,13 +486,13 @@
         )
         return True
 
-    def _can_load(self, job: Job, outcome: Outcome) -> bool:
+    def _can_load_weights(self, job: Job, outcome: Outcome) -> bool:
         """Tell whether a load at the engine that keeps a run's memory lets it go on there."""
         if outcome is not Outcome.ABSENT or job.copy is None or self._lasting is None:
             return False
         return self._lasting.weights.can_load(job.copy, job.req.key)
 
-    def _drop_copy(self, job: Job, copy: Copy) -> None:
+    def _drop_kv_copy(self, job: Job, copy: Copy) -> None:
         """Go on from the next memory of a run, if there is any: from this one it cannot."""
         if copy.elsewhere is not None:
             job.copy = replace(
@@ -496,7 +508,7 @@
             self._lasting.weights.give_up(copy)
         job.copy, job.backup = job.backup, None
 
-    async def _consider_again(self, job: Job, replica: Replica, outcome: Outcome) -> None:
+    async def _prepare_retry(self, job: Job, replica: Replica, outcome: Outcome) -> None:
         if outcome is Outcome.NOT_SENT:
             job.excluded.add(replica.name)
             job.sends += 1
@@ -504,34 +516,34 @@
             # The repetition that was taken for it was not made.
             job.is_paid = True
         elif outcome is Outcome.ABSENT:
-            await asyncio.sleep(NOT_READY_S)
+            await asyncio.sleep(ABSENT_RETRY_DELAY_S)
         else:
             job.excluded.add(replica.name)
         if outcome is Outcome.FULL:
-            self._plain.note_full(replica)
+            self._plain_placer.note_full(replica)
             if job.copy is None:
-                check_rest(self._fleet, job)
-        if self._goes_on(job, outcome):
+                check_backoff(self._fleet, job)
+        if self._try_continue_run(job, outcome):
             return
         if job.used is not None and outcome is not Outcome.RAN:
             # What its memory was to go on from has run, and nothing has been heard of its end.
             outcome = Outcome.UNKNOWN
-        maybe_ran = outcome in (Outcome.UNKNOWN, Outcome.RAN)
+        may_have_run = outcome in (Outcome.UNKNOWN, Outcome.RAN)
         if outcome is Outcome.UNKNOWN:
             job.events.restart()
-        if maybe_ran and not job.may_repeat():
+        if may_have_run and not job.may_repeat():
             raise Failed(f"it may have run: {outcome.value}")
         if outcome is Outcome.RAN and job.route.repeat is not Repeat.FREELY:
             raise Failed("the replica failed it")
         if job.sends >= MAX_SENDS:
-            raise Refused("sent too often", RETRY_AFTER_S)
+            raise Refused("sent too often", DEFAULT_RETRY_AFTER_S)
         if outcome is Outcome.FULL and self._may_wait(job, replica):
-            await self._plain.wait(job, replica)
+            await self._plain_placer.wait(job, replica)
             job.excluded.discard(replica.name)
         candidates = job.candidates()
-        if candidates is not None and not maybe_ran and job.excluded >= job.tried:
-            raise Refused("no further replica may be tried", RETRY_AFTER_S)
-        if candidates is not None and maybe_ran:
+        if candidates is not None and not may_have_run and job.excluded >= job.tried:
+            raise Refused("no further replica may be tried", DEFAULT_RETRY_AFTER_S)
+        if candidates is not None and may_have_run:
             if job.route.repeat is not Repeat.RESUME:
                 raise Failed("no further replica may be tried")
             job.excluded.clear()
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/waiting.py
@@ -17,25 +17,25 @@
 
 log = logbook.Logger("waiting")
 
-FUTURE_S = 2.0
+DEMAND_HORIZON_S = 2.0
 """Requests of the coming seconds that loaded weights will serve count like those that wait."""
-FIRST_EVENT_S = 0.2
+LOAD_TO_FIRST_EVENT_S = 0.2
 """From loaded weights to the first event."""
-LATE_GAIN = 0.4
+LATE_GAIN_FACTOR = 0.4
 """An answer that is late anyway is worth about a third, whenever it comes."""
-RETURNING_GAIN = 1.5
+RETURNING_GAIN_FACTOR = 1.5
 """A caller that was refused once is not to be refused again."""
-CAUTION = 2.0
+WAIT_ESTIMATE_FACTOR = 2.0
 """Those who come later and are more urgent go first: waits last so many times as long."""
-COME_BACK_PART = 0.33
+MAX_RETRY_AFTER_FRACTION = 0.33
 """Callers come back after at most a third of their time."""
-COME_BACK_S = 0.3
-LEAST_LOADS_PER_S = 0.5
-THROUGHPUT_S = 1.0
+MIN_RETRY_AFTER_S = 0.3
+MIN_LOADS_PER_S = 0.5
+THROUGHPUT_DECAY_S = 1.0
 """Span over which the rate of loads is taken."""
-LEAST_SPAN_S = 0.1
-TOO_LATE = "the weights would come too late"
-TELL_S = 1.0
+MIN_BUSY_SPAN_S = 0.1
+TOO_LATE_REASON = "the weights would come too late"
+LOG_INTERVAL_S = 1.0
 """What refusals are decided by is logged this often at most."""
 
 
@@ -91,11 +91,13 @@
         self,
         ready_s: float,
         now: float,
-        why: str = TOO_LATE,
+        why: str = TOO_LATE_REASON,
         standing: pb.Standing | None = None,
     ) -> None:
         """Tell when to come back, the weights or room being there in `ready_s` seconds."""
-        retry_s = max(COME_BACK_S, min(ready_s, COME_BACK_PART * (self.until - now)))
+        retry_s = max(
+            MIN_RETRY_AFTER_S, min(ready_s, MAX_RETRY_AFTER_FRACTION * (self.until - now))
+        )
         self.follower.answer(
             pb.Answer(
                 ticket=self.ask.ticket,
@@ -122,8 +124,8 @@
     def __init__(self, now: float, rate: float) -> None:
         self._at = now
         self._waiting = False
-        self._begun = rate * THROUGHPUT_S
-        self._busy_s = THROUGHPUT_S
+        self._begun = rate * THROUGHPUT_DECAY_S
+        self._busy_s = THROUGHPUT_DECAY_S
 
     def note_load(self) -> None:
         """Count a load that begins."""
@@ -133,7 +135,7 @@
         """Note whether requests wait for loads that cannot begin yet."""
         passed_s = now - self._at
         self._at = now
-        kept = math.exp(-passed_s / THROUGHPUT_S)
+        kept = math.exp(-passed_s / THROUGHPUT_DECAY_S)
         if self._waiting:
             self._begun *= kept
             self._busy_s = self._busy_s * kept + passed_s
@@ -141,7 +143,7 @@
 
     def rate(self) -> float:
         """Return the loads a second to reckon with."""
-        return max(LEAST_LOADS_PER_S, self._begun / max(self._busy_s, LEAST_SPAN_S))
+        return max(MIN_LOADS_PER_S, self._begun / max(self._busy_s, MIN_BUSY_SPAN_S))
 
 
 class WaitingLine:
@@ -157,12 +159,12 @@
         Loads a second to reckon with as long as nothing was seen.
     """
 
-    __slots__ = ("_popularity", "_told_at", "throughput", "waiters")
+    __slots__ = ("_popularity", "_logged_at", "throughput", "waiters")
 
     def __init__(self, popularity: Popularity, now: float, rate: float) -> None:
         self._popularity = popularity
         self.throughput = Throughput(now, rate)
-        self._told_at = -math.inf
+        self._logged_at = -math.inf
         self.waiters: list[Waiter] = []
 
     def cancel(self, follower: Follower, tickets: t.Collection[int]) -> None:
@@ -195,7 +197,7 @@
             wanted.setdefault(waiter.key, waiter)
             urgency[waiter.key] += _gain(waiter, now, load_s)
         for key in wanted:
-            urgency[key] += FUTURE_S * self._popularity.rate(key.text, now)
+            urgency[key] += DEMAND_HORIZON_S * self._popularity.rate(key.text, now)
         return sorted(wanted.values(), key=lambda waiter: -urgency[waiter.key])
 
     def refuse_hopeless(self, queued: t.Iterable[AdapterKey], now: float, load_s: float) -> None:
@@ -211,19 +213,22 @@
             Expected time of a load, in seconds.
         """
         rate = self.throughput.rate()
-        ready = {key: now + CAUTION * (at + 1) / rate + load_s for at, key in enumerate(queued)}
+        ready = {
+            key: now + WAIT_ESTIMATE_FACTOR * (at + 1) / rate + load_s
+            for at, key in enumerate(queued)
+        }
         kept, refused = [], 0
         for waiter in self.waiters:
             ready_at = ready.get(waiter.key)
-            served = ready_at is None or ready_at + FIRST_EVENT_S < waiter.until
+            served = ready_at is None or ready_at + LOAD_TO_FIRST_EVENT_S < waiter.until
             if ready_at is None or served or waiter.ask.begun or waiter.is_held:
                 kept.append(waiter)
             else:
                 waiter.refuse(ready_at - now, now)
                 refused += 1
         self.waiters = kept
-        if refused and now - self._told_at >= TELL_S:
-            self._told_at = now
+        if refused and now - self._logged_at >= LOG_INTERVAL_S:
+            self._logged_at = now
             log.info(
                 "refusing",
                 refused=refused,
@@ -236,6 +241,6 @@
 
 def _gain(waiter: Waiter, now: float, load_s: float) -> float:
     """Return what is gained by loading what a request waits for now and not later."""
-    gain = waiter.ask.value * (RETURNING_GAIN if waiter.ask.returning else 1.0)
-    in_time = now + load_s + FIRST_EVENT_S < waiter.target_at
-    return gain if in_time else gain * LATE_GAIN
+    gain = waiter.ask.value * (RETURNING_GAIN_FACTOR if waiter.ask.returning else 1.0)
+    in_time = now + load_s + LOAD_TO_FIRST_EVENT_S < waiter.target_at
+    return gain if in_time else gain * LATE_GAIN_FACTOR
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -2,9 +2,9 @@
 
 import pytest
 from gradelug_gateway.budgets import (
+    COUNT_SETTLE_S,
+    FOLLOW_TIMEOUT_S,
     GATEWAYS_GUESS,
-    MISSED_S,
-    SETTLED_S,
     GatewayCount,
     RetryBudgets,
 )
@@ -54,7 +54,7 @@
         count = GatewayCount(WINDOW_S)
         told = {0.0: 1, 0.5: 40, 1.0: 85, 2.9: 85}
         assert [count.note(told[at], at) for at in told] == [GATEWAYS_GUESS] * 4
-        assert count.note(85, SETTLED_S + 0.1) == 85
+        assert count.note(85, COUNT_SETTLE_S + 0.1) == 85
 
     def test_more_instances_count_at_once_and_fewer_after_a_window(self):
         count = GatewayCount(WINDOW_S)
@@ -63,7 +63,7 @@
         assert count.note(90, 5.0) == 90
         later = [count.note(40, 5.0 + step / 2) for step in range(1, 60)]
         held_s = later.count(90) / 2
-        assert held_s >= WINDOW_S + MISSED_S
+        assert held_s >= WINDOW_S + FOLLOW_TIMEOUT_S
         assert later[-1] == 40
 
     def test_who_follows_no_planner_takes_the_least_share(self):
@@ -71,9 +71,9 @@
         for step in range(10):
             count.note(9, step / 2)
         assert count.note(0, 5.0) == 9
-        assert count.note(0, 4.5 + MISSED_S + 0.1) == GATEWAYS_GUESS
+        assert count.note(0, 4.5 + FOLLOW_TIMEOUT_S + 0.1) == GATEWAYS_GUESS
         again = [count.note(9, 9.0 + step / 2) for step in range(8)]
-        assert again.count(GATEWAYS_GUESS) / 2 == SETTLED_S
+        assert again.count(GATEWAYS_GUESS) / 2 == COUNT_SETTLE_S
         assert again[-1] == 9
 
 
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -254,7 +254,7 @@
     def test_switched_off_it_is_refused_at_once(self):
         async def scenario():
             bench = Bench(
-                route(Repeat.NEVER, replicas=1), [[[FULL], [OK]], [[OK]]], shares_health=False
+                route(Repeat.NEVER, replicas=1), [[[FULL], [OK]], [[OK]]], uses_shared_health=False
             )
             client = bench.client()
             await asyncio.sleep(0.01)
@@ -264,7 +264,7 @@
 
     def test_switched_off_the_own_hall_gets_what_it_can_take(self):
         async def scenario():
-            bench = Bench(route(Repeat.NEVER), [[[OK]] * 9, [[OK]] * 9], shares_health=False)
+            bench = Bench(route(Repeat.NEVER), [[[OK]] * 9, [[OK]] * 9], uses_shared_health=False)
             for _ in range(8):
                 client = bench.client()
                 await asyncio.sleep(0.1)
@@ -331,7 +331,7 @@
             await asyncio.sleep(0.005)
             client.transport.abort()
             await asyncio.sleep(0.2)
-            assert not bench.serving._plain._lines["plain"]._waiting
+            assert not bench.serving._plain_placer._queues["plain"]._waiting
             assert bench.fleet.load("s0").starting == 0
 
         run(scenario)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -25,7 +25,7 @@
 )
 from gradelug_gateway.quotas import Quotas
 from gradelug_gateway.sending import Sender
-from gradelug_gateway.serving import FIRST_CONFIG_S, Serving
+from gradelug_gateway.serving import FIRST_CONFIG_WAIT_S, Serving
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_policy.quotas import LocalShares
@@ -119,7 +119,7 @@
 
 class Bench:
     def __init__(
-        self, the_route, scripts, holdings=(), engine=False, budget=10.0, shares_health=True
+        self, the_route, scripts, holdings=(), engine=False, budget=10.0, uses_shared_health=True
     ):
         clock = asyncio.get_running_loop().time
         self.clock = clock
@@ -154,7 +154,7 @@
             Admitter(self.freshness),
             Quotas(self._home, clock, random.Random(1), LocalShares()),
             lambda: self.expects_config,
-            shares_health,
+            uses_shared_health,
         )
         self.server = self.net.serve("10.0.0.9:80", self.serving.serve, ServerLimits, clock)
 
@@ -429,7 +429,7 @@
             bench.expects_config = True
             client = bench.client(8000)
             await asyncio.sleep(comes_in_s)
-            assert bool(client.received) is (comes_in_s > FIRST_CONFIG_S)
+            assert bool(client.received) is (comes_in_s > FIRST_CONFIG_WAIT_S)
             bench.state.snapshot = snapshot
             await asyncio.sleep(0.2)
             assert client.received.startswith(b"HTTP/1.1 " + expected)
