--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One sending of a request to a replica, and how far it got there."""
+"""The state of one attempt: a request that was sent to a replica over one connection."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 
 class Stage(Enum):
-    """How far a request got at a replica, as seen from here."""
+    """How far a response has progressed, as far as the gateway can observe it."""
 
     SENT = "sent"
-    """Nothing has come: it may wait there, or run."""
+    """No response yet: the request may be queued or running."""
     BEGUN = "begun"
-    """The head of its answer came, and no event yet."""
+    """The response head has arrived, but no event."""
     RUNNING = "running"
-    """Events of its stream came."""
+    """Events of the stream have arrived."""
 
 
 class Exchange:
-    """One sending of a request over one connection.
+    """One attempt of a request over one connection.
 
     Parameters
     ----------
     job : Job
         The request.
     replica : Replica
-        Where it is sent.
+        The replica to which it is sent.
     conn : Connection
-        Carries it.
+        The connection over which it is sent.
     work : Work
-        What it asks of the replica.
-    busy : Busyness
-        What the replica did when the request was sent.
+        Prompt size, urgency and memory that it takes at the replica.
+    busyness : Busyness
+        Load of the replica when the request was sent.
     sent_at : float
-        When that was, by the runtime's clock.
+        When the request was sent, by the event loop's clock.
     expected_s : float
-        Time to the first event that was expected then, in seconds.
+        Time to the first event as estimated at sending, in seconds.
     """
 
     __slots__ = (
@@ -82,33 +82,33 @@
         self.conn = conn
         self.is_running = False
         self.run: Run | None = None
-        """Its run, where runs can go on."""
+        """The run of this attempt; None if the request's runs cannot be continued."""
         self.is_released = False
         self.status = 0
-        """Of the answer; 0 until there is one."""
+        """HTTP status of the response; 0 until its head arrives."""
         self.event_at = sent_at
-        """When its newest event came."""
+        """When the most recent event arrived; the time of sending until there is one."""
         self.first_at = sent_at
         self.pauses = 0
-        """Pauses between events that were longer than the route's bound."""
+        """Number of pauses between events that exceeded the route's limit."""
         self.longest_s = 0.0
 
     @property
     def stage(self) -> Stage:
-        """How far the request got."""
+        """Stage that the response has reached."""
         if self.is_running:
             return Stage.RUNNING
         return Stage.BEGUN if self.status else Stage.SENT
 
     @property
     def failure_weight(self) -> float:
-        """How much it would say against the request that its replica ended now."""
+        """Evidence that the request is the cause if its replica ends now."""
         if self.is_running:
             return RUNNING
-        # A stream's head is sent as it begins; of other answers nothing comes before they are made.
+        # A stream's head is sent when it starts; other responses arrive only once complete.
         return WAITING if self.job.route.streaming and not self.status else BEGUN
 
     def release(self, pool: HttpPool, head: ResponseHead) -> None:
-        """Give the connection back after a whole answer."""
+        """Return the connection to the pool after a complete response."""
         pool.release(self.conn, head)
         self.is_released = True
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -1,4 +1,4 @@
-"""A request on its way through the daemon."""
+"""The state of a request while the gateway serves it, across all of its attempts."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 from .streams import EventAssembler
 
 DEADLINE_MARGIN_S = 0.012
-"""The final answer leaves this long before the caller stops waiting."""
+"""The final answer is sent this long before the caller's deadline."""
 
 
 class Outcome(Enum):
-    """How one sending ended."""
+    """The result of one attempt at a replica."""
 
     DONE = "done"
     NOT_SENT = "not sent"
     NOT_RUN = "not run"
     FULL = "full"
-    """Not run for want of room."""
+    """Not run: the replica had no capacity."""
     ABSENT = "absent"
     LIMITED = "limited"
-    """Not sent: its replica takes no more requests a second, or rests."""
+    """Not sent: the replica is at its rate limit or in backoff."""
     STALE = "stale"
-    """Not sent: its memory is of other weights than its replica's."""
+    """Not sent: the saved KV cache belongs to other weights than the replica has loaded."""
     RAN = "ran"
     UNKNOWN = "unknown"
 
 
 @dataclass(slots=True, frozen=True)
 class Admission:
-    """Under which configuration and for whom a request was let in.
+    """The configuration and the principal under which a request was admitted.
 
     Parameters
     ----------
     config : int
         Version of the configuration.
     principal : Principal or None
-        Who sent it, if a key told.
+        The authenticated sender; None if the request has no known key.
     shows_credentials : bool
-        Whether replicas are shown what the caller sent to prove itself.
+        Whether the caller's credentials are forwarded to replicas.
     """
 
     config: int = 0
@@ -56,18 +56,34 @@
 
     @property
     def owner(self) -> str:
-        """The organisation whose request it is, empty if nobody's."""
+        """Name of the organisation that owns the request, empty if there is none."""
         return self.principal.organisation.name if self.principal is not None else ""
 
     def rank(self, route: Route) -> int:
-        """Return the urgency of a request on a route; its organisation's goes first."""
+        """Return a request's urgency: its organisation's rank if set, otherwise the route's."""
         if self.principal is None or self.principal.organisation.rank is None:
             return route.rank
         return self.principal.organisation.rank
 
 
 class Job:
-    """A request on its way through the daemon."""
+    """The state of a request while the gateway serves it.
+
+    Parameters
+    ----------
+    inc : Incoming
+        The caller's HTTP request, over which the answer is sent.
+    req : Request
+        The request as the dialect parsed it.
+    route : Route
+        The route that matches it.
+    service : Service
+        The service chosen among the route's shares.
+    work : Work
+        Prompt size, urgency and memory that it takes at an engine.
+    admission : Admission
+        Under which configuration and principal it was admitted.
+    """
 
     __slots__ = (
         "absent",
@@ -117,68 +133,68 @@
         self.principal = admission.principal
         self.shows_credentials = admission.shows_credentials
         self.rank = admission.rank(route)
-        """Urgency, 0 first."""
+        """Urgency; 0 is the most urgent."""
         self.charge: Charge | None = None
-        """What it counts to its organisation's quota."""
+        """Tokens charged to its organisation's quota; None if nothing was charged."""
         self.req = req
         self.fingerprint = fingerprint(req, admission.owner)
-        """What it has in common with its caller's other attempts."""
+        """Digest that is the same for all retries of a request by its caller."""
         self.route = route
         self.service = service
         wait_s = min(req.wait_s - DEADLINE_MARGIN_S, route.timeout_s)
         self.deadline_at = req.arrived_at + wait_s
         self.events = EventAssembler(req.last_event)
         self.tried: set[str] = set()
-        """Replicas to which it was sent."""
+        """Names of the replicas to which it was sent."""
         self.excluded: set[str] = set()
-        """Replicas that failed it."""
+        """Names of the replicas that failed or refused it."""
         self.absent = ""
-        """The replica that said it lacks the weights, until the planner was told."""
+        """Name of a replica that lacks the weights, until this is reported to the planner."""
         self.absences = 0
-        """How often a replica said so."""
+        """How often a replica reported that it lacks the weights."""
         self.was_planner_asked = False
-        """Whether the planner was to be asked for a better replica than those known here."""
+        """Whether the planner was already considered for a better replica than the local choice."""
         self.is_chosen_locally = False
-        """Whether this instance chose its replica by itself, and no planner."""
+        """Whether this instance chose the replica itself instead of the planner."""
         self.capacity_retry_s = 0.0
-        """When there is room for it at a replica that takes no more now, in seconds."""
+        """Time until the replica that last denied it has capacity, in seconds."""
         self.has_capacity_elsewhere = False
-        """Whether another replica had room then."""
+        """Whether another replica had capacity when it was denied."""
         self.sends = 0
         self.may_have_run = False
-        """Whether it may have run without an answer that reached us."""
+        """Whether a replica may have run it although no response arrived."""
         self.failure: tuple[ResponseHead, bytes] | None = None
-        """A replica's own failure, answered unless another sending does better."""
+        """A replica's error response, forwarded to the caller unless another attempt succeeds."""
         self.placed_s = 0.0
         self.work = work
-        """What it asks of an engine."""
+        """Prompt size, urgency and memory that it takes at an engine."""
         self.backup: Copy | None = None
-        """Where a copy of its run is kept as it grows."""
+        """The replicated KV cache of its run, updated while the run is in progress."""
         self.copy: Copy | None = None
-        """From what its run is to go on."""
+        """The saved KV cache from which its run is to continue."""
         self.weights_in_use_at = ""
-        """The engine whose weights stay in use for its memory between two sendings."""
+        """Name of the engine whose weights are reserved for its KV cache between two attempts."""
         self.is_paid = False
-        """Whether its next sending was taken from the budget already."""
+        """Whether the retry for its next attempt has already been taken from the budget."""
         self.used: Copy | None = None
-        """From what its last sending went on."""
+        """The saved KV cache from which its last attempt continued."""
         self.event_at = req.arrived_at
-        """When its last event came, by the runtime's clock."""
+        """When its last event arrived, by the event loop's clock."""
 
     @property
     def is_unrun(self) -> bool:
-        """Whether it has not run, nor can it any more unless it is sent."""
+        """Whether it has certainly not run and no attempt is in progress that may run it."""
         return not (self.may_have_run or self.failure is not None or self.inc.started)
 
     def give_back(self) -> None:
-        """Return what it was granted, if it has not run."""
+        """Refund its quota charge if it has not run."""
         if self.charge is not None and self.is_unrun:
             self.charge.give_back()
 
     def may_repeat(self) -> bool:
-        """Tell whether it may be sent again after it may have run."""
+        """Return whether the route allows a retry after the request may have run."""
         return self.route.repeat is not Repeat.NEVER
 
     def candidates(self) -> t.Container[str] | None:
-        """Return the replicas to which it may still go; None for any."""
+        """Return the names of the replicas to which it may still be sent; None for any."""
         return self.tried if len(self.tried) >= self.route.max_replicas else None
--- a/packages/gateway/src/gradelug_gateway/requests.py
+++ b/packages/gateway/src/gradelug_gateway/requests.py
@@ -1,4 +1,4 @@
-"""Requests, their sendings to replicas, and the memory of their runs."""
+"""Data classes of requests, their attempts at replicas, and the saved KV caches of their runs."""
 
 from __future__ import annotations
 
@@ -16,30 +16,35 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A caller's request, whatever interface it came by.
+    """A caller's request, independent of the protocol in which it arrived.
 
     Parameters
     ----------
     id : str
-        The caller's identifier of this attempt.
+        Request identifier chosen by the caller.
     host, path : str
-        What the route is chosen by.
-    headers : tuple
-        What is passed on, without headers that this system sets itself and without credentials.
-    credentials : tuple of bytes
-        What the caller proves itself with; never shown in logs.
+        Host and decoded path, by which the route is chosen.
+    method, target : bytes
+        HTTP method and raw request target, as forwarded to replicas.
+    headers : tuple of Header
+        Headers to forward, without those that the gateway sets and without credentials.
+    body : bytes
+        Request body.
+    arrived_at : float
+        Arrival time, by the event loop's clock.
     key : AdapterKey or None
-        Weights that it needs.
+        Model and adapter that the request needs; None if it needs no weights.
     wait_s : float
-        How long the caller waits, in seconds.
+        Time from arrival to the caller's deadline, in seconds.
     prompt_tokens, most_tokens : int
-        Size of the prompt and of the longest answer; 0 if not told.
+        Size of the prompt and maximum size of the answer, in tokens; 0 if unknown.
     parts : tuple of PromptPart
-        The prompt in order, as far as the caller tells; the last part is its own.
+        The prompt's parts in order, as declared by the caller; the last one is not shared with
+        other requests.
     last_event : int
-        Last event that the caller has of the stream; 0 for none.
-    arrived_at : float
-        By the runtime's clock.
+        Number of the last stream event that the caller has received; 0 for none.
+    credentials : tuple of bytes
+        The caller's keys; never logged.
     """
 
     id: str
@@ -61,29 +66,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """One sending of a request to a replica.
+    """One attempt of a request at a replica.
 
     Parameters
     ----------
     replica : Replica
-        To whom; another one that has its address must not run it.
+        The target; any other replica that has taken over its address must not run the request.
     left_s : float
         Time left for the request, in seconds.
     version : int
-        Version that the weights must have; 0 for any.
+        Required version of the weights; 0 for any.
     rank : int
-        Urgency, 0 first.
+        Urgency; 0 is the most urgent.
     after_event : int
-        The stream goes on after this event; 0 for its beginning.
+        Number of the event after which the stream resumes; 0 for its start.
     principal : Principal or None
-        Who sent the request, if a key told.
+        The authenticated sender; None if the request has no known key.
     shows_credentials : bool
-        Whether replicas are shown what the caller sent to prove itself: where there are no
-        organisations, it is theirs to judge.
+        Whether the caller's credentials are forwarded: without configured organisations, the
+        replicas check them.
     backup : str
-        ``IP:port`` of the replica that is to receive a copy of the run's memory; empty for none.
+        ``IP:port`` of the replica to which the run's KV cache is replicated; empty for none.
     copy : Copy or None
-        The run's memory from which it goes on.
+        The saved KV cache from which the run continues; None to run from the start.
     """
 
     replica: Replica
@@ -98,38 +103,38 @@
 
 
 class CopyKind(Enum):
-    """How the memory of a run came to be kept."""
+    """How the KV cache of a run was saved."""
 
     STOPPED = "stopped"
-    """Its engine stopped it and keeps its memory."""
+    """The engine stopped the run and retains its KV cache."""
     MOVED = "moved"
-    """Its engine stopped it; its memory was sent to another one."""
+    """The engine stopped the run and sent its KV cache to another engine."""
     BACKUP = "backup"
-    """Its memory was sent to another engine as it grew."""
+    """The KV cache was replicated to another engine during the run."""
 
 
 @dataclass(slots=True, frozen=True)
 class Copy:
-    """The memory of a run, from which the same request goes on; it serves once.
+    """The saved KV cache of a run, from which the same request can continue once.
 
     Parameters
     ----------
     kind : CopyKind
-        How it came to be.
+        How it was saved.
     source : str
         ``IP:port`` of the engine that ran it.
     ident : str
-        Under what it is kept: a handle, or the request's identifier.
+        Identifier under which the holder keeps it: a handle, or the request's identifier.
     holder : Replica
-        Where it is.
+        The replica that stores it.
     versions : WeightVersions
-        Of the weights that made it.
+        Versions of the weights that computed it.
     kept_at : float
-        A moment at which its holder had these weights, by the runtime's clock.
+        A time at which the holder had these weights loaded, by the event loop's clock.
     elsewhere : Replica or None
-        Another engine that has the same memory.
+        Another engine that stores the same KV cache; None if there is none.
     was_loaded : bool
-        Whether weights were loaded at its holder for it.
+        Whether weights were loaded at the holder in order to continue this run.
     """
 
     kind: CopyKind
@@ -143,18 +148,18 @@
 
 
 class Verdict(Enum):
-    """What the head of an answer says of a request."""
+    """What the status and headers of a response indicate about a request."""
 
     ANSWERED = "answered"
     FAILED = "failed"
-    """It ran and failed."""
+    """The request ran and failed."""
     FULL = "full"
-    """Not run: no room now."""
+    """Not run: the replica has no capacity."""
     ABSENT = "absent"
-    """Not run: the weights are not there, or not at that version."""
+    """Not run: the weights are not loaded, or not in the required version."""
     MISDIRECTED = "misdirected"
-    """Not run: another replica has the address."""
+    """Not run: another replica has taken over the address."""
     SPOILED = "spoiled"
-    """It may have run; what came is not the replica's answer."""
+    """The request may have run; the response was not produced by the replica."""
     REJECTED = "rejected"
-    """Not run: the request itself is wrong."""
+    """Not run: the request is invalid."""
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -1,4 +1,8 @@
-"""Sending a request to a replica once, and passing on what comes back."""
+"""A single attempt of a request at a replica: sending it and forwarding the response.
+
+`Serving` calls `Sender.send` for each attempt; the result is an `Outcome`, by which it decides
+whether to retry.
+"""
 
 from __future__ import annotations
 
@@ -37,67 +41,69 @@
 log = logbook.Logger("sending")
 T = t.TypeVar("T")
 CONNECT_TIMEOUT_S = 0.35
-"""Opening a connection takes a round trip of milliseconds; a lost packet is not waited for."""
+"""Opening takes a round trip of milliseconds; retransmissions of lost packets are not awaited."""
 MAX_RESPONSE_BYTES = 8_388_608
-"""Largest answer that is not streamed."""
+"""Maximum size of a response that is not streamed."""
 SILENCE_TIMEOUT_TARGETS = 1.5
-"""A repeatable request without an answer for this many of its target times is sent elsewhere."""
+"""Timeout of a repeatable request without a response, in multiples of its target time."""
 STREAM_SILENCE_TIMEOUT_S = 1.2
-"""A resumable stream without a first event, or without the next one, for this long goes on
-elsewhere; callers give up after 2 s or more."""
+"""Timeout of a resumable stream for its first or next event, after which it continues at another
+replica; callers time out after 2 s or more."""
 SILENCE_TIMEOUT_GAPS = 2.0
-"""A begun stream that cannot be repeated, whose engine keeps its memory, goes on from there after a
-silence of this many of the longest pauses that are in time."""
+"""Timeout of a started stream that is not repeatable but whose engine keeps its KV cache, in
+multiples of the longest pause between events that the route allows."""
 BUSY_STREAM_SILENCE_TIMEOUT_S = 2.4
-"""The same at a replica that answers others: there it waits its turn, and would elsewhere."""
+"""Timeout of a resumable stream at a replica that responds to other requests: the stream is queued
+there, and would be queued at another replica too."""
 MIN_CALLER_STALL_S = 1.0
-"""Replicas cut answers that sit unread for some seconds: after a caller has not read for so long a
-broken answer is no failure of its replica."""
+"""Replicas abort responses that stay unread for some seconds: once the caller has not read for this
+long, an aborted response does not count as a failure of the replica."""
 POLL_S = 0.1
-"""How often it is looked whether a request that nobody answers may be sent elsewhere."""
+"""Interval at which the retry budget is polled for a request whose replica is silent."""
 OVERDUE_TARGETS = 1.2
 OVERDUE_FACTOR = 3.0
-"""A request must have had its turn after so many targets, and so many times as long as the replica
-was expected to take when it was sent: what it has before it is known half a second late."""
+"""A request without a response is overdue after this many of its target times and this many times
+the duration expected at sending; queue lengths are known with a delay of half a second."""
 RECENT_ACTIVITY_S = 0.8
-"""A replica from which something came this lately answers others: a gap between events, and half a
-second until what another instance heard is told here where 170 instances follow a planner."""
+"""A replica counts as responsive if any data arrived within this time: it covers a gap between
+events, and the half second in which activity seen by other instances is propagated if 170 instances
+are connected to a planner."""
 
 
 class ReplicaSilent(ResponseBroken):
-    """Nothing comes from a replica for longer than it is waited for."""
+    """A replica sent no data within the silence timeout."""
 
 
 class Sender:
-    """Sends requests to replicas and passes their answers on.
+    """Sends requests to replicas and forwards their responses to the callers.
 
     Parameters
     ----------
     dialect : Dialect
-        How callers and replicas speak.
+        Reads and writes the HTTP headers of callers and replicas.
     fleet : Fleet
-        Replicas, and what runs there.
+        State, health and load of all replicas.
     directory : Directory
-        Is told which weights are in use.
+        Tracks which weights are in use.
     pool : HttpPool
         Connections to replicas.
     meters : Meters
-        Counts answers.
+        Request metrics.
     clock : callable
-        The runtime's clock.
+        Returns the event loop's time, in seconds.
     has_retry : callable
-        Tells whether a request to a service may be sent again now.
-    rested_s : float
-        Longest time, in seconds, that a connection may have been idle for a request that may
-        run once only.
+        Returns whether the retry budget of a service has a retry available.
+    max_idle_s : float
+        Maximum idle time, in seconds, of a pooled connection that carries a request which must
+        not run twice.
     lasting : LastingRuns or None
-        Lets runs go on after their connection is lost, if given.
+        Continues runs after their connection is lost; None disables that.
     guard : PoisonGuard or None
-        Tells which requests must not be sent.
+        Blocks requests that make replicas end; by default a guard without a shared record.
     ends : EndWatch or None
-        Finds out which replicas ended, if given.
+        Detects ended replicas; None disables that.
     note_leaving : callable
-        Called with each replica whose answer says that it leaves.
+        Called with each replica whose response announces that it is shutting down.
     """
 
     __slots__ = (
@@ -144,7 +150,7 @@
         self._max_idle_s = max_idle_s
 
     def check(self, job: Job) -> None:
-        """Raise `Refused` if a request must not be sent to any replica."""
+        """Raise `Refused` if the poison guard blocks a request."""
         self._guard.check(job.fingerprint)
 
     async def send(
@@ -153,28 +159,28 @@
         replica: Replica,
         demand: Demand = Demand(),  # noqa: B008
     ) -> Outcome:
-        """Send a request to a replica, pass its answer on, and tell how that ended.
+        """Send a request to a replica, forward its response, and return the outcome.
 
-        Whatever brings a request to a replica comes by here.
+        All requests to replicas, including retries and continued runs, are sent by this method.
 
         Parameters
         ----------
         job : Job
             The request.
         replica : Replica
-            Where it is to go.
+            The replica to which it is sent.
         demand : Demand
-            How much it needs room there, should the replica take only so many requests a second.
+            Urgency and longest wait for capacity, used if the replica has a rate limit.
 
         Raises
         ------
         Refused
-            If it must not be sent: it has ended replicas.
+            If the poison guard blocks it.
         """
         unavailable_outcome = self._unavailable_outcome(job, replica)
         if unavailable_outcome is not None:
             return unavailable_outcome
-        # The limit is one for all gateways, so each sending asks for room.
+        # All gateways share the replica's rate limit, so each attempt requests capacity.
         denial = await self._fleet.limits.admit(replica, demand)
         if denial is not None:
             job.capacity_retry_s, job.has_capacity_elsewhere = denial
@@ -207,7 +213,7 @@
             conn.close()
             return Outcome.STALE
         try:
-            # Checked right before sending, since another gateway may have blocked it meanwhile.
+            # Checked just before sending: another gateway may have blocked the request since.
             self.check(job)
         except Refused:
             conn.close()
@@ -266,12 +272,12 @@
             if not is_caller_stalled and (conn.is_silenced or health.heard_at < now):
                 self._pool.doubt(replica.address, now)
             if exchange.run is not None and self._lasting is not None:
-                # Before the connection is closed: most engines drop a request whose connection
-                # closes, and one that fell silent may still run it.
+                # Before the connection is closed: most engines cancel a request when its connection
+                # closes, and a silent engine may still be running it.
                 await self._lasting.recover(exchange.run)
             return Outcome.UNKNOWN
         finally:
-            # Also when the caller leaves: the replica stops when its connection closes.
+            # Also on cancellation: the replica stops the request when its connection closes.
             if not exchange.is_released:
                 conn.abort()
             if exchange.run is not None and self._lasting is not None:
@@ -291,9 +297,9 @@
         return outcome
 
     def _note_end(self, job: Job, replica: Replica, key: AdapterKey) -> None:
-        """Note that a request has left a replica, unless its run goes on there from memory.
+        """End the use of the weights, unless the run is to continue there from its KV cache.
 
-        An engine without a use of its weights may be ordered to replace them.
+        The planner may replace weights that are not in use.
         """
         copy = job.copy
         if copy is not None and copy is not job.used and copy.kind is CopyKind.STOPPED:
@@ -302,24 +308,26 @@
             self._directory.note_end(replica.name, key)
 
     def release_weights(self, job: Job) -> None:
-        """Note that no memory of a request waits for a sending any more, if any did."""
+        """End the use of the weights that are reserved for continuing a run, if any."""
         if job.weights_in_use_at and job.req.key is not None:
             self._directory.note_end(job.weights_in_use_at, job.req.key)
         job.weights_in_use_at = ""
 
     async def _has_weights(self, job: Job) -> bool:
-        """Tell whether the memory that a request goes on from, if any, is of its engine's weights.
+        """Return whether a saved KV cache, if any, matches the weights loaded at its engine.
 
-        The connection is open by then: what the engine says counts for a moment only.
+        Called once the connection is open, since the engine's reply is valid only for a moment.
         """
         if job.copy is None or self._lasting is None:
             return True
         return await self._lasting.weights.is_usable(job, job.copy)
 
     def _unavailable_outcome(self, job: Job, replica: Replica) -> Outcome | None:
-        """Return how a sending ends that must not be made now, None if it may be made."""
+        """Return the outcome if a replica is leaving or in backoff, otherwise None."""
         if self._fleet.state.is_leaving(replica):
-            log.info("not sent", id=job.req.id, replica=replica.name, why="it leaves")
+            log.info(
+                "not sent", id=job.req.id, replica=replica.name, why="the replica is shutting down"
+            )
             return Outcome.NOT_SENT
         rest_s = self._fleet.rests.left_s(replica)
         if not rest_s:
@@ -332,7 +340,7 @@
         return Outcome.LIMITED
 
     def _is_overdue(self, exchange: Exchange) -> bool:
-        """Tell whether a request was not answered though it must have had its turn."""
+        """Return whether a request without a response must have reached the head of the queue."""
         if exchange.is_running:
             return False
         job, replica = exchange.job, exchange.replica
@@ -362,9 +370,10 @@
         health.note(outcome is Outcome.RAN, now, now - exchange.sent_at if is_whole else 0.0)
 
     def _with_urgency(self, job: Job, replica: Replica) -> Work:
-        """Return a request's work; one that would be late anyway waits for those that would not.
+        """Return a request's work, with lower urgency if it would miss its target anyway.
 
-        So does one that would take the slot of a run. Where slots are short, all are equal.
+        Such requests then wait for those that can meet their target, and take no slot of a
+        run. Where slots are scarce, all requests have equal urgency.
         """
         if job.inc.started or not job.work.prompt_tokens or job.work.urgency == EQUAL:
             return job.work
@@ -393,9 +402,9 @@
         exchange.status = head.status
         verdict = self._dialect.judge(head, replica)
         if verdict is Verdict.SPOILED:
-            raise ResponseBroken("the answer does not come from the replica")
+            raise ResponseBroken("the response was not produced by the replica")
         if verdict is not Verdict.MISDIRECTED:
-            # Of another replica that has the address by now it says nothing.
+            # Otherwise another replica has taken over the address; its headers do not apply.
             self._apply_response_signals(replica, head, sent_at)
         if verdict is Verdict.ANSWERED and job.route.streaming:
             if exchange.run is not None and self._lasting is not None:
@@ -408,7 +417,17 @@
         return self._conclude(job, replica, verdict, head, body, attempt.version)
 
     def _apply_response_signals(self, replica: Replica, head: ResponseHead, sent_at: float) -> None:
-        """Take over what an answer says of its replica."""
+        """Apply the rate limit, shutdown notice and backoff that a response announces.
+
+        Parameters
+        ----------
+        replica : Replica
+            The replica that responded.
+        head : ResponseHead
+            Status and headers of its response.
+        sent_at : float
+            When the request was sent, by the event loop's clock.
+        """
         self._fleet.limits.hear(replica.name, self._dialect.limit(head), sent_at)
         if self._dialect.leaves(head):
             self._note_leaving(replica)
@@ -429,7 +448,20 @@
         )
 
     async def _receive(self, exchange: Exchange, next_part: t.Coroutine[t.Any, t.Any, T]) -> T:
-        """Return what comes from a replica next; raises `ResponseBroken` if it stays silent."""
+        """Await the next part of a response.
+
+        Parameters
+        ----------
+        exchange : Exchange
+            The attempt.
+        next_part : coroutine
+            Returns the next part, such as the head or a chunk.
+
+        Raises
+        ------
+        ReplicaSilent
+            If nothing arrives within the silence timeout and the attempt may be abandoned.
+        """
         health = self._fleet.health(exchange.replica.name)
         silence_timeout_s, busy_timeout_s = self._silence_timeouts_s(exchange)
         task = asyncio.ensure_future(next_part)
@@ -440,8 +472,8 @@
                 if is_busy:
                     done, _ = await asyncio.wait([task], timeout=busy_timeout_s - silence_timeout_s)
             while not done and not self._has_retry(exchange.job.service.name):
-                # Leaving it would end the request: 291 of 798 that failed in nine seconds of a
-                # burst had been left by their gateway with no repetition to spend.
+                # Without a retry, abandoning the attempt would fail the request: that caused 291
+                # of 798 failures within nine seconds of a burst.
                 done, _ = await asyncio.wait([task], timeout=POLL_S)
             while (
                 not done
@@ -450,7 +482,7 @@
             ):
                 done, _ = await asyncio.wait([task], timeout=STREAM_SILENCE_TIMEOUT_S)
             if not task.done():
-                raise ReplicaSilent("the replica is silent")
+                raise ReplicaSilent("no data from the replica within the silence timeout")
         finally:
             if not task.done():
                 task.cancel()
@@ -458,15 +490,16 @@
         return task.result()
 
     def _must_find_run(self, exchange: Exchange) -> bool:
-        """Tell whether leaving a silent replica could end a request, or run it twice at once."""
+        """Return whether abandoning a silent replica could fail a request or run it twice."""
         return exchange.run is not None and exchange.run.must_be_found
 
     async def _try_stop_run(self, exchange: Exchange) -> bool:
-        """Tell whether a silent run can go on, and stop it if so.
+        """Stop a silent run if it can continue from its KV cache; return whether it was stopped.
 
-        An engine whose memory ran out reads a run anew later, and knows no run until then: five
-        begun streams of one day that were left for it would have gone on by themselves, and one
-        that is resumed elsewhere would go on at both engines.
+        An engine that runs out of memory drops a run and recomputes it later, and does not list
+        the run until then. Without this check, streams that would have recovered by themselves
+        were abandoned (five in one day), and a run resumed at another engine would continue at
+        both.
         """
         lasting, run = self._lasting, exchange.run
         return lasting is not None and run is not None and await lasting.stop_silent(run)
@@ -492,11 +525,11 @@
     ) -> Outcome:
         if verdict is Verdict.ANSWERED:
             if head.get(b"content-encoding") is not None:
-                raise ResponseBroken("the answer's body is encoded, which nobody asked for")
+                raise ResponseBroken("the response has a content encoding that was not requested")
             self.forward_response(job, head, body)
             return Outcome.DONE
         log.info(
-            "replica refused",
+            "replica did not answer the request",
             id=job.req.id,
             replica=replica.name,
             why=verdict.value,
@@ -580,7 +613,15 @@
             )
 
     def _note_pause(self, exchange: Exchange, events: int) -> None:
-        """Take the pause before an event, or the mean of some that came at once."""
+        """Record the pause before events.
+
+        Parameters
+        ----------
+        exchange : Exchange
+            The attempt.
+        events : int
+            Number of events that arrived together, among which the pause is divided.
+        """
         pause_s = self._clock() - exchange.event_at
         gap_s = exchange.job.route.gap_s
         if gap_s and pause_s > gap_s:
@@ -613,7 +654,7 @@
         self._fleet.speeds.note(service, exchange.busyness, work, took_s)
 
     def forward_response(self, job: Job, head: ResponseHead, body: bytes) -> None:
-        """Answer with a replica's whole answer."""
+        """Answer the caller with a replica's complete response."""
         job.inc.respond(head.status, end_to_end(head.headers), body)
         self._note_served(job, head.status)
 
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -1,4 +1,7 @@
-"""Serving a request: admit it, have it placed and sent, send again or resume, answer."""
+"""The request pipeline: admission, quota, placement, sending, retries and the answer.
+
+The HTTP server calls `Serving.serve` for each request; other modules implement the single steps.
+"""
 
 from __future__ import annotations
 
@@ -35,49 +38,53 @@
 
 log = logbook.Logger("serving")
 ABSENT_RETRY_DELAY_S = 0.03
-"""Pause before a request is sent again to a replica whose weights are about to be ready."""
+"""Delay before a retry after a replica reported that the weights are not loaded there."""
 FIRST_CONFIG_WAIT_S = 2.0
-"""How long a request waits for the first configuration after a start, while the store answers.
-1,700 routes and 145 replicas are reckoned at 1.2 MB, 0.9 s of a link of 10 Mbit/s; instances that
-start at once share the store's link as well."""
+"""Longest wait of a request for the first configuration after startup, while the store responds.
+The store sends 1.2 MB for 1,700 routes and 145 replicas, which takes 0.9 s on a 10 Mbit/s link;
+instances that start at the same time share the store's link too."""
 POLL_S = 0.05
 OVERSIZED_RETRY_AFTER_S = 60.0
-"""A request that no engine can run had better not come back before the engines are others."""
+"""Retry-After of a request that exceeds every engine's memory: only other engines could run it."""
 MAX_BACKOFF_WAIT_S = 0.5
-"""Longest rest of its engine that a run waits for, in seconds; callers wait 2 s for an event."""
+"""Longest backoff of its engine that a run waits out; callers wait 2 s for the next event."""
 MAX_SENDS = 6
-"""Bound on sendings of one request, whatever their outcomes."""
+"""Maximum number of attempts per request, whatever their outcomes."""
 
 
 class Serving:
-    """Serves requests of callers.
+    """Runs callers' requests from admission to the answer.
 
     Parameters
     ----------
     dialect : Dialect
-        How callers and replicas speak.
+        Reads and writes the HTTP headers of callers and replicas.
     fleet : Fleet
-        Replicas.
+        State and load of all replicas.
     directory : Directory
-        Asks for weights to be placed.
+        Requests placements from the planner.
     sender : Sender
-        Sends to replicas.
+        Sends requests to replicas.
     budgets : RetryBudgets
-        Repeated sendings that this instance may make.
-    clock, rng
-        The runtime's clock and source of chance.
+        Retry budget of this instance for each service.
+    meters : Meters
+        Request metrics.
+    clock : callable
+        Returns the event loop's time, in seconds.
+    rng : Random
+        Source of randomness for service shares and jitter.
     admitter : Admitter
-        Tells for whom a request is.
+        Authenticates requests and checks that the configuration is current.
     quotas : Quotas
-        Lets requests run within the quotas of their organisations.
+        Charges requests to the quotas of their organisations.
     expects_config : callable
-        Tells whether a first configuration is on its way.
-    shares_health : bool
-        Whether what all instances found of replicas decides where requests go.
+        Returns whether a first configuration is being fetched.
+    uses_shared_health : bool
+        Whether plain requests are balanced by the health data that all instances share.
     lasting : LastingRuns or None
-        Lets runs go on from their memory, if given.
+        Continues interrupted runs from their saved KV cache; None disables that.
     tally : ShareTally or None
-        Counts what parties use of engines.
+        Counts the engine use of each party.
     """
 
     __slots__ = (
@@ -142,15 +149,21 @@
         self._wait_policy = WaitPolicy(fleet, self._values, clock)
 
     def forget_gone(self) -> None:
-        """Drop what is known of replicas that are gone."""
+        """Drop the state of removed replicas."""
         self._plain_placer.forget_gone()
 
     def refuse_from(self, at: float) -> None:
-        """Refuse requests that arrive from a moment on: the process is about to end."""
+        """Refuse requests that arrive at or after a time, because the process shuts down.
+
+        Parameters
+        ----------
+        at : float
+            Event loop time, in seconds.
+        """
         self._refuses_after_at = at
 
     async def serve(self, inc: Incoming) -> None:
-        """Answer a request."""
+        """Serve one request and answer it."""
         try:
             req = self._dialect.read_request(inc)
         except BadRequest as exc:
@@ -191,12 +204,12 @@
             self._meters.latency(job.route.streaming, self._clock() - started)
 
     def _release_kv_copy(self, job: Job) -> None:
-        """Free the memory that a request leaves behind."""
+        """Release the saved KV cache of a request that ended without using it."""
         if self._lasting is not None and job.copy is not None and job.copy is not job.used:
             self._lasting.weights.give_up(job.copy)
 
     async def _await_config(self, req: Request) -> None:
-        """Wait for a first configuration that is on its way."""
+        """Wait for the first configuration while it is being fetched."""
         until = self._clock() + min(FIRST_CONFIG_WAIT_S, req.wait_s / 2)
         while self._fleet.state.snapshot is None and self._expects_config():
             if self._clock() >= until:
@@ -206,11 +219,11 @@
     def _admit(self, inc: Incoming, req: Request) -> Job | None:
         snapshot = self._fleet.state.snapshot
         if self._clock() >= self._refuses_after_at:
-            log.info("refused", id=req.id, why="this instance is about to end")
+            log.info("refused", id=req.id, why="this instance is shutting down")
             self._answerer.answer_without_body(inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S)
             return None
         if snapshot is None:
-            log.info("refused", id=req.id, why="no configuration is known yet")
+            log.info("refused", id=req.id, why="no configuration has been received yet")
             self._answerer.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
             return None
         if snapshot.version != self._table_version:
@@ -239,11 +252,11 @@
         return Job(inc, req, route, service, work, admission)
 
     async def _charge(self, job: Job) -> None:
-        """Count a request to its organisation's quota."""
+        """Charge a request to its organisation's quota."""
         if job.principal is None:
             return
         req, route = job.req, job.route
-        # Within an organisation the route's urgency tells, whatever that of the organisation.
+        # Requests of one organisation are ordered by their routes' ranks, not by its own rank.
         applicant = Applicant(
             route.rank,
             self._values.value(route, route.rank, req),
@@ -275,7 +288,7 @@
                     job, replica, self._wait_policy.demand(job, replica)
                 )
             finally:
-                # Who found no room leaves none behind: all that wait would be sent at once.
+                # Without capacity found, none is freed: waking waiters would send all of them.
                 if outcome not in (Outcome.FULL, Outcome.LIMITED):
                     self._plain_placer.note_finished(job.service.name)
                 self._tally.end(job, outcome)
@@ -287,7 +300,7 @@
                 await self._prepare_retry(job, replica, outcome)
 
     def _revalidate_key(self, job: Job) -> None:
-        """See to it that a key is still good after a change of the configuration."""
+        """Check that the caller's key is still valid if the configuration has changed."""
         snapshot = self._fleet.state.snapshot
         if job.principal is None or snapshot is None or snapshot.version == job.config:
             return
@@ -299,7 +312,7 @@
                 raise Failed(str(exc)) from exc
             raise
 
-    # Placing.
+    # Placement.
 
     async def _place(self, job: Job) -> Replica:
         key = job.req.key
@@ -314,7 +327,7 @@
 
     async def _place_weights(self, job: Job, key: AdapterKey) -> Replica:
         if not self._fleet.fits(job.service.name, job.work):
-            raise Refused("its prompt is larger than an engine's memory", OVERSIZED_RETRY_AFTER_S)
+            raise Refused("the prompt exceeds the memory of every engine", OVERSIZED_RETRY_AFTER_S)
         known = None
         if not job.absent:
             holders = self._fleet.holders(job.service.name, key)
@@ -335,7 +348,21 @@
         only: t.Container[str] | None,
         known: Replica | None = None,
     ) -> Replica:
-        """Return where the planner places a request, and report a replica without the weights."""
+        """Return the replica that the planner chooses, and report one that lacks the weights.
+
+        Parameters
+        ----------
+        job : Job
+            The request.
+        key : AdapterKey
+            Model and adapter that it needs.
+        excluded : collection of str
+            Replicas that the planner must not choose.
+        only : container of str or None
+            Replicas among which it must choose; None for any.
+        known : Replica or None
+            The best replica that this instance knows of.
+        """
         replica = await self._directory.place(
             job.service.name,
             key,
@@ -349,24 +376,26 @@
         return replica
 
     async def _place_with_fallback(self, job: Job) -> Replica:
-        """Return where a request is sent next: where its memory is, as long as it has any."""
+        """Return the next replica, preferring one that holds the run's saved KV cache."""
         while True:
             try:
                 return await self._place(job)
             except Refused as exc:
                 if job.copy is None:
                     raise
-                log.info("run cannot go on", id=job.req.id, why=str(exc))
+                log.info(
+                    "cannot continue the run from its saved KV cache", id=job.req.id, why=str(exc)
+                )
                 self._drop_kv_copy(job, job.copy)
                 if job.copy is None and not job.may_repeat():
                     raise
 
     async def _place_at_kv_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
-        """Return the engine that keeps the memory of a run, with the weights on it."""
+        """Return the engine that holds a run's saved KV cache, once it has the weights loaded."""
         holder = copy.holder
         rest_s = self._fleet.rests.left_s(holder)
         if rest_s > MAX_BACKOFF_WAIT_S:
-            raise Refused("the engine that keeps its memory rests", rest_s)
+            raise Refused("the engine with the saved KV cache is in backoff", rest_s)
         if rest_s:
             await asyncio.sleep(rest_s)
         weights = self._lasting.weights if self._lasting is not None else None
@@ -377,14 +406,14 @@
             return holder
         if weights is None or not weights.can_load(copy, key):
             raise Refused(
-                "other weights would be loaded than those of its memory", DEFAULT_RETRY_AFTER_S
+                "the weights of the saved KV cache cannot be loaded", DEFAULT_RETRY_AFTER_S
             )
         replica = await self._ask_planner(job, key, (), (holder.name,))
         job.copy = replace(copy, was_loaded=True)
         return replica
 
     def _should_ask_planner(self, job: Job, replica: Replica) -> bool:
-        """Tell whether the planner may know of a better replica than the one that is known here."""
+        """Return whether the planner may offer a better replica than the one chosen locally."""
         if (
             job.was_planner_asked
             or job.inc.started
@@ -413,41 +442,46 @@
             request=req.id,
         )
 
-    # Replicas that take only so many requests a second, or rest.
+    # Replicas with a rate limit or in backoff.
 
     def _handle_limited(self, job: Job, replica: Replica) -> None:
-        """Let a request for which a replica has no room go elsewhere, or end it."""
+        """Exclude a replica without capacity; raise if the request has no alternative."""
         job.excluded.add(replica.name)
         job.sends += 1
         if job.copy is not None:
             self._drop_kv_copy(job, job.copy)
             if job.copy is None and not job.may_repeat():
-                raise Failed("where its memory is, no more requests are taken")
+                raise Failed("the engine with the saved KV cache accepts no more requests")
             return
         has_alternative = job.has_capacity_elsewhere or self._wait_policy.has_unlimited_alternative(
             job, replica
         )
         if job.sends >= MAX_SENDS or not has_alternative:
-            raise Refused("its replicas take no more requests now", job.capacity_retry_s)
+            raise Refused("all replicas are at their rate limit", job.capacity_retry_s)
 
-    # Sending again.
+    # Retries.
 
     async def _take_retry(self, job: Job) -> None:
-        """Take a repeated sending from the budget, or raise.
+        """Take a retry from the budget.
+
+        A request that has not run waits for a retry until its target time, and is refused
+        immediately only if none becomes available by then.
 
-        A request that has not run waits for one as long as its answer would be in time: it is
-        refused at once only if there will be none by then.
+        Raises
+        ------
+        Refused
+            If the budget has no retry in time.
         """
         service, unrun = job.service.name, job.is_unrun
         until = job.req.arrived_at + job.route.target_s if unrun else -math.inf
         while not self._budgets.try_retry(service, unrun):
             if self._clock() + self._budgets.next_s(service) >= until:
-                # Whoever comes back is a new request, and needs no repetition.
-                raise Refused("the budget of repeated sendings is spent", DEFAULT_RETRY_AFTER_S)
+                # The caller's own retry is a new request and takes nothing from the budget.
+                raise Refused("the retry budget is exhausted", DEFAULT_RETRY_AFTER_S)
             await asyncio.sleep(POLL_S)
 
     def _may_wait(self, job: Job, replica: Replica) -> bool:
-        """Tell whether a request for which there was no room may be sent to a replica again."""
+        """Return whether a request may wait for capacity at a replica that was full."""
         if not self._plain_placer.is_queueing_enabled or job.service.engine is not None:
             return False
         if self._fleet.rests.left_s(replica):
@@ -457,12 +491,18 @@
         )
 
     def _try_continue_run(self, job: Job, outcome: Outcome) -> bool:
-        """Tell whether the run of a request goes on from its memory, if it is kept somewhere."""
+        """Select the saved KV cache from which a run continues, and take a retry for it.
+
+        Returns
+        -------
+        bool
+            Whether the run continues; False if no KV cache or no retry is available.
+        """
         if self._lasting is None or not self._lasting.is_lasting(job) or outcome is Outcome.RAN:
             return False
         was_used_last = job.copy is not None and job.copy is job.used
         if was_used_last and job.copy is not None and outcome is Outcome.UNKNOWN:
-            # It serves once.
+            # A saved KV cache can be used only once, and this one may have been.
             job.copy = None
         elif was_used_last and job.copy is not None and not self._can_load_weights(job, outcome):
             self._drop_kv_copy(job, job.copy)
@@ -487,13 +527,13 @@
         return True
 
     def _can_load_weights(self, job: Job, outcome: Outcome) -> bool:
-        """Tell whether a load at the engine that keeps a run's memory lets it go on there."""
+        """Return whether loading weights at the engine with the KV cache lets the run continue."""
         if outcome is not Outcome.ABSENT or job.copy is None or self._lasting is None:
             return False
         return self._lasting.weights.can_load(job.copy, job.req.key)
 
     def _drop_kv_copy(self, job: Job, copy: Copy) -> None:
-        """Go on from the next memory of a run, if there is any: from this one it cannot."""
+        """Discard a saved KV cache and fall back to another one of the run, if there is one."""
         if copy.elsewhere is not None:
             job.copy = replace(
                 copy,
@@ -513,7 +553,7 @@
             job.excluded.add(replica.name)
             job.sends += 1
         elif outcome is Outcome.STALE:
-            # The repetition that was taken for it was not made.
+            # The retry taken from the budget was not used.
             job.is_paid = True
         elif outcome is Outcome.ABSENT:
             await asyncio.sleep(ABSENT_RETRY_DELAY_S)
@@ -526,15 +566,15 @@
         if self._try_continue_run(job, outcome):
             return
         if job.used is not None and outcome is not Outcome.RAN:
-            # What its memory was to go on from has run, and nothing has been heard of its end.
+            # The continued run had already started, and its result is unknown.
             outcome = Outcome.UNKNOWN
         may_have_run = outcome in (Outcome.UNKNOWN, Outcome.RAN)
         if outcome is Outcome.UNKNOWN:
             job.events.restart()
         if may_have_run and not job.may_repeat():
-            raise Failed(f"it may have run: {outcome.value}")
+            raise Failed(f"the request may have run: {outcome.value}")
         if outcome is Outcome.RAN and job.route.repeat is not Repeat.FREELY:
-            raise Failed("the replica failed it")
+            raise Failed("the replica returned an error")
         if job.sends >= MAX_SENDS:
             raise Refused("sent too often", DEFAULT_RETRY_AFTER_S)
         if outcome is Outcome.FULL and self._may_wait(job, replica):
@@ -542,16 +582,16 @@
             job.excluded.discard(replica.name)
         candidates = job.candidates()
         if candidates is not None and not may_have_run and job.excluded >= job.tried:
-            raise Refused("no further replica may be tried", DEFAULT_RETRY_AFTER_S)
+            raise Refused("the route allows no further replica", DEFAULT_RETRY_AFTER_S)
         if candidates is not None and may_have_run:
             if job.route.repeat is not Repeat.RESUME:
-                raise Failed("no further replica may be tried")
+                raise Failed("the route allows no further replica")
             job.excluded.clear()
         if outcome is not Outcome.NOT_SENT and not job.is_paid:
             await self._take_retry(job)
         job.is_paid = False
         log.info(
-            "send again",
+            "retrying request",
             id=job.req.id,
             after=outcome.value,
             replica=replica.name,
