--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -1,4 +1,7 @@
-"""Whether a request may come in, and for whom, before anything is done for it."""
+"""Admission of requests: authentication, and a check that the configuration is current.
+
+Runs before any other work is done for a request.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
 
 log = logbook.Logger("admitting")
 OTHER_INSTANCE_RETRY_AFTER_S = 0.05
-"""Another instance may have a proof that is newer."""
+"""Retry-After of a refusal for a stale configuration: another instance may have a newer proof."""
 
 
 class Admitter:
-    """Judges requests by the configuration in force when they arrive.
+    """Admits requests under the configuration that is in force when they arrive.
 
     Parameters
     ----------
     freshness : Freshness
-        How lately that configuration was the newest.
+        Proof of when the configuration was last known to be the newest.
     """
 
     __slots__ = ("_freshness",)
@@ -37,18 +40,27 @@
 
     @property
     def proof_age_s(self) -> float:
-        """How old the proof is that it is the newest, in seconds."""
+        """Age of the proof that the configuration is the newest, in seconds."""
         return self._freshness.age_s
 
     def admit(self, req: Request, route: Route, snapshot: Snapshot) -> Admission:
-        """Return for whom a request is let in.
+        """Authenticate a request and return its admission.
+
+        Parameters
+        ----------
+        req : Request
+            The request.
+        route : Route
+            The route that matches it; a public route needs no key.
+        snapshot : Snapshot
+            The configuration in force.
 
         Raises
         ------
         Unauthenticated
-            If its key is not good.
+            If its key is missing or invalid.
         Refused
-            If it cannot be told here whether its key is still good.
+            If the configuration is not proven to be current, so that its key may be revoked.
         """
         organisations = snapshot.organisations
         if not organisations:
@@ -62,12 +74,12 @@
         return Admission(snapshot.version, authenticate(req.credentials, organisations))
 
     def _identify_sender(self, req: Request, snapshot: Snapshot) -> Principal | None:
-        """Return who sent a request that needs no key, if it carries one that is known."""
+        """Return the sender of a request on a public route if it has a valid key, otherwise None."""
         if not req.credentials or not self._freshness.is_proven():
             return None
         try:
             return authenticate(req.credentials, snapshot.organisations)
         except Unauthenticated as exc:
-            # Not a fault: the route asks for no key.
-            log.debug("no sender is told on a public route", id=req.id, why=str(exc))
+            # Not an error: a public route needs no key.
+            log.debug("no valid key on a public route", id=req.id, why=str(exc))
             return None
--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/answering.py
@@ -1,4 +1,7 @@
-"""Answers of our own: what was not run, may have run, is not allowed, or is too much."""
+"""Error answers that the gateway generates itself, with their log lines and metrics.
+
+They cover requests that were not run, that failed, whose key is invalid, or that exceed a quota.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +21,24 @@
 
 log = logbook.Logger("answering")
 DEFAULT_RETRY_AFTER_S = 0.3
-"""When to come back where nothing tells better."""
+"""Retry-After of refusals for which no better estimate exists."""
 
 
 class Answerer:
-    """Ends requests that replicas did not answer.
+    """Answers requests for which no replica's response is forwarded.
 
     Parameters
     ----------
     dialect : Dialect
-        How callers speak.
+        Creates the headers of answers.
     sender : Sender
-        Passes a replica's own failure on.
+        Forwards a replica's error response.
     admitter : Admitter
-        Tells by which configuration a request was judged.
+        Provides the version and age of the configuration, for the log.
     meters : Meters
-        Counts answers.
+        Request metrics.
     clock : callable
-        The runtime's clock.
+        Returns the event loop's time, in seconds.
     """
 
     __slots__ = ("_admitter", "_clock", "_dialect", "_meters", "_sender")
@@ -55,14 +58,14 @@
         self._clock = clock
 
     def expire(self, job: Job) -> None:
-        """Answer a request whose time has run out."""
+        """Answer a request whose deadline has passed."""
         if job.may_have_run or job.inc.started:
             self.fail(job, Failed("out of time", GATEWAY_TIMEOUT))
         else:
             self.refuse(job, Refused("out of time before it was sent", DEFAULT_RETRY_AFTER_S))
 
     def refuse(self, job: Job, exc: Refused) -> None:
-        """Answer that a request was not run, or that it may have been if that is so."""
+        """Answer 503 to a request that was not run; if it may have run, answer as a failure."""
         if not job.is_unrun:
             self.fail(job, Failed(str(exc)))
             return
@@ -82,7 +85,7 @@
         self.answer_without_body(job.inc, job.req.id, 503, exc.retry_after_s)
 
     def limit(self, job: Job, exc: Limited) -> None:
-        """Answer that an organisation's quota is used up."""
+        """Answer 429 to a request that exceeds its organisation's quota."""
         log.info(
             "limited",
             id=job.req.id,
@@ -102,7 +105,7 @@
         self.answer_without_body(job.inc, job.req.id, 429, exc.retry_after_s)
 
     def deny(self, inc: Incoming, req: Request, route: Route, why: str) -> None:
-        """Answer that a request carries no good key."""
+        """Answer 401 to a request without a valid key."""
         log.info(
             "denied",
             id=req.id,
@@ -115,7 +118,7 @@
         inc.respond(401, self._dialect.refusal(req.id, None, wants_key=True), b"")
 
     def fail(self, job: Job, exc: Failed) -> None:
-        """End a request that may have run and has no whole answer."""
+        """End a request that may have run and has no complete response."""
         log.info(
             "failed",
             id=job.req.id,
@@ -127,7 +130,7 @@
         )
         self._meters.outcome(job.route.name, "failed")
         if job.inc.started:
-            # Left without its end, the answer cannot be taken for whole.
+            # Without its end marker the caller recognises the answer as incomplete.
             return
         if job.failure is not None:
             self._sender.forward_response(job, *job.failure)
@@ -137,6 +140,18 @@
     def answer_without_body(
         self, inc: Incoming, request_id: str, status: int, retry_after_s: float | None
     ) -> None:
-        """Answer without a body."""
+        """Send an answer without a body.
+
+        Parameters
+        ----------
+        inc : Incoming
+            The caller's HTTP request.
+        request_id : str
+            The caller's identifier of the request, empty if unknown.
+        status : int
+            HTTP status.
+        retry_after_s : float or None
+            Value of the Retry-After header, in seconds; None for no header.
+        """
         headers = self._dialect.refusal(request_id, retry_after_s)
         inc.respond(status, headers, b"")
--- a/packages/gateway/src/gradelug_gateway/budgets.py
+++ b/packages/gateway/src/gradelug_gateway/budgets.py
@@ -1,4 +1,8 @@
-"""How often this instance may send requests again, for each service."""
+"""Retry budgets: how many retries this instance may make for each service.
+
+All instances share one budget per service; each takes an equal share of it, by the number of
+gateways that a planner reports.
+"""
 
 from __future__ import annotations
 
@@ -8,32 +12,33 @@
 from gradelug_policy import RetryWindow
 
 BUDGET_SHARE = 0.8
-"""Part of the repeated sendings that is given out; the rest covers instances that come and go."""
+"""Fraction of the budget that is distributed; the remainder covers instances that start or stop."""
 GATEWAYS_GUESS = 200
-"""Instances among which the budget is shared until a planner tells how many there are: as many as
-the largest deployment has, since all of them may start at once and repeat what the loss of all of
-them broke off. With nine in its place 195 of them could spend 20 times what they share."""
+"""Number of instances that share the budget until a planner reports their count. It is the size of
+the largest deployment, since all instances may restart at once and retry what their failure
+interrupted. With a value of nine, 195 instances could spend 20 times the shared budget."""
 
 
 COUNT_SETTLE_S = 3.0
-"""Instances that were lost together are counted again one by one, within a second or two of a
-planner: a first count is believed after this time, in seconds."""
+"""Delay before the first count of a planner is used: instances that failed together reconnect one by
+one, within one or two seconds of the planner's start."""
 FOLLOW_TIMEOUT_S = 3.0
-"""An instance that has followed no planner for so long, in seconds, may be counted no more."""
+"""After this time without a connected planner an instance may no longer be counted."""
 
 
 class GatewayCount:
-    """How many instances share a budget, from what a planner tells.
+    """The number of instances that share a budget, from the counts that a planner reports.
 
-    Those that a planner does not count any more may go on with their shares. They notice that they
-    follow none, take the least share, and what they have repeated counts for a window more: until
-    then nobody's share grows. Load patterns: all instances lose power and the first to be counted
-    again would take all of the budget for its own; half of them are cut off.
+    Instances that a planner does not count any more may still use their shares, until they detect
+    that they are connected to no planner and take the minimum share. Their retries count for one
+    more window, so no other share grows before that. This covers a power failure of all
+    instances, after which the first one counted would take the whole budget, and a network
+    partition that separates half of them.
 
     Parameters
     ----------
     window_s : float
-        Length of the windows of the budget, in seconds.
+        Length of the budget's window, in seconds.
     """
 
     __slots__ = ("_counts", "_followed_at", "_window_s")
@@ -41,18 +46,18 @@
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
         self._counts: list[tuple[int, float]] = []
-        """Counts that hold until a moment, the greatest first."""
+        """Counts and the time at which each expires, the largest count first."""
         self._followed_at = -math.inf
 
     def note(self, reported_count: int, now: float) -> int:
-        """Take over a count and return among how many instances to share.
+        """Record a reported count and return how many instances share the budget.
 
         Parameters
         ----------
-        told : int
-            How many a planner that is followed tells of; 0 if none is followed.
+        reported_count : int
+            Number of gateways that the connected planner reports; 0 if none is connected.
         now : float
-            By the runtime's clock.
+            Current time by the event loop's clock.
         """
         if reported_count:
             if now - self._followed_at > FOLLOW_TIMEOUT_S:
@@ -73,18 +78,18 @@
 
 
 class RetryBudgets:
-    """This instance's share of what all instances may send again.
+    """This instance's share of the retries that all instances may make, per service.
 
     Parameters
     ----------
     ratio : float
-        Repeated sendings per request, of all instances.
+        Retries per request, of all instances.
     extra : float
-        Repeated sendings beyond that in each window, of all instances.
+        Additional retries in each window, of all instances.
     window_s : float
         Length of the windows, in seconds.
     clock : callable
-        The runtime's clock.
+        Returns the event loop's time, in seconds.
     """
 
     __slots__ = ("_clock", "_extra", "_ratio", "_share", "_window_s", "_windows")
@@ -101,33 +106,40 @@
         self.share_among(GATEWAYS_GUESS)
 
     def share_among(self, gateways: int) -> None:
-        """Share the sendings that no request has earned among so many instances."""
+        """Divide the additional retries among instances.
+
+        Parameters
+        ----------
+        gateways : int
+            Number of instances that share the budget.
+        """
         self._share = self._extra / max(1, gateways)
         for window in self._windows.values():
             window.extra = self._share
 
     def note_request(self, service: str) -> None:
-        """Count a caller's request."""
+        """Count a caller's request, which adds to the budget of its service."""
         self._window(service).note_request(self._clock())
 
     def has_retry(self, service: str) -> bool:
-        """Tell whether a request may be sent again now."""
+        """Return whether a retry is available now for a request that may have run."""
         return self._window(service).has_retry(self._clock())
 
     def try_retry(self, service: str, unrun: bool = False) -> bool:
-        """Take a repeated sending from the budget if there is one.
+        """Take a retry from the budget if one is available.
 
         Parameters
         ----------
         service : str
-            Where the request goes.
+            Name of the request's service.
         unrun : bool
-            Whether it has not run: it leaves some to those that end failed without.
+            Whether the request has not run; some retries are then reserved for requests that may
+            have run, which would otherwise fail.
         """
         return self._window(service).try_retry(self._clock(), unrun)
 
     def next_s(self, service: str) -> float:
-        """Return when there may be a repeated sending again, in seconds."""
+        """Return the time until a retry may be available, in seconds."""
         return self._window(service).next_s(self._clock())
 
     def _window(self, service: str) -> RetryWindow:
--- a/packages/gateway/src/gradelug_gateway/exceptions.py
+++ b/packages/gateway/src/gradelug_gateway/exceptions.py
@@ -1,4 +1,7 @@
-"""How serving a request may end other than by its answer."""
+"""Exceptions that end a request without a replica's response.
+
+`Serving.serve` catches them and has an error answer sent.
+"""
 
 from __future__ import annotations
 
@@ -9,14 +12,14 @@
 
 
 class Refused(Exception):
-    """The request was not run and will not be.
+    """The request was not run and will not be run.
 
     Parameters
     ----------
     why : str
-        For the log.
+        Reason, for the log.
     retry_after_s : float
-        When the caller may come back, in seconds.
+        Time after which the caller may retry, in seconds.
     """
 
     def __init__(self, why: str, retry_after_s: float) -> None:
@@ -25,18 +28,18 @@
 
 
 class Blocked(Refused):
-    """The request ends the replicas that run it, and is sent to none any more."""
+    """The poison guard blocks the request, because replicas ended while running it."""
 
 
 class Failed(Exception):
-    """The request may have run and has no whole answer.
+    """The request may have run and has no complete response.
 
     Parameters
     ----------
     why : str
-        For the log.
+        Reason, for the log.
     status : int
-        Status of the answer if none has begun.
+        HTTP status to answer with if no answer has started.
     """
 
     def __init__(self, why: str, status: int = BAD_GATEWAY) -> None:
@@ -45,21 +48,21 @@
 
 
 class Unauthenticated(Exception):
-    """A request carries no key, or none that is good; the message says why, without the key."""
+    """The request has no valid key; the message gives the reason without the key itself."""
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaInputs:
-    """By what a request was found to be beyond a quota.
+    """The values by which a request was found to exceed a quota, for the log.
 
     Parameters
     ----------
     tokens : int
-        What it counts.
+        Tokens charged for the request.
     level, needed : int
-        Tokens that were there at its home, and that would have had to be for it.
+        Tokens available in the quota's bucket, and tokens required to admit the request.
     standing : str
-        How its caller came.
+        How the request was ranked against others, such as a caller's retry.
     """
 
     tokens: int = 0
@@ -69,16 +72,16 @@
 
 
 class Limited(Exception):
-    """An organisation has used up its quota: the request was not run and will not be.
+    """The organisation's quota is exhausted: the request was not run and will not be run.
 
     Parameters
     ----------
     organisation : str
-        Which.
+        Name of the organisation.
     retry_after_s : float
-        When there will be enough for such a request, in seconds.
+        Time until the quota admits such a request, in seconds.
     inputs : QuotaInputs
-        By what that was found.
+        The values by which the request was limited.
     """
 
     def __init__(
--- a/packages/gateway/src/gradelug_gateway/patience.py
+++ b/packages/gateway/src/gradelug_gateway/patience.py
@@ -1,4 +1,7 @@
-"""How long a request waits for a place, and for room at a replica with a limit."""
+"""How long a request waits for its placement, and for capacity at a rate-limited replica.
+
+Used by `Serving` before each attempt.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +15,23 @@
 from .wishes import PATIENCE_MARGIN_S
 
 RETURNING_WAIT_FRACTION = 0.97
-"""A caller that has less than this part of the usual time was refused before."""
+"""A request with less than this fraction of its route's usual wait time is a caller's retry."""
 MAX_CAPACITY_WAIT_FRACTION = 0.6
-"""A request waits for room no longer than this part of its target; the rest is for its answer."""
+"""Longest wait for capacity as a fraction of the target time; the answer needs the remainder."""
 NO_DEMAND = Demand()
 
 
 class WaitPolicy:
-    """Tells how long requests wait.
+    """Determines how long requests wait.
 
     Parameters
     ----------
     fleet : Fleet
-        Replicas, and the limits that they name.
+        State of all replicas, with their rate limits and backoffs.
     values : RequestValues
-        What requests are worth, and how long their callers usually wait.
+        Values of requests, and the usual wait times of their callers.
     clock : callable
-        The runtime's clock.
+        Returns the event loop's time, in seconds.
     """
 
     __slots__ = ("_clock", "_fleet", "_values")
@@ -39,17 +42,17 @@
         self._clock = clock
 
     def is_returning(self, job: Job) -> bool:
-        """Tell whether a request is another try of its caller: it has less than all of the time."""
+        """Return whether a request is a caller's retry, as its remaining wait time indicates."""
         req, name = job.req, job.route.name
         return req.wait_s < RETURNING_WAIT_FRACTION * self._values.longest_wait(name, req.wait_s)
 
     def placement_deadline(self, job: Job) -> float:
-        """Return until when a request waits before it is sent."""
+        """Return until when a request waits to be placed, by the event loop's clock."""
         latest_at = min(job.deadline_at, job.req.arrived_at + job.route.patience_s)
         return latest_at - PATIENCE_MARGIN_S
 
     def demand(self, job: Job, replica: Replica) -> Demand:
-        """Return how much a request needs room at its replica, and how long it waits for it."""
+        """Return the urgency and the longest wait of a request for capacity at a replica."""
         if self._fleet.limits.rate(replica.name) is None:
             return NO_DEMAND
         value = self._values.value(job.route, job.rank, job.req)
@@ -57,7 +60,7 @@
         return Demand(self._capacity_wait_deadline(job, replica, begun), job.rank, value, begun)
 
     def has_unlimited_alternative(self, job: Job, replica: Replica) -> bool:
-        """Tell whether a request may go to another replica, one without a limit or a rest."""
+        """Return whether another allowed replica has neither a rate limit nor a backoff."""
         only = job.candidates()
         return any(
             rep.name != replica.name
@@ -75,7 +78,7 @@
             return self._clock()
         if self.is_returning(job):
             return self.placement_deadline(job)
-        # What would be late takes the room of one that would not: it had better come back.
+        # Capacity given to a late request is lost to one that could meet its target.
         return min(
             self.placement_deadline(job),
             job.req.arrived_at + MAX_CAPACITY_WAIT_FRACTION * job.route.target_s,
--- a/packages/gateway/src/gradelug_gateway/plain.py
+++ b/packages/gateway/src/gradelug_gateway/plain.py
@@ -1,7 +1,8 @@
-"""Placing requests of services without engines, and a short queue for when all replicas are full.
+"""Placement of requests of plain services, which have no engines, and a queue for full replicas.
 
-A request that no replica has room for waits here for a part of its target, the most urgent first,
-then that with the nearest target; what cannot be in time is refused at once.
+If all replicas of a service are at capacity, a request waits for a fraction of its target time.
+The queue is ordered by urgency, then by target time; a request that cannot meet its target is
+refused immediately.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 
 log = logbook.Logger("plain")
 FULL_RETRY_FRACTION = 0.4
-"""A replica that was full is tried again after this part of the time that an answer takes: with six
-slots two or three requests have ended by then."""
+"""Delay before a full replica is tried again, as a fraction of its response time: of six slots, two
+or three have become free by then."""
 MIN_FULL_RETRY_S = 0.005
 DEFAULT_ANSWER_S = 0.05
-"""Time of an answer, in seconds, where nothing is known of it yet."""
+"""Response time that is assumed until one is known."""
 MAX_WAIT_FRACTION = 0.5
-"""A request waits here no longer than this part of its target; the rest is for its answer."""
+"""Longest wait as a fraction of the target time; the remainder is left for the response."""
 NO_REPLICA_TIMEOUT_S = 0.25
-"""How long a request waits for a replica to turn up before it is refused."""
+"""How long a request waits for a usable replica before it is refused."""
 POLL_S = 0.05
 
 
@@ -43,14 +44,16 @@
     Parameters
     ----------
     fleet : Fleet
-        Replicas.
-    clock, rng
-        The runtime's clock and source of chance.
+        State, health and load of all replicas.
+    clock : callable
+        Returns the event loop's time, in seconds.
+    rng : Random
+        Source of randomness for shares and jitter.
     meters : Meters
-        Counts who waits.
-    shares_health : bool
-        Whether replicas get shares by what all instances found of them; otherwise the one that
-        costs least is chosen, and nobody waits.
+        Counts requests that wait for capacity.
+    uses_shared_health : bool
+        Whether requests are balanced by the health data that all instances share; otherwise the
+        replica with the lowest cost is chosen, and requests do not wait for capacity.
     """
 
     __slots__ = (
@@ -73,7 +76,7 @@
         uses_shared_health: bool,
     ) -> None:
         self.is_queueing_enabled = uses_shared_health
-        """Whether requests may wait."""
+        """Whether requests may wait for capacity."""
         self._fleet = fleet
         self._clock = clock
         self._rng = rng
@@ -81,10 +84,16 @@
         self._plain_shares: dict[str, PlainShares] = {}
         self._queues: dict[str, _CapacityQueue] = {}
         self._full_until: dict[str, float] = {}
-        """Replicas that said lately that they have no room."""
+        """When each replica that reported no capacity is tried again, by its name."""
 
     async def place(self, job: Job) -> Replica:
-        """Return a replica for a request; raises `Refused` if there is none."""
+        """Return a replica for a request, after a wait if all replicas are full.
+
+        Raises
+        ------
+        Refused
+            If no replica becomes usable, or none has capacity, in time.
+        """
         give_up_at = self._clock() + NO_REPLICA_TIMEOUT_S
         full = (
             self._first_free_if_all_full(job)
@@ -103,17 +112,24 @@
             await asyncio.sleep(POLL_S)
 
     def note_full(self, replica: Replica) -> None:
-        """Note that a replica has said that it has no room."""
+        """Record that a replica reported no capacity."""
         now = self._clock()
         self._full_until[replica.name] = now + self._answer_and_retry_s(replica, now)[1]
 
     async def wait(self, job: Job, replica: Replica) -> None:
-        """Wait until a replica that had no room may have some.
+        """Wait until a full replica may have capacity.
+
+        Parameters
+        ----------
+        job : Job
+            The request.
+        replica : Replica
+            The full replica.
 
         Raises
         ------
         Refused
-            If the request would be too late then.
+            If the request would miss its target by then.
         """
         now = self._clock()
         took_s, pause_s = self._answer_and_retry_s(replica, now)
@@ -122,20 +138,24 @@
         latest_at = target_at - max(took_s, (1 - MAX_WAIT_FRACTION) * job.route.target_s)
         priority = (job.rank, target_at)
         if now + (queue.count_before(priority) + 1) * pause_s > latest_at:
-            raise Refused("the plain service is full", DEFAULT_RETRY_AFTER_S)
+            raise Refused(
+                "all replicas of the plain service are at capacity", DEFAULT_RETRY_AFTER_S
+            )
         self._meters.waited_plain()
         jitter = 0.5 + self._rng.random()
         if not await queue.wait(priority, pause_s * jitter, latest_at):
-            raise Refused("the plain service is full", DEFAULT_RETRY_AFTER_S)
+            raise Refused(
+                "all replicas of the plain service are at capacity", DEFAULT_RETRY_AFTER_S
+            )
 
     def note_finished(self, service: str) -> None:
-        """Note that a request of a service has left its replica: there may be room."""
+        """Release a waiting request of a service, since another one has finished."""
         queue = self._queues.get(service)
         if queue is not None:
             queue.release_first()
 
     def forget_gone(self) -> None:
-        """Drop what is known of replicas that are gone."""
+        """Drop the state of removed replicas."""
         known = self._fleet.state.replicas
         now = self._clock()
         self._full_until = {name: at for name, at in self._full_until.items() if at > now}
@@ -143,19 +163,19 @@
             shares.keep(known)
 
     def _answer_and_retry_s(self, replica: Replica, now: float) -> tuple[float, float]:
-        """Return the time of an answer, and the pause until there may be room, in seconds."""
+        """Return a replica's response time and its delay until the next try, in seconds."""
         took_s = self._fleet.health(replica.name).took_s(now) or DEFAULT_ANSWER_S
         return took_s, max(MIN_FULL_RETRY_S, FULL_RETRY_FRACTION * took_s)
 
     def _first_free_if_all_full(self, job: Job) -> Replica | None:
-        """Return the replica that has room next if all of them have said that they have none."""
+        """Return the replica that is retried first if all are full, otherwise None."""
         usable, now = self._available(job), self._clock()
         if not usable or any(self._full_until.get(rep.name, now) <= now for rep in usable):
             return None
         return min(usable, key=lambda rep: self._full_until[rep.name])
 
     def has_alternative(self, job: Job) -> bool:
-        """Tell whether a request may go to a replica that has not failed or refused it."""
+        """Return whether a request may be sent to a replica that has not failed or refused it."""
         only = job.candidates()
         usable = self._available(job)
         return any(
@@ -163,7 +183,7 @@
         )
 
     def _available(self, job: Job) -> list[Replica]:
-        """Return the replicas of a request's service that take new work and do not rest."""
+        """Return the usable replicas of a request's service that are not in backoff."""
         usable = self._fleet.usable(job.service.name)
         return [rep for rep in usable if not self._fleet.rests.left_s(rep)]
 
@@ -177,7 +197,7 @@
         only = job.candidates()
         allowed = [rep for rep in usable if only is None or rep.name in only]
         preferred = [rep for rep in allowed if rep.name not in job.excluded]
-        # Of a request that failed everywhere another try is as good at any of them.
+        # If the request failed at all replicas, any of them is as good for a retry.
         return self._choose_by_share(job, preferred or (allowed if only is None else []))
 
     def _choose_by_share(self, job: Job, found: t.Sequence[Replica]) -> Replica | None:
@@ -188,7 +208,7 @@
             probed = self._fleet.to_probe(found, now)
             if probed is not None:
                 return probed
-        # When all of them fail, some requests still get through.
+        # If all of them are failing, some requests still succeed.
         found = [rep for rep in found if self._fleet.allows(rep, now)] or found
         found = [rep for rep in found if self._full_until.get(rep.name, now) <= now] or found
         shares = self._plain_shares.setdefault(job.service.name, PlainShares(self._rng))
@@ -207,7 +227,13 @@
 
 
 class _CapacityQueue:
-    """Requests that wait for room at a service, in order of urgency and target."""
+    """Requests that wait for capacity at a service, in order of urgency and target time.
+
+    Parameters
+    ----------
+    clock : callable
+        Returns the event loop's time, in seconds.
+    """
 
     __slots__ = ("_clock", "_sequence", "_waiting")
 
@@ -217,15 +243,30 @@
         self._waiting: list[tuple[tuple[int, float], int, asyncio.Future[bool]]] = []
 
     def count_before(self, priority: tuple[int, float]) -> int:
-        """Return how many wait that go before a request."""
+        """Return the number of waiting requests that precede one of this priority."""
         return sum(other <= priority and not fut.done() for other, _, fut in self._waiting)
 
     async def wait(self, priority: tuple[int, float], pause_s: float, latest_at: float) -> bool:
-        """Wait for one's turn; tell whether it came in time."""
+        """Wait to be released.
+
+        Parameters
+        ----------
+        priority : tuple of (int, float)
+            Urgency, 0 first, and target time by the event loop's clock.
+        pause_s : float
+            Delay after which this call releases the first waiting request, in seconds.
+        latest_at : float
+            End of the wait, by the event loop's clock.
+
+        Returns
+        -------
+        bool
+            Whether the request was released by then.
+        """
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[bool] = loop.create_future()
         heapq.heappush(self._waiting, (priority, next(self._sequence), fut))
-        # Somebody's turn comes after each pause, whether or not a request of this instance ends.
+        # One request is released after each pause even if none of this instance finishes.
         loop.call_later(pause_s, self.release_first)
         try:
             async with asyncio.timeout_at(latest_at):
@@ -237,7 +278,7 @@
             heapq.heapify(self._waiting)
 
     def release_first(self) -> None:
-        """Let the first of those that wait try."""
+        """Release the first waiting request so that it is sent."""
         while self._waiting:
             _, _, fut = heapq.heappop(self._waiting)
             if not fut.done():
--- a/packages/gateway/src/gradelug_gateway/resting.py
+++ b/packages/gateway/src/gradelug_gateway/resting.py
@@ -1,4 +1,7 @@
-"""Rejects requests whose replicas all rest."""
+"""Refuses requests whose replicas are all in backoff, before they are placed.
+
+A replica is in backoff after a response that asked for no requests for some time.
+"""
 
 from __future__ import annotations
 
@@ -8,19 +11,19 @@
 
 
 def check_backoff(fleet: Fleet, job: Job) -> None:
-    """Raise `Refused` if all replicas that may run a request rest.
+    """Raise `Refused` if all replicas that may run a request are in backoff.
 
     Parameters
     ----------
     fleet : Fleet
-        Replicas.
+        State of all replicas, with their backoffs.
     job : Job
-        The request; it may already be restricted to some replicas.
+        The request; earlier attempts may have restricted it to some replicas.
 
     Raises
     ------
     Refused
-        With the time until the first of these replicas may be sent to.
+        With the time until the first of these backoffs ends.
     """
     rest_s = fleet.rest_s(job.service.name, job.candidates())
     if rest_s:
--- a/packages/gateway/src/gradelug_gateway/routing.py
+++ b/packages/gateway/src/gradelug_gateway/routing.py
@@ -1,4 +1,7 @@
-"""Choosing a route by host and path, and a service by the route's shares."""
+"""Route lookup by host and path, and weighted choice among a route's services.
+
+`Serving` uses both when it admits a request.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class RouteTable:
-    """Routes by host; the longest prefix that begins the path wins.
+    """Routes indexed by host; the longest matching path prefix wins.
 
     Parameters
     ----------
@@ -25,7 +28,7 @@
             self._by_host.setdefault(route.host, []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None."""
+        """Return the route that matches a host and path, or None."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -33,7 +36,7 @@
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """Return the service of one request, drawn by the weights of the route's shares."""
+    """Return a service drawn at random by the weights of the route's shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/packages/gateway/src/gradelug_gateway/streams.py
+++ b/packages/gateway/src/gradelug_gateway/streams.py
@@ -1,4 +1,8 @@
-"""Event streams: whole events only, numbered without a gap, resumable after the last one."""
+"""Reassembly of server-sent events from the chunks of a response.
+
+Callers receive complete events only, numbered without gaps, so that a stream can be resumed after
+any of them.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +16,12 @@
 
 
 class EventAssembler:
-    """Turns the bytes of a stream into whole events that go on where the last one ended.
+    """Splits the bytes of a stream into complete events, without those already delivered.
 
     Parameters
     ----------
     last_event : int
-        Number of the last event that the caller has, 0 for none.
+        Number of the last event that the caller has received, 0 for none.
     """
 
     __slots__ = ("_buffer", "last_event")
@@ -27,16 +31,21 @@
         self.last_event = last_event
 
     def restart(self) -> None:
-        """Forget a part of an event: another run goes on after the last whole one."""
+        """Discard an incomplete event: the next run resumes after the last complete one."""
         self._buffer = b""
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is waiting for its rest."""
+        """Whether no incomplete event is buffered."""
         return not self._buffer
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that are whole now.
+        """Add received bytes and return the events that they complete.
+
+        Parameters
+        ----------
+        data : bytes
+            The next bytes of the stream.
 
         Raises
         ------
@@ -45,7 +54,7 @@
         """
         self._buffer += data
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise ResponseBroken("an event is too large")
+            raise ResponseBroken("an event exceeds the size limit")
         out, start = [], 0
         for match in _end_re.finditer(self._buffer):
             event = self._buffer[start : match.end()]
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/waiting.py
@@ -1,4 +1,8 @@
-"""Requests that wait for their weights: whose turn it is, and who had better come back."""
+"""The planner's queue of requests that wait for weights to be loaded.
+
+It determines which weights are loaded first, and refuses requests whose weights would be loaded too
+late.
+"""
 
 from __future__ import annotations
 
@@ -18,36 +22,46 @@
 log = logbook.Logger("waiting")
 
 DEMAND_HORIZON_S = 2.0
-"""Requests of the coming seconds that loaded weights will serve count like those that wait."""
+"""Expected requests within this time count towards a load's urgency like waiting ones."""
 LOAD_TO_FIRST_EVENT_S = 0.2
-"""From loaded weights to the first event."""
+"""Time from the end of a load to the first event of a request."""
 LATE_GAIN_FACTOR = 0.4
-"""An answer that is late anyway is worth about a third, whenever it comes."""
+"""Factor on the value of a request that would miss its target: about a third, however late."""
 RETURNING_GAIN_FACTOR = 1.5
-"""A caller that was refused once is not to be refused again."""
+"""Factor on the value of a caller's retry, to avoid refusing the same request twice."""
 WAIT_ESTIMATE_FACTOR = 2.0
-"""Those who come later and are more urgent go first: waits last so many times as long."""
+"""Factor on estimated waits, since more urgent requests that arrive later are served first."""
 MAX_RETRY_AFTER_FRACTION = 0.33
-"""Callers come back after at most a third of their time."""
+"""Longest Retry-After, as a fraction of the caller's remaining wait time."""
 MIN_RETRY_AFTER_S = 0.3
 MIN_LOADS_PER_S = 0.5
 THROUGHPUT_DECAY_S = 1.0
-"""Span over which the rate of loads is taken."""
+"""Time constant of the exponential average of the load rate."""
 MIN_BUSY_SPAN_S = 0.1
 TOO_LATE_REASON = "the weights would come too late"
 LOG_INTERVAL_S = 1.0
-"""What refusals are decided by is logged this often at most."""
+"""Minimum interval between log lines about refusals."""
 
 
 class Waiter:
-    """A question that is not answered yet."""
+    """A placement request of a gateway that has not been answered yet.
+
+    Parameters
+    ----------
+    follower : Follower
+        Connection to the gateway that sent it.
+    ask : pb.Ask
+        The request, as received.
+    now : float
+        Current time by the event loop's clock.
+    """
 
     __slots__ = ("ask", "asked_at", "follower", "is_held", "key", "target_at", "until", "work")
 
     def __init__(self, follower: Follower, ask: pb.Ask, now: float) -> None:
         self.follower = follower
         self.is_held = False
-        """Whether its weights can be used and it waits for room there: it needs no load."""
+        """Whether its weights are loaded and it waits only for capacity at their engine."""
         self.ask = ask
         self.key = AdapterKey(ask.model, ask.adapter)
         self.asked_at = now
@@ -57,7 +71,7 @@
         self.work = Work(ask.prompt_tokens, ask.rank, ask.answer_tokens, chain)
 
     def may_use(self, replica: str) -> bool:
-        """Tell whether the request may run on a replica."""
+        """Return whether the request may run at a replica."""
         if self.ask.only:
             return replica == self.ask.only
         return replica not in self.ask.excluded
@@ -71,9 +85,22 @@
         standing: pb.Standing | None = None,
         has_room: bool = False,
     ) -> None:
-        """Tell where it can run, what runs and is kept there, and by what it had its turn.
+        """Answer with the replica at which the request is placed.
 
-        Also whether room was taken for it at a replica with a limit.
+        Parameters
+        ----------
+        replica : str
+            Name of the replica.
+        version : int
+            Version of the weights there.
+        load : pb.Load
+            Current load of the replica.
+        kept_tokens : int
+            Tokens of the prompt that are in the replica's prefix cache.
+        standing : pb.Standing or None
+            The values by which the request was ranked, for the log.
+        has_room : bool
+            Whether capacity was reserved for it at a rate-limited replica.
         """
         self.follower.answer(
             pb.Answer(
@@ -94,7 +121,19 @@
         why: str = TOO_LATE_REASON,
         standing: pb.Standing | None = None,
     ) -> None:
-        """Tell when to come back, the weights or room being there in `ready_s` seconds."""
+        """Answer that the request is refused, and when to retry it.
+
+        Parameters
+        ----------
+        ready_s : float
+            Time until the weights or capacity are expected to be available, in seconds.
+        now : float
+            Current time by the event loop's clock.
+        why : str
+            Reason that is sent to the gateway.
+        standing : pb.Standing or None
+            The values by which the request was ranked, for the log.
+        """
         retry_s = max(
             MIN_RETRY_AFTER_S, min(ready_s, MAX_RETRY_AFTER_FRACTION * (self.until - now))
         )
@@ -109,14 +148,14 @@
 
 
 class Throughput:
-    """How many loads a second begin while requests wait for some.
+    """Rate at which loads start while requests wait for them.
 
     Parameters
     ----------
     now : float
-        By the runtime's clock.
+        Current time by the event loop's clock.
     rate : float
-        Loads a second to reckon with as long as nothing was seen.
+        Initial estimate of the rate, in loads per second.
     """
 
     __slots__ = ("_at", "_begun", "_busy_s", "_waiting")
@@ -128,11 +167,19 @@
         self._busy_s = THROUGHPUT_DECAY_S
 
     def note_load(self) -> None:
-        """Count a load that begins."""
+        """Count a load that starts."""
         self._begun += 1
 
     def note_queue(self, waiting: bool, now: float) -> None:
-        """Note whether requests wait for loads that cannot begin yet."""
+        """Record whether requests wait for loads that cannot start yet.
+
+        Parameters
+        ----------
+        waiting : bool
+            Whether there are such requests from now on.
+        now : float
+            Current time by the event loop's clock.
+        """
         passed_s = now - self._at
         self._at = now
         kept = math.exp(-passed_s / THROUGHPUT_DECAY_S)
@@ -142,21 +189,21 @@
         self._waiting = waiting
 
     def rate(self) -> float:
-        """Return the loads a second to reckon with."""
+        """Return the estimated rate of loads per second."""
         return max(MIN_LOADS_PER_S, self._begun / max(self._busy_s, MIN_BUSY_SPAN_S))
 
 
 class WaitingLine:
-    """All requests that wait for weights on the engines of a service.
+    """All requests that wait for weights at the engines of a service.
 
     Parameters
     ----------
     popularity : Popularity
-        How often weights are asked for.
+        Request rate of each kind of weights.
     now : float
-        By the runtime's clock.
+        Current time by the event loop's clock.
     rate : float
-        Loads a second to reckon with as long as nothing was seen.
+        Initial estimate of the rate, in loads per second.
     """
 
     __slots__ = ("_popularity", "_logged_at", "throughput", "waiters")
@@ -168,7 +215,15 @@
         self.waiters: list[Waiter] = []
 
     def cancel(self, follower: Follower, tickets: t.Collection[int]) -> None:
-        """Forget questions that a gateway took back."""
+        """Remove requests that a gateway cancelled.
+
+        Parameters
+        ----------
+        follower : Follower
+            Connection to the gateway.
+        tickets : collection of int
+            Numbers of the cancelled requests on that connection.
+        """
         self.waiters = [
             waiter
             for waiter in self.waiters
@@ -176,7 +231,7 @@
         ]
 
     def forget(self, follower: Follower) -> None:
-        """Forget all questions of a gateway."""
+        """Remove all requests of a gateway."""
         self.waiters = [waiter for waiter in self.waiters if waiter.follower is not follower]
 
     def in_order(self, now: float, load_s: float) -> list[Waiter]:
@@ -185,7 +240,7 @@
         Parameters
         ----------
         now : float
-            By the runtime's clock.
+            Current time by the event loop's clock.
         load_s : float
             Expected time of a load, in seconds.
         """
@@ -201,14 +256,14 @@
         return sorted(wanted.values(), key=lambda waiter: -urgency[waiter.key])
 
     def refuse_hopeless(self, queued: t.Iterable[AdapterKey], now: float, load_s: float) -> None:
-        """Refuse what will not be loaded before its caller leaves, so that it can come back.
+        """Refuse requests whose weights cannot be loaded before their callers time out.
 
         Parameters
         ----------
         queued : iterable of AdapterKey
-            Weights that are not on their way yet, in their order.
+            Weights whose load has not started, in the order of loading.
         now : float
-            By the runtime's clock.
+            Current time by the event loop's clock.
         load_s : float
             Expected time of a load, in seconds.
         """
@@ -230,7 +285,7 @@
         if refused and now - self._logged_at >= LOG_INTERVAL_S:
             self._logged_at = now
             log.info(
-                "refusing",
+                "refusing requests whose weights would be late",
                 refused=refused,
                 kept=len(kept),
                 kinds=len(ready),
@@ -240,7 +295,7 @@
 
 
 def _gain(waiter: Waiter, now: float, load_s: float) -> float:
-    """Return what is gained by loading what a request waits for now and not later."""
+    """Return the value of loading a request's weights now instead of later."""
     gain = waiter.ask.value * (RETURNING_GAIN_FACTOR if waiter.ask.returning else 1.0)
     in_time = now + load_s + LOAD_TO_FIRST_EVENT_S < waiter.target_at
     return gain if in_time else gain * LATE_GAIN_FACTOR
