--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -69,12 +69,12 @@
             return Admission(snapshot.version, self._identify_sender(req, snapshot))
         if not self._freshness.is_proven():
             raise Refused(
-                "the configuration is not known to be the newest", OTHER_INSTANCE_RETRY_AFTER_S
+                "the configuration is not proven to be current", OTHER_INSTANCE_RETRY_AFTER_S
             )
         return Admission(snapshot.version, authenticate(req.credentials, organisations))
 
     def _identify_sender(self, req: Request, snapshot: Snapshot) -> Principal | None:
-        """Return the sender of a request on a public route if it has a valid key, otherwise None."""
+        """Return the sender of a request on a public route, or None without a valid key."""
         if not req.credentials or not self._freshness.is_proven():
             return None
         try:
--- a/packages/gateway/src/gradelug_gateway/budgets.py
+++ b/packages/gateway/src/gradelug_gateway/budgets.py
@@ -20,8 +20,8 @@
 
 
 COUNT_SETTLE_S = 3.0
-"""Delay before the first count of a planner is used: instances that failed together reconnect one by
-one, within one or two seconds of the planner's start."""
+"""Delay before the first count of a planner is used: instances that failed together reconnect one
+by one, within one or two seconds of the planner's start."""
 FOLLOW_TIMEOUT_S = 3.0
 """After this time without a connected planner an instance may no longer be counted."""
 
--- a/packages/gateway/src/gradelug_gateway/exceptions.py
+++ b/packages/gateway/src/gradelug_gateway/exceptions.py
@@ -62,7 +62,7 @@
     level, needed : int
         Tokens available in the quota's bucket, and tokens required to admit the request.
     standing : str
-        How the request was ranked against others, such as a caller's retry.
+        Whether it is a first try or a retry, and whether the retry came too early.
     """
 
     tokens: int = 0
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -348,8 +348,8 @@
             usual_s = exchange.expected_s
         else:
             usual_s = self._fleet.health(replica.name).took_s(self._clock())
-        turn_s = max(OVERDUE_TARGETS * job.route.target_s, OVERDUE_FACTOR * usual_s)
-        return self._clock() - exchange.sent_at >= turn_s
+        overdue_after_s = max(OVERDUE_TARGETS * job.route.target_s, OVERDUE_FACTOR * usual_s)
+        return self._clock() - exchange.sent_at >= overdue_after_s
 
     def _note_broken(self, exchange: Exchange, exc: ResponseBroken) -> None:
         health, now = self._fleet.health(exchange.replica.name), self._clock()
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -101,7 +101,7 @@
         "_wait_policy",
         "_plain_placer",
         "_quotas",
-        "_refuses_after_at",
+        "_shutdown_at",
         "_rng",
         "_sender",
         "_table",
@@ -144,7 +144,7 @@
         self._answerer = Answerer(dialect, sender, admitter, meters, clock)
         self._table = RouteTable(())
         self._table_version = -1
-        self._refuses_after_at = math.inf
+        self._shutdown_at = math.inf
         self._values = RequestValues()
         self._wait_policy = WaitPolicy(fleet, self._values, clock)
 
@@ -160,7 +160,7 @@
         at : float
             Event loop time, in seconds.
         """
-        self._refuses_after_at = at
+        self._shutdown_at = at
 
     async def serve(self, inc: Incoming) -> None:
         """Serve one request and answer it."""
@@ -218,7 +218,7 @@
 
     def _admit(self, inc: Incoming, req: Request) -> Job | None:
         snapshot = self._fleet.state.snapshot
-        if self._clock() >= self._refuses_after_at:
+        if self._clock() >= self._shutdown_at:
             log.info("refused", id=req.id, why="this instance is shutting down")
             self._answerer.answer_without_body(inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S)
             return None
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""How often instances may send requests again, all together."""
+"""Retry budgets that all instances share."""
 
 import pytest
 from gradelug_gateway.budgets import (
@@ -17,7 +17,7 @@
 
 
 def spend(budgets, service="llm"):
-    """Return how many sendings are allowed at once."""
+    """Return how many retries are available at once."""
     count = 0
     while count < 10_000 and budgets.try_retry(service):
         count += 1
@@ -25,23 +25,23 @@
 
 
 class TestRetryBudgets:
-    def test_instances_that_start_at_once_keep_within_what_they_share(self):
-        """Until a planner told how many they are, each of 195 took itself for one of nine."""
+    def test_simultaneously_started_instances_stay_within_the_shared_budget(self):
+        """Before the first count, each of 195 instances assumed that there were nine."""
         fleet = [RetryBudgets(RATIO, EXTRA, WINDOW_S, lambda: 0.0) for _ in range(195)]
         assert sum(map(spend, fleet)) <= EXTRA
 
-    def test_a_small_fleet_gets_its_share_once_it_is_told(self):
+    def test_small_fleet_gets_its_full_share_once_counted(self):
         budgets = RetryBudgets(RATIO, 58.0, WINDOW_S, lambda: 0.0)
         budgets.share_among(9)
         assert spend(budgets) == 5
 
-    def test_services_have_budgets_of_their_own(self):
+    def test_budgets_are_separate_for_each_service(self):
         budgets = RetryBudgets(RATIO, 58.0, WINDOW_S, lambda: 0.0)
         budgets.share_among(9)
         assert spend(budgets, "plain") == 5
         assert spend(budgets, "llm") == 5
 
-    def test_requests_earn_sendings_for_their_own_service(self):
+    def test_requests_add_retries_to_their_own_service(self):
         budgets = RetryBudgets(RATIO, 0.0, WINDOW_S, lambda: 0.0)
         for _ in range(20):
             budgets.note_request("llm")
@@ -49,24 +49,24 @@
 
 
 class TestGatewayCount:
-    def test_a_first_count_is_believed_after_a_while(self):
-        """All instances lost power; the first that was counted again took the whole budget."""
+    def test_first_count_is_used_after_the_settle_time(self):
+        """After a power failure, the first instance counted again took the whole budget."""
         count = GatewayCount(WINDOW_S)
-        told = {0.0: 1, 0.5: 40, 1.0: 85, 2.9: 85}
-        assert [count.note(told[at], at) for at in told] == [GATEWAYS_GUESS] * 4
+        reported = {0.0: 1, 0.5: 40, 1.0: 85, 2.9: 85}
+        assert [count.note(reported[at], at) for at in reported] == [GATEWAYS_GUESS] * 4
         assert count.note(85, COUNT_SETTLE_S + 0.1) == 85
 
-    def test_more_instances_count_at_once_and_fewer_after_a_window(self):
+    def test_higher_count_applies_at_once_and_lower_count_after_a_window(self):
         count = GatewayCount(WINDOW_S)
         for step in range(10):
             count.note(85, step / 2)
         assert count.note(90, 5.0) == 90
-        later = [count.note(40, 5.0 + step / 2) for step in range(1, 60)]
-        held_s = later.count(90) / 2
+        counts = [count.note(40, 5.0 + step / 2) for step in range(1, 60)]
+        held_s = counts.count(90) / 2
         assert held_s >= WINDOW_S + FOLLOW_TIMEOUT_S
-        assert later[-1] == 40
+        assert counts[-1] == 40
 
-    def test_who_follows_no_planner_takes_the_least_share(self):
+    def test_instance_without_a_planner_takes_the_minimum_share(self):
         count = GatewayCount(WINDOW_S)
         for step in range(10):
             count.note(9, step / 2)
@@ -77,30 +77,30 @@
         assert again[-1] == 9
 
 
-class TestWhoHasARepetition:
-    def test_what_may_have_run_goes_first(self):
+class TestRetryReservation:
+    def test_retries_are_reserved_for_requests_that_may_have_run(self):
         window = RetryWindow(0.0, 6.0, WINDOW_S)
         assert all(window.try_retry(0.0) for _ in range(2))
-        # Two are left to those that end failed without.
+        # Two are reserved for requests that would fail without a retry.
         assert [window.try_retry(0.1, unrun=True) for _ in range(3)] == [True, True, False]
         assert [window.try_retry(0.2) for _ in range(3)] == [True, True, False]
 
-    def test_nothing_is_kept_for_who_does_not_ask(self):
+    def test_nothing_is_reserved_without_requests_that_may_have_run(self):
         window = RetryWindow(0.0, 6.0, WINDOW_S)
         assert sum(window.try_retry(0.0, unrun=True) for _ in range(9)) == 6
         assert window.next_s(4.0) == pytest.approx(6.0)
 
-    def test_when_there_is_one_again_is_told_from_what_requests_earn(self):
+    def test_time_to_next_retry_accounts_for_counted_requests(self):
         window = RetryWindow(0.2, 1.0, WINDOW_S)
         assert window.try_retry(0.0)
         for step in range(4):
             window.note_request(step / 10)
-        # A fifth of a repetition is lacking, and 0.08 are earned a second.
+        # 0.2 retries are missing, and requests add 0.08 per second.
         assert window.next_s(0.4) == pytest.approx(2.5)
 
 
-class Repeats(RuleBasedStateMachine):
-    """Instances that repeat as often as they may; planners count them, lose them, are lost."""
+class RetryBudgetMachine(RuleBasedStateMachine):
+    """Instances that retry as often as allowed, while planners count them, lose them and fail."""
 
     INSTANCES = 6
     EXTRA = 60.0
@@ -110,7 +110,7 @@
         super().__init__()
         self.now = 0.0
         self.requests = []
-        self.repeats = []
+        self.retries = []
         self.budgets = [
             RetryBudgets(RATIO, self.EXTRA, WINDOW_S, lambda: self.now)
             for _ in range(self.INSTANCES)
@@ -126,13 +126,13 @@
             if self.joining:
                 self.followers.add(self.joining.pop(0))
             for number, budgets in enumerate(self.budgets):
-                told = len(self.followers) if number in self.followers else 0
-                budgets.share_among(self.counts[number].note(told, self.now))
+                reported = len(self.followers) if number in self.followers else 0
+                budgets.share_among(self.counts[number].note(reported, self.now))
                 if number < busy:
                     budgets.note_request("s")
                     self.requests.append(self.now)
                 while number in eager and budgets.try_retry("s", unrun=number % 2 == 0):
-                    self.repeats.append(self.now)
+                    self.retries.append(self.now)
 
     @rule(numbers=st.sets(st.integers(0, 5), min_size=1))
     def cut_off(self, numbers):
@@ -145,19 +145,19 @@
         self.followers = set()
 
     @rule()
-    def heal(self):
+    def reconnect(self):
         missing = set(range(self.INSTANCES)) - self.followers - set(self.joining)
         self.joining += sorted(missing)
 
     @invariant()
     def every_window_is_within_the_budget(self):
-        for end in self.repeats:
-            inside = sum(end - WINDOW_S < at <= end for at in self.repeats)
-            asked = sum(end - WINDOW_S < at <= end for at in self.requests)
-            assert inside <= RATIO * asked + self.EXTRA
+        for end in self.retries:
+            inside = sum(end - WINDOW_S < at <= end for at in self.retries)
+            requested = sum(end - WINDOW_S < at <= end for at in self.requests)
+            assert inside <= RATIO * requested + self.EXTRA
 
 
-TestRepeats = Repeats.TestCase
-TestRepeats.settings = settings(
+TestRetryBudgetMachine = RetryBudgetMachine.TestCase
+TestRetryBudgetMachine.settings = settings(
     max_examples=60, stateful_step_count=20, deadline=None, derandomize=True, database=None
 )
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -1,4 +1,4 @@
-"""Plain services before many gateways: shares, full replicas, and requests that wait for room."""
+"""Plain services behind many gateways: shares, full replicas and the queue for capacity."""
 
 import asyncio
 import heapq
@@ -12,70 +12,72 @@
 from gradelug_policy.outcomes import Ended, Source
 from gradelug_policy.plain import PlainShares, PlainView, weigh
 from gradelug_policy.verdicts import Finding, VerdictPool
-from test_serving import ELSEWHERE, FULL, OK, Bench, route, run, status
+from test_serving import FULL, MISDIRECTED, OK, Bench, route, run, status
 
 GATEWAYS = 85
 SLOTS = 6
-QUEUE = 4
+QUEUE_CAPACITY = 4
 SERVICE_S = 0.072
-PER_S = 134.0
+REQUESTS_PER_S = 134.0
 TARGET_S = 0.2
-GATHER_S = 0.2
-NEWS_S = 0.24
+GATHER_INTERVAL_S = 0.2
+PROPAGATION_INTERVAL_S = 0.24
 REPLICAS = ("p0", "p1", "p2")
 HALLS = {"p0": "a", "p1": "b", "p2": "c"}
 SOURCES = [Source(f"g{n}", "aabbc"[n % 5]) for n in range(GATEWAYS)]
-HALL_COST = 0.3
+REMOTE_HALL_COST = 0.3
 
 
-class OwnLeast:
-    """The replica with fewest requests of the gateway's own; a nearer one among equals."""
+class LeastOwnRequests:
+    """Chooses the replica with the fewest own requests, preferring the local hall."""
 
-    def choose(self, world, gateway, now):
+    def choose(self, simulation, gateway, now):
         hall = SOURCES[gateway].hall
-        own = world.own[gateway]
-        return min(REPLICAS, key=lambda rep: own[rep] + HALL_COST * (HALLS[rep] != hall))
+        own = simulation.own[gateway]
+        return min(REPLICAS, key=lambda rep: own[rep] + REMOTE_HALL_COST * (HALLS[rep] != hall))
 
 
-class ToldLeast:
-    """The replica with fewest requests of all, as told with the news."""
+class LeastReportedRequests:
+    """Chooses the replica with the fewest requests of all gateways, as last propagated."""
 
-    def choose(self, world, gateway, now):
-        others = {rep: world.told[rep] - world.telling[gateway][rep] for rep in REPLICAS}
-        return min(REPLICAS, key=lambda rep: others[rep] + world.own[gateway][rep])
+    def choose(self, simulation, gateway, now):
+        others = {
+            rep: simulation.told[rep] - simulation.reporting[gateway][rep] for rep in REPLICAS
+        }
+        return min(REPLICAS, key=lambda rep: others[rep] + simulation.own[gateway][rep])
 
 
-class ToldTwo(ToldLeast):
-    """The better one, by the same counts, of two that are drawn."""
+class BestOfTwoReported(LeastReportedRequests):
+    """Chooses the better of two random replicas by the propagated counts."""
 
-    def choose(self, world, gateway, now):
-        drawn = world.rng.sample(REPLICAS, 2)
-        others = {rep: world.told[rep] - world.telling[gateway][rep] for rep in drawn}
-        return min(drawn, key=lambda rep: others[rep] + world.own[gateway][rep])
+    def choose(self, simulation, gateway, now):
+        drawn = simulation.rng.sample(REPLICAS, 2)
+        others = {rep: simulation.told[rep] - simulation.reporting[gateway][rep] for rep in drawn}
+        return min(drawn, key=lambda rep: others[rep] + simulation.own[gateway][rep])
 
 
-class Shares:
-    """Shares by the pooled time of answers, as it is built."""
+class PooledShares:
+    """Chooses by shares from the pooled response times, as the gateway does."""
 
     def __init__(self):
         self.shares = [PlainShares(random.Random(n)) for n in range(GATEWAYS)]
 
-    def choose(self, world, gateway, now):
+    def choose(self, simulation, gateway, now):
         hall = SOURCES[gateway].hall
         allowed = []
         for rep in REPLICAS:
-            found = world.found.get(rep, Finding(rep))
+            found = simulation.found.get(rep, Finding(rep))
             if found.prober == SOURCES[gateway].name:
                 return rep
-            if world.rng.random() >= found.held_back:
+            if simulation.rng.random() >= found.held_back:
                 allowed.append(found)
-        allowed = allowed or [world.found.get(rep, Finding(rep)) for rep in REPLICAS]
+        allowed = allowed or [simulation.found.get(rep, Finding(rep)) for rep in REPLICAS]
         views = [
             PlainView(
                 found.replica,
                 found.took_s,
                 found.failing,
-                world.own[gateway][found.replica],
+                simulation.own[gateway][found.replica],
                 HALLS[found.replica] == hall,
             )
             for found in allowed
@@ -83,14 +85,19 @@
         return self.shares[gateway].choose(views)
 
 
-class World:
-    """Replicas with slots and a short queue; requests by chance; news that lag."""
+class Simulation:
+    """Replicas with slots and a short queue, random requests and delayed propagation."""
 
-    def __init__(self, way, per_s=PER_S, slow=(), failing=(), until=40.0, seed=1):
+    def __init__(self, strategy, per_s=REQUESTS_PER_S, slow=(), failing=(), until=40.0, seed=1):
         self.rng = random.Random(seed)
-        self.way, self.per_s, self.slow, self.failing = way, per_s, dict(slow), dict(failing)
+        self.strategy, self.per_s, self.slow, self.failing = (
+            strategy,
+            per_s,
+            dict(slow),
+            dict(failing),
+        )
         self.own = [Counter() for _ in range(GATEWAYS)]
-        self.telling = [Counter() for _ in range(GATEWAYS)]
+        self.reporting = [Counter() for _ in range(GATEWAYS)]
         self.told = Counter()
         self.found = {}
         self.pool = VerdictPool()
@@ -101,9 +108,9 @@
         self.ejected = set()
         self._events, self._numbers = [], itertools.count()
         self._at(0.0, self._arrive)
-        self._at(NEWS_S, self._tell)
+        self._at(PROPAGATION_INTERVAL_S, self._propagate)
         for gateway in range(GATEWAYS):
-            self._at(self.rng.random() * GATHER_S, self._gather, gateway)
+            self._at(self.rng.random() * GATHER_INTERVAL_S, self._gather, gateway)
         while self._events[0][0] < until:
             now, _, act, args = heapq.heappop(self._events)
             act(now, *args)
@@ -114,7 +121,7 @@
     def _arrive(self, now):
         self._at(now + self.rng.expovariate(self.per_s), self._arrive)
         gateway = self.rng.randrange(GATEWAYS)
-        rep = self.way.choose(self, gateway, now)
+        rep = self.strategy.choose(self, gateway, now)
         self.sent[rep] += 1
         if self.rng.random() < self.failing.get(rep, 0.0):
             self.failed += 1
@@ -122,7 +129,7 @@
         elif self.running[rep] < SLOTS:
             self.own[gateway][rep] += 1
             self._start(now, rep, gateway, now)
-        elif len(self.queued[rep]) < QUEUE:
+        elif len(self.queued[rep]) < QUEUE_CAPACITY:
             self.own[gateway][rep] += 1
             self.queued[rep].append((gateway, now))
         else:
@@ -144,103 +151,106 @@
             self._start(now, rep, *self.queued[rep].pop(0))
 
     def _note(self, gateway, rep, good=0, bad=0, took_s=0.0, full=0):
-        seen = self.ended[gateway].get(rep, Ended(0, 0))
+        previous = self.ended[gateway].get(rep, Ended(0, 0))
         self.ended[gateway][rep] = Ended(
-            seen.good + good, seen.bad + bad, seen.took_s + took_s, seen.full + full
+            previous.good + good, previous.bad + bad, previous.took_s + took_s, previous.full + full
         )
 
     def _gather(self, now, gateway):
-        self.telling[gateway] = Counter(self.own[gateway])
+        self.reporting[gateway] = Counter(self.own[gateway])
         for rep, ended in self.ended[gateway].items():
             self.pool.note(rep, SOURCES[gateway], ended, now)
         self.ended[gateway].clear()
-        self._at(now + GATHER_S, self._gather, gateway)
+        self._at(now + GATHER_INTERVAL_S, self._gather, gateway)
 
-    def _tell(self, now):
-        self.told = sum(self.telling, Counter())
+    def _propagate(self, now):
+        self.told = sum(self.reporting, Counter())
         members = {"plain": REPLICAS}
-        changes = self.pool.step(members, GATHER_S, now)
+        changes = self.pool.step(members, GATHER_INTERVAL_S, now)
         self.ejected |= {change.replica for change in changes if change.ejected}
         self.found = {found.replica: found for found in self.pool.findings(members, now)}
-        self._at(now + NEWS_S, self._tell)
+        self._at(now + PROPAGATION_INTERVAL_S, self._propagate)
 
     @property
     def spread(self):
-        """How far the replica that is furthest from the mean is from it, as a part of it."""
+        """Largest deviation of a replica's requests from the mean, as a fraction of the mean."""
         mean = sum(self.sent.values()) / len(REPLICAS)
         return max(abs(self.sent[rep] - mean) for rep in REPLICAS) / mean
 
-    def part(self, count):
+    def fraction(self, count):
         return count / sum(self.sent.values())
 
 
 class TestShares:
-    """85 gateways before three replicas of six slots, 54% busy."""
+    """85 gateways in front of three replicas of six slots, 54% busy."""
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_while_all_are_well_each_gets_the_same(self, seed):
+    def test_healthy_replicas_receive_equal_shares(self, seed):
         """By its own requests alone a gateway sends nearly all of them to its own hall."""
-        assert World(OwnLeast(), seed=seed).spread > 0.3
-        world = World(Shares(), seed=seed)
-        assert world.spread < 0.15
-        assert not world.ejected
+        assert Simulation(LeastOwnRequests(), seed=seed).spread > 0.3
+        simulation = Simulation(PooledShares(), seed=seed)
+        assert simulation.spread < 0.15
+        assert not simulation.ejected
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_what_is_told_of_requests_under_way_sends_all_the_same_way(self, seed):
-        shares, told, two = (World(way, seed=seed) for way in (Shares(), ToldLeast(), ToldTwo()))
-        assert shares.part(shares.full) < 0.01
-        assert told.part(told.full) > 0.1
-        assert two.part(two.full) > 0.02
+    def test_reported_request_counts_send_all_gateways_to_the_same_replica(self, seed):
+        shares, told, two = (
+            Simulation(strategy, seed=seed)
+            for strategy in (PooledShares(), LeastReportedRequests(), BestOfTwoReported())
+        )
+        assert shares.fraction(shares.full) < 0.01
+        assert told.fraction(told.full) > 0.1
+        assert two.fraction(two.full) > 0.02
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_one_that_is_four_times_as_slow_gets_what_it_can_answer(self, seed):
-        own = World(OwnLeast(), slow={"p1": 4.0}, seed=seed)
-        world = World(Shares(), slow={"p1": 4.0}, seed=seed)
-        assert world.part(world.full) < 0.04 < own.part(own.full)
-        assert world.part(world.late) < 0.7 * own.part(own.late)
+    def test_slow_replica_receives_a_share_that_it_can_serve(self, seed):
+        own = Simulation(LeastOwnRequests(), slow={"p1": 4.0}, seed=seed)
+        simulation = Simulation(PooledShares(), slow={"p1": 4.0}, seed=seed)
+        assert simulation.fraction(simulation.full) < 0.04 < own.fraction(own.full)
+        assert simulation.fraction(simulation.late) < 0.7 * own.fraction(own.late)
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_one_that_fails_nearly_half_and_says_that_it_is_well_is_left_alone(self, seed):
-        own = World(OwnLeast(), failing={"p0": 0.45}, seed=seed)
-        world = World(Shares(), failing={"p0": 0.45}, seed=seed)
-        assert world.ejected == {"p0"}
-        assert world.failed < 0.15 * own.failed
+    def test_replica_that_fails_nearly_half_of_requests_is_ejected(self, seed):
+        own = Simulation(LeastOwnRequests(), failing={"p0": 0.45}, seed=seed)
+        simulation = Simulation(PooledShares(), failing={"p0": 0.45}, seed=seed)
+        assert simulation.ejected == {"p0"}
+        assert simulation.failed < 0.15 * own.failed
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_where_all_fail_all_are_used(self, seed):
-        world = World(Shares(), failing=dict.fromkeys(REPLICAS, 0.45), seed=seed)
-        assert not world.ejected
-        assert world.spread < 0.15
+    def test_no_replica_is_ejected_if_all_are_failing(self, seed):
+        simulation = Simulation(PooledShares(), failing=dict.fromkeys(REPLICAS, 0.45), seed=seed)
+        assert not simulation.ejected
+        assert simulation.spread < 0.15
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_burst_is_spread_as_evenly(self, seed):
-        world = World(Shares(), per_s=1.5 * PER_S, seed=seed)
-        own = World(OwnLeast(), per_s=1.5 * PER_S, seed=seed)
-        assert world.spread < 0.15
-        assert world.full < 0.6 * own.full
+    def test_burst_is_balanced_evenly(self, seed):
+        simulation = Simulation(PooledShares(), per_s=1.5 * REQUESTS_PER_S, seed=seed)
+        own = Simulation(LeastOwnRequests(), per_s=1.5 * REQUESTS_PER_S, seed=seed)
+        assert simulation.spread < 0.15
+        assert simulation.full < 0.6 * own.full
 
-    def test_one_that_says_it_is_full_while_it_is_not_gets_less(self):
+    def test_replica_that_falsely_reports_full_receives_less(self):
         pool = VerdictPool()
         for step in range(20):
-            now = step * NEWS_S
+            now = step * PROPAGATION_INTERVAL_S
             for rep in REPLICAS:
                 full = 3 if rep == "p0" else 0
                 pool.note(rep, SOURCES[0], Ended(7, 0, 7 * SERVICE_S, full), now)
-            pool.step({"plain": REPLICAS}, GATHER_S, now)
+            pool.step({"plain": REPLICAS}, GATHER_INTERVAL_S, now)
         found = {f.replica: f for f in pool.findings({"plain": REPLICAS}, now)}
         views = [PlainView(rep, found[rep].took_s, 0.0, 0, False) for rep in REPLICAS]
         assert weigh(views)[0] < 0.7 * weigh(views)[1]
 
-    def test_shares_add_up_and_nobody_is_given_up(self):
+    def test_shares_sum_to_one_and_are_never_zero(self):
         views = [PlainView("a", 0.0, 1.0, 0, True), PlainView("b", 0.1, 0.0, 9, False)]
         weights = weigh(views)
         assert sum(weights) == pytest.approx(1.0)
         assert min(weights) > 0.02
 
 
-class TestWaitingForRoom:
-    def test_what_has_no_room_is_sent_again_when_there_may_be_some(self):
-        """956 requests of a day were refused since the one replica of their route was full."""
+class TestWaitingForCapacity:
+    def test_request_refused_by_a_full_replica_is_retried_after_a_delay(self):
+        """956 requests per day were refused because their route's only replica was full."""
 
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL], [OK]], [[OK]]])
@@ -251,7 +261,7 @@
 
         run(scenario)
 
-    def test_switched_off_it_is_refused_at_once(self):
+    def test_without_shared_health_a_request_is_refused_at_once(self):
         async def scenario():
             bench = Bench(
                 route(Repeat.NEVER, replicas=1), [[[FULL], [OK]], [[OK]]], uses_shared_health=False
@@ -262,7 +272,7 @@
 
         run(scenario)
 
-    def test_switched_off_the_own_hall_gets_what_it_can_take(self):
+    def test_without_shared_health_the_local_hall_is_preferred(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 9, [[OK]] * 9], uses_shared_health=False)
             for _ in range(8):
@@ -273,7 +283,7 @@
 
         run(scenario)
 
-    def test_it_waits_no_longer_than_half_of_its_target(self):
+    def test_request_waits_at_most_half_of_its_target_time(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL]] * 20])
             client = bench.client()
@@ -283,7 +293,7 @@
 
         run(scenario)
 
-    def test_who_would_come_too_late_behind_the_others_is_refused_at_once(self):
+    def test_request_that_would_be_late_behind_the_queue_is_refused_at_once(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL]] * 20], budget=100.0)
             clients = [bench.client() for _ in range(12)]
@@ -296,7 +306,7 @@
 
         run(scenario)
 
-    def test_it_waits_only_where_it_may_be_sent_again(self):
+    def test_request_does_not_wait_without_a_retry(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL], [OK]]], budget=0.0)
             client = bench.client()
@@ -305,7 +315,7 @@
 
         run(scenario)
 
-    def test_a_request_goes_to_another_replica_before_it_waits(self):
+    def test_request_is_sent_to_another_replica_before_it_waits(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[FULL], [OK]], [[OK]]])
             client = bench.client()
@@ -315,16 +325,16 @@
 
         run(scenario)
 
-    def test_another_replica_at_the_address_is_not_waited_for(self):
+    def test_request_does_not_wait_after_a_misdirected_response(self):
         async def scenario():
-            bench = Bench(route(Repeat.NEVER, replicas=1), [[[ELSEWHERE], [OK]]])
+            bench = Bench(route(Repeat.NEVER, replicas=1), [[[MISDIRECTED], [OK]]])
             client = bench.client()
             await asyncio.sleep(0.01)
             assert status(client) == 503
 
         run(scenario)
 
-    def test_a_caller_that_leaves_while_it_waits_leaves_nothing_behind(self):
+    def test_disconnected_caller_is_removed_from_the_queue(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL]] * 20])
             client = bench.client()
@@ -337,8 +347,8 @@
         run(scenario)
 
 
-class TestToldFindings:
-    def test_an_ejected_replica_gets_nothing_and_a_probe_from_who_may_send_one(self):
+class TestSharedFindings:
+    def test_ejected_replica_receives_only_a_probe_from_the_designated_gateway(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[[OK]] * 20, [[OK]] * 20])
             told = bench.fleet.health("s0").told
@@ -355,7 +365,7 @@
 
         run(scenario)
 
-    def test_what_may_run_once_only_is_no_probe(self):
+    def test_nonrepeatable_request_is_not_used_as_a_probe(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 20, [[OK]] * 20])
             told = bench.fleet.health("s0").told
@@ -366,7 +376,7 @@
 
         run(scenario)
 
-    def test_findings_age_out(self):
+    def test_findings_expire(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 20, [[OK]] * 20])
             bench.fleet.health("s0").told[""] = ToldFinding(
@@ -380,8 +390,8 @@
 
         run(scenario)
 
-    def test_a_replica_that_does_not_answer_is_noted_also_when_its_caller_gives_up(self):
-        """A replica that hangs was never noted for requests that may run once only."""
+    def test_silent_replica_is_recorded_when_the_deadline_passes(self):
+        """A hanging replica was never recorded if its requests were not repeatable."""
 
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[]]])
@@ -391,7 +401,7 @@
 
         run(scenario)
 
-    def test_a_caller_that_leaves_soon_says_nothing_of_the_replica(self):
+    def test_early_disconnect_is_not_recorded_against_the_replica(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[]]])
             client = bench.client()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""A request that needs a repeated sending while the budget is spent."""
+"""Requests that need a retry while the retry budget is exhausted."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from test_serving import FULL, OK, Bench, route, run, status
 
 
-class TestBudgetSpent:
-    def test_what_has_not_run_waits_for_a_repetition_while_it_would_be_in_time(self):
+class TestExhaustedBudget:
+    def test_request_that_has_not_run_waits_for_a_retry_until_its_target(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[FULL]], [[OK]]], budget=0.0)
             budgets = bench.serving._budgets
@@ -23,7 +23,7 @@
 
         run(scenario)
 
-    def test_what_has_not_run_is_refused_at_once_if_there_will_be_none_in_time(self):
+    def test_request_that_has_not_run_is_refused_at_once_without_a_retry_in_time(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[FULL]], [[OK]]], budget=0.0)
             client = bench.client()
@@ -33,7 +33,7 @@
 
         run(scenario)
 
-    def test_what_may_have_run_fails_at_once(self):
+    def test_request_that_may_have_run_fails_at_once(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[["reset"]], [[OK]]], budget=0.0)
             client = bench.client()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -12,16 +12,16 @@
 
 
 class TestRouteTable:
-    def test_the_longest_prefix_that_begins_the_path_wins(self):
+    def test_longest_matching_prefix_wins(self):
         table = RouteTable([route("/"), route("/a/b/"), route("/a/")])
         found = [table.find("h", path) for path in ("/a/b/c", "/a/bc", "/x", "/a")]
         assert [item.prefix for item in found] == ["/a/b/", "/a/", "/", "/"]
 
-    def test_hosts_are_apart(self):
+    def test_routes_are_separate_for_each_host(self):
         table = RouteTable([route("/a/", "one")])
         assert table.find("two", "/a/") is None
 
-    def test_shares_are_drawn_by_their_weights(self):
+    def test_services_are_drawn_by_share_weights(self):
         split = route("/", shares=(Share("most", 9.0), Share("some", 1.0), Share("none", 0.0)))
         rng = random.Random(1)
         drawn = Counter(choose_service(split, rng) for _ in range(2000))
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""Requests through the gateway's own code, in memory, with replicas that answer by a script."""
+"""The gateway's request pipeline, over in-memory connections to scripted replicas."""
 
 import asyncio
 import random
@@ -59,7 +59,7 @@
 SIGNED = b"X-Gradelug-Server-Signature: s1\r\n"
 OK = reply(extra=SIGNED)
 FULL = reply(b"", b"503 Service Unavailable", extra=b"X-Gradelug-Not-Executed: 1\r\n")
-ELSEWHERE = reply(b"", b"421 Misdirected Request", extra=b"X-Gradelug-Instance-Id: other\r\n")
+MISDIRECTED = reply(b"", b"421 Misdirected Request", extra=b"X-Gradelug-Instance-Id: other\r\n")
 ABSENT = reply(b"", b"421 Misdirected Request")
 FAILED = reply(b"no", b"500 Internal Server Error", extra=SIGNED)
 STREAM = (
@@ -78,20 +78,20 @@
 
 
 class StubDirectory(Directory):
-    """Answers questions from a list; the planner itself is tested elsewhere."""
+    """Returns placements from a list in place of the planner."""
 
     def __init__(self, fleet):
         super().__init__("i", "10.0.0.9:1", fleet, fleet._clock, lambda service: None)
         self.answers = []
         self.asked = []
-        self.followed = False
-        self.wants_asking = False
+        self.has_planner = False
+        self.planner_first = False
 
     def is_followed(self, service):
-        return self.followed
+        return self.has_planner
 
     def asks_first(self, service):
-        return self.wants_asking
+        return self.planner_first
 
     async def place(self, service, key, **asked):
         self.asked.append(asked)
@@ -102,7 +102,7 @@
 
 
 class StubFreshness:
-    """Whether the configuration is known to be the newest; how is tested elsewhere."""
+    """A configuration freshness that the test sets directly."""
 
     def __init__(self, state):
         self.proven = True
@@ -194,7 +194,7 @@
 
 
 class TestPlainRequests:
-    def test_request_and_answer_pass_unchanged_with_the_time_that_is_left(self):
+    def test_request_and_response_are_forwarded_unchanged_with_the_remaining_deadline(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[OK]]])
             client = bench.client(headers=b"X-Own: 1\r\nX-Gradelug-Expect-Instance: forged\r\n")
@@ -212,7 +212,7 @@
 
         run(scenario)
 
-    def test_what_may_run_once_is_not_sent_again_after_a_doubt(self):
+    def test_nonrepeatable_request_is_not_retried_after_a_lost_connection(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[["reset"]], [[OK]]])
             client = bench.client()
@@ -222,7 +222,7 @@
 
         run(scenario)
 
-    def test_what_may_run_once_goes_elsewhere_when_it_was_not_run(self):
+    def test_nonrepeatable_request_is_retried_elsewhere_if_it_was_not_run(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[FULL]], [[OK]]])
             client = bench.client()
@@ -231,9 +231,9 @@
 
         run(scenario)
 
-    def test_it_is_sent_to_no_more_replicas_than_the_route_allows(self):
+    def test_attempts_are_limited_to_the_replicas_that_the_route_allows(self):
         async def scenario():
-            # It has no room either when it is asked again, as it may be while there is time.
+            # The replica stays full for the retries that it receives until the target time.
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[FULL]] * 8, [[OK]]])
             client = bench.client()
             await asyncio.sleep(0.2)
@@ -243,7 +243,7 @@
 
         run(scenario)
 
-    def test_a_replica_that_cannot_be_reached_counts_as_not_sent(self):
+    def test_unreachable_replica_does_not_count_as_an_attempt(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [None, [[OK]]])
             client = bench.client()
@@ -252,9 +252,9 @@
 
         run(scenario)
 
-    def test_another_replica_at_the_address_runs_nothing(self):
+    def test_misdirected_request_is_retried_at_another_replica(self):
         async def scenario():
-            bench = Bench(route(Repeat.NEVER), [[[ELSEWHERE]], [[OK]]])
+            bench = Bench(route(Repeat.NEVER), [[[MISDIRECTED]], [[OK]]])
             client = bench.client()
             await asyncio.sleep(0.2)
             assert status(client) == 200
@@ -262,7 +262,7 @@
         run(scenario)
 
     @pytest.mark.parametrize("first", [[FAILED], ["reset"], []])
-    def test_a_repeatable_request_is_tried_once_more(self, first):
+    def test_repeatable_request_is_retried(self, first):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[first], [[OK]]])
             client = bench.client()
@@ -271,7 +271,7 @@
 
         run(scenario)
 
-    def test_a_replicas_failure_is_passed_on_when_no_other_does_better(self):
+    def test_replica_error_is_forwarded_if_no_attempt_succeeds(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[[FAILED]], [[FAILED]]])
             client = bench.client()
@@ -281,7 +281,7 @@
 
         run(scenario)
 
-    def test_without_budget_nothing_is_sent_again(self):
+    def test_no_retry_without_budget(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[["reset"]], [[OK]]], budget=0.0)
             client = bench.client()
@@ -291,17 +291,17 @@
 
         run(scenario)
 
-    def test_a_success_without_a_signature_is_no_answer(self):
+    def test_success_without_a_signature_is_rejected(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[reply()]]])
             client = bench.client()
             await asyncio.sleep(0.2)
-            # It may have run: a refusal would say that it has not.
+            # The request may have run, so it must not be reported as not run.
             assert status(client) == 502
 
         run(scenario)
 
-    def test_an_answer_to_another_request_is_not_passed_on(self):
+    def test_response_to_another_request_is_not_forwarded(self):
         async def scenario():
             other = reply(b"not yours", ident=b"q0", extra=SIGNED)
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[other + OK]]])
@@ -313,7 +313,7 @@
 
         run(scenario)
 
-    def test_a_replica_that_leaves_is_not_among_those_to_choose_from(self):
+    def test_leaving_replica_is_not_usable(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]], [[OK]]])
             gone = bench.state.replicas["s0"]
@@ -325,7 +325,7 @@
 
         run(scenario)
 
-    def test_a_silent_replica_costs_no_more_than_the_time_of_the_route(self):
+    def test_silent_replica_is_bounded_by_the_route_timeout(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1, timeout_s=0.5), [[[]]])
             client = bench.client(deadline_ms=5000)
@@ -336,7 +336,7 @@
 
         run(scenario)
 
-    def test_a_replica_that_is_leaving_gets_nothing(self):
+    def test_leaving_replica_receives_no_requests(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]], [[OK]]])
             gone = bench.state.replicas["s0"]
@@ -350,7 +350,7 @@
 
         run(scenario)
 
-    def test_when_all_replicas_have_failed_some_are_tried_all_the_same(self):
+    def test_requests_are_still_sent_when_all_replicas_are_failing(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER, replicas=1), [[[OK]], [[OK]]])
             for name in ("s0", "s1"):
@@ -362,7 +362,7 @@
 
         run(scenario)
 
-    def test_when_the_caller_leaves_its_replica_is_told(self):
+    def test_replica_connection_is_closed_when_the_caller_disconnects(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[]], [[]]])
             client = bench.client()
@@ -377,7 +377,7 @@
         ("raw", "expected"),
         [(b"Host: nowhere\r\nX-Gradelug-Request-Id: q1\r\n", 404), (b"Host: h\r\n", 400)],
     )
-    def test_no_route_and_no_identifier(self, raw, expected):
+    def test_missing_route_or_request_id_is_an_error(self, raw, expected):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]]])
             client = RawClient()
@@ -388,7 +388,7 @@
 
         run(scenario)
 
-    def test_without_a_configuration_nothing_is_denied(self):
+    def test_request_without_a_configuration_is_refused_not_denied(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]]])
             bench.state.snapshot = None
@@ -398,7 +398,7 @@
 
         run(scenario)
 
-    def test_an_instance_that_is_about_to_end_refuses_what_arrives(self):
+    def test_shutting_down_instance_refuses_new_requests(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]]])
             bench.serving.refuse_from(bench.clock())
@@ -416,13 +416,13 @@
 
 
 class TestFirstConfiguration:
-    """After a loss of power of 195 instances 550 requests were refused in the half second that
-    they took to read 1,640 routes, and used up their callers' retries."""
+    """After a power failure of 195 instances, 550 requests were refused in the half second in which
+    the instances read 1,640 routes, and exhausted their callers' retries."""
 
     @pytest.mark.parametrize(
         ("comes_in_s", "expected"), [(0.4, b"200"), (1.8, b"200"), (3.0, b"503")]
     )
-    def test_a_request_waits_a_little_for_one_that_is_on_its_way(self, comes_in_s, expected):
+    def test_request_waits_briefly_for_the_first_configuration(self, comes_in_s, expected):
         async def scenario():
             bench = Bench(route(Repeat.FREELY, timeout_s=8.0), [[[OK]]])
             snapshot, bench.state.snapshot = bench.state.snapshot, None
@@ -436,7 +436,7 @@
 
         run(scenario)
 
-    def test_without_a_store_that_answers_it_is_refused_at_once(self):
+    def test_request_is_refused_at_once_if_the_store_does_not_respond(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[[OK]]])
             bench.state.snapshot = None
@@ -452,7 +452,7 @@
         the_route = route(repeat, True, replicas, "llm", 10.0)
         return Bench(the_route, scripts, HELD, engine=True, **more)
 
-    def test_events_come_as_they_are_made_and_the_end_is_told(self):
+    def test_events_and_end_of_stream_are_forwarded_immediately(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1)]]])
             client = bench.client(8000, ADAPTER)
@@ -466,8 +466,8 @@
 
         run(scenario)
 
-    def test_what_would_be_late_anyway_waits_for_what_can_be_in_time(self):
-        """Queues of 50,000 tokens made everything behind them late on the new customer's days."""
+    def test_request_that_would_be_late_gets_a_lower_priority(self):
+        """Behind a queue of 50,000 tokens, a request and all later ones miss their targets."""
 
         async def scenario():
             for queued, urgency in ((0, b"0"), (100_000, b"9")):
@@ -481,12 +481,12 @@
 
         run(scenario)
 
-    def test_the_planner_is_asked_when_the_best_holder_would_be_late(self):
+    def test_planner_places_request_when_the_best_holder_would_be_late(self):
         async def scenario():
             bench = self.bench([[], [[STREAM + event(1) + END]]])
             for name in ("s0", "s1"):
                 bench.fleet.load(name).queued[0] = 100_000
-            bench.directory.followed = True
+            bench.directory.has_planner = True
             bench.directory.answers = [bench.state.replicas["s1"]]
             bench.client(8000, ADAPTER + b"X-Gradelug-Token-Usage: 1000,50\r\n")
             await asyncio.sleep(0.05)
@@ -495,13 +495,13 @@
 
         run(scenario)
 
-    def test_the_planner_is_asked_first_where_news_are_old(self):
-        """With 195 gateways what each knew was 0.6 s old: requests went to engines that had long
+    def test_planner_places_request_when_local_state_is_stale(self):
+        """With 195 gateways the local state was 0.6 s old: requests were sent to engines that had
         unloaded their weights, and to those with the longest queues."""
 
         async def scenario():
             bench = self.bench([[], [[STREAM + event(1) + END]]])
-            bench.directory.followed = bench.directory.wants_asking = True
+            bench.directory.has_planner = bench.directory.planner_first = True
             bench.directory.answers = [bench.state.replicas["s1"]]
             bench.client(8000, ADAPTER)
             await asyncio.sleep(0.05)
@@ -510,7 +510,7 @@
 
         run(scenario)
 
-    def test_a_broken_stream_goes_on_after_its_last_event_elsewhere(self):
+    def test_broken_stream_resumes_after_its_last_event_at_another_replica(self):
         async def scenario():
             first = STREAM + event(1) + event(2) + chunk(b"id: 3\nda")
             bench = self.bench([[[first, "reset"]], [[STREAM + event(3) + event(4) + END]]])
@@ -525,7 +525,7 @@
 
         run(scenario)
 
-    def test_a_broken_streams_weights_are_asked_for_as_one_that_must_not_be_refused(self):
+    def test_broken_stream_is_placed_with_the_priority_of_a_started_stream(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1), "reset"]], [[STREAM + event(2) + END]]])
             s1 = bench.state.replicas["s1"]
@@ -540,7 +540,7 @@
 
         run(scenario)
 
-    def test_a_silent_stream_goes_on_elsewhere_after_the_first_replica_was_left(self):
+    def test_silent_stream_resumes_elsewhere_and_closes_the_first_connection(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1)]], [[STREAM + event(2) + END]]])
             client = bench.client(8000, ADAPTER)
@@ -551,8 +551,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("pause_s", [1.5, 1.9])
-    def test_without_a_repetition_to_spend_a_slow_replica_is_waited_for(self, pause_s):
-        """In a burst, requests were left after 1.2 s and then failed for want of a repetition."""
+    def test_slow_replica_is_awaited_when_no_retry_is_available(self, pause_s):
+        """In a burst, attempts were abandoned after 1.2 s and failed because no retry was left."""
 
         async def scenario():
             script = [[STREAM, pause_s, event(1) + END]]
@@ -564,7 +564,7 @@
 
         run(scenario)
 
-    def test_a_stream_that_must_not_be_resumed_is_cut_without_its_end(self):
+    def test_nonresumable_stream_is_aborted_without_its_end_marker(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1), "reset"]], [[STREAM + END]]], Repeat.NEVER)
             client = bench.client(8000, ADAPTER)
@@ -575,7 +575,7 @@
 
         run(scenario)
 
-    def test_a_stream_that_misses_an_event_is_not_passed_on(self):
+    def test_stream_with_a_missing_event_is_aborted(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1) + event(3) + END]]], Repeat.NEVER, 1)
             client = bench.client(8000, ADAPTER)
@@ -585,7 +585,7 @@
 
         run(scenario)
 
-    def test_weights_that_are_not_there_are_asked_for(self):
+    def test_absent_weights_are_reported_to_the_planner(self):
         async def scenario():
             bench = self.bench([[[ABSENT], [STREAM + event(1) + END]]], Repeat.NEVER, 1)
             bench.directory.answers = [bench.state.replicas["s0"]]
@@ -596,7 +596,7 @@
 
         run(scenario)
 
-    def test_weights_that_never_come_are_refused_as_not_run_before_the_caller_gives_up(self):
+    def test_request_is_refused_as_not_run_before_the_deadline_if_weights_never_load(self):
         async def scenario():
             bench = self.bench([[[STREAM]]])
             client = bench.client(9000, b"X-Gradelug-Model: m/a2\r\n")
@@ -607,7 +607,7 @@
 
         run(scenario)
 
-    def test_a_named_version_is_demanded_and_older_holders_get_nothing(self):
+    def test_required_version_is_requested_and_older_holders_are_skipped(self):
         async def scenario():
             bench = self.bench([[[STREAM + event(1) + END]]])
             bench.state.versions[KEY] = 2
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""Callers that do not read, and upstreams that are ahead of them, within one bound."""
+"""Memory limit for responses that callers do not read, and read-ahead from upstreams."""
 
 import asyncio
 from pipes import MemoryTransport, RawClient
@@ -18,9 +18,9 @@
 from test_serving import STREAM, Bench, event, route
 from world import new_loop
 
-HIGH_WATER = 65_536
-PART = 16_384
-MOST_BYTES = 8_000_000
+HIGH_WATER_BYTES = 65_536
+CHUNK_BYTES = 16_384
+MAX_UNREAD_BYTES = 8_000_000
 BODY_BYTES = 20_000
 GET = b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 POST = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n" % BODY_BYTES + b"b" * BODY_BYTES
@@ -35,24 +35,24 @@
 
 
 class UnreadTransport(MemoryTransport):
-    """What is written stays here while the other end does not read."""
+    """Buffers written data while the peer does not read."""
 
-    reads = True
+    is_reading = True
 
     def __init__(self, protocol):
         super().__init__(protocol)
         self.buffer = bytearray()
 
     def write(self, data):
-        if self.reads:
+        if self.is_reading:
             super().write(data)
             return
         self.buffer += data
-        if len(self.buffer) > HIGH_WATER:
+        if len(self.buffer) > HIGH_WATER_BYTES:
             self.protocol.pause_writing()
 
     def read(self):
-        self.reads = True
+        self.is_reading = True
         data, self.buffer = bytes(self.buffer), bytearray()
         super().write(data)
         self.protocol.resume_writing()
@@ -61,24 +61,26 @@
         return len(self.buffer)
 
 
-def connect(server, reads, request=GET):
+def connect(server, is_reading, request=GET):
     client, conn = RawClient(), server.new_connection()
     near, far = MemoryTransport(client), UnreadTransport(conn)
     near.peer, far.peer = far, near
-    far.reads = reads
+    far.is_reading = is_reading
     client.connection_made(near)
     conn.connection_made(far)
     near.write(request)
     return client, far
 
 
-class TestBound:
+class TestMemoryLimit:
     @given(
         st.integers(0, 1000),
         st.lists(st.tuples(st.floats(0, 100), st.integers(0, 400)), max_size=20),
         st.integers(0, 2000),
     )
-    def test_the_longest_unread_go_first_and_no_more_than_needed(self, limit, readers, others):
+    def test_longest_stalled_readers_are_shed_first_and_only_as_needed(
+        self, limit, readers, others
+    ):
         slow = [SlowReader(at, since, size) for at, (since, size) in enumerate(readers)]
         held = others + sum(reader.size for reader in slow)
         shed = to_shed(limit, held, slow)
@@ -90,12 +92,12 @@
             assert all(shed[-1].since <= reader.since for reader in kept)
 
     @given(st.integers(0, 10**9), st.integers(0, 10**5))
-    def test_answers_are_ahead_by_their_share_and_at_least_by_some_events(self, limit, answers):
+    def test_read_ahead_is_an_equal_share_with_a_minimum(self, limit, answers):
         size = read_ahead(limit, answers)
         assert LEAST_READ_AHEAD <= size <= MOST_READ_AHEAD
         assert size == LEAST_READ_AHEAD or size * answers <= limit
 
-    def test_the_weakest_instance_keeps_less_than_it_has(self):
+    def test_unread_limit_fits_the_memory_of_the_smallest_instance(self):
         for memory_mb in (40.0, 160.0, 552.0):
             settings = GatewaySettings(
                 "i", "h", Addresses("a:1", "a:2", "a:3"), Bounds(), memory_mb=memory_mb
@@ -104,8 +106,8 @@
             assert settings.unread_bytes / 1e6 <= max(4.0, memory_mb - OWN_MB)
 
 
-class TestCallersThatDoNotRead:
-    def test_five_hundred_leave_the_others_unharmed_and_the_memory_bounded(self):
+class TestSlowReaders:
+    def test_500_slow_readers_do_not_affect_others_and_memory_stays_bounded(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             served = []
@@ -113,41 +115,41 @@
             async def serve(inc):
                 inc.begin(200, [])
                 for _ in range(40):
-                    await inc.send(b"x" * PART)
+                    await inc.send(b"x" * CHUNK_BYTES)
                     await asyncio.sleep(0.01)
                 inc.finish()
                 served.append(inc)
 
-            server = HttpServer(serve, ServerLimits, clock, MOST_BYTES)
+            server = HttpServer(serve, ServerLimits, clock, MAX_UNREAD_BYTES)
             server.start_sweeping()
-            slow = [connect(server, reads=False) for _ in range(500)]
+            slow = [connect(server, is_reading=False) for _ in range(500)]
             await asyncio.sleep(1.0)
-            good = [connect(server, reads=True) for _ in range(20)]
+            reading = [connect(server, is_reading=True) for _ in range(20)]
             await asyncio.sleep(2.0)
             held = sum(conn.held for conn in server.connections)
             ended = sum(client.ended for client, _ in slow)
             await server.close()
-            return held, len(served), server.shed, ended, good
+            return held, len(served), server.shed, ended, reading
 
-        held, served, shed, ended, good = run(scenario)
-        assert held <= MOST_BYTES
-        assert served == len(good)
-        # 500 times 65 KB are 33 MB: those that had to go went, and no more.
+        held, served, shed, ended, reading = run(scenario)
+        assert held <= MAX_UNREAD_BYTES
+        assert served == len(reading)
+        # 500 times 65 KB are 33 MB: only as many readers were shed as necessary.
         assert shed == ended
         assert 300 < shed < 450
 
-    def test_none_is_given_up_while_all_fits(self):
+    def test_no_reader_is_shed_below_the_limit(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
 
             async def serve(inc):
                 inc.begin(200, [])
-                await inc.send(b"x" * 4 * HIGH_WATER)
+                await inc.send(b"x" * 4 * HIGH_WATER_BYTES)
                 inc.finish()
 
-            server = HttpServer(serve, ServerLimits, clock, MOST_BYTES)
+            server = HttpServer(serve, ServerLimits, clock, MAX_UNREAD_BYTES)
             server.start_sweeping()
-            client, far = connect(server, reads=False)
+            client, far = connect(server, is_reading=False)
             await asyncio.sleep(1.0)
             far.read()
             await asyncio.sleep(0.1)
@@ -157,9 +159,9 @@
 
         shed, received = run(scenario)
         assert shed == 0
-        assert received > 4 * HIGH_WATER
+        assert received > 4 * HIGH_WATER_BYTES
 
-    def test_a_body_that_cannot_be_kept_is_refused_and_not_served(self):
+    def test_request_whose_body_exceeds_the_memory_limit_is_refused(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             served = []
@@ -169,7 +171,7 @@
                 await asyncio.sleep(60.0)
 
             def post():
-                return connect(server, reads=True, request=POST)[0]
+                return connect(server, is_reading=True, request=POST)[0]
 
             server = HttpServer(serve, ServerLimits, clock, 2 * BODY_BYTES)
             server.start_sweeping()
@@ -186,19 +188,19 @@
         assert refused.startswith(b"HTTP/1.1 503")
         assert count == 3
 
-    def test_how_long_an_answer_lay_unread_is_known_for_each_request(self):
+    def test_stall_time_is_tracked_for_each_request(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             seen = []
 
             async def serve(inc):
                 inc.begin(200, [])
-                await inc.send(b"x" * 2 * HIGH_WATER)
+                await inc.send(b"x" * 2 * HIGH_WATER_BYTES)
                 seen.append(inc.held_up_s)
                 inc.finish()
 
             server = HttpServer(serve, ServerLimits, clock)
-            _, far = connect(server, reads=False)
+            _, far = connect(server, is_reading=False)
             await asyncio.sleep(3.0)
             far.read()
             await asyncio.sleep(0.1)
@@ -212,8 +214,8 @@
         assert second == 0.0
 
 
-class TestAnswersThatAreAhead:
-    def test_an_upstream_is_not_read_beyond_its_share(self):
+class TestReadAhead:
+    def test_upstream_reading_pauses_beyond_the_read_ahead_limit(self):
         class Paused:
             paused = False
 
@@ -229,9 +231,9 @@
         assert wire.transport.paused
 
 
-class TestABrokenAnswer:
-    def broken(self, reads):
-        """Return a replica's rate of failures after its stream broke off, read or not."""
+class TestBrokenResponse:
+    def failure_rate_after_break(self, is_reading):
+        """Return a replica's failure rate after its stream broke, with a reading caller or not."""
 
         async def scenario():
             events = b"".join(event(number) for number in range(1, 3000))
@@ -240,7 +242,7 @@
             client, conn = RawClient(), bench.server.new_connection()
             near, far = MemoryTransport(client), UnreadTransport(conn)
             near.peer, far.peer = far, near
-            far.reads = reads
+            far.is_reading = is_reading
             client.connection_made(near)
             conn.connection_made(far)
             near.write(
@@ -248,7 +250,7 @@
                 b"X-Gradelug-Deadline-Ms: 15000\r\nContent-Length: 0\r\n\r\n"
             )
             await asyncio.sleep(4.0)
-            if not reads:
+            if not is_reading:
                 far.read()
                 await asyncio.sleep(0.5)
             rate = bench.fleet.health("s0").rate(bench.clock())
@@ -257,6 +259,6 @@
 
         return run(scenario)
 
-    def test_counts_against_its_replica_only_if_the_caller_read(self):
-        assert self.broken(reads=True) > 0
-        assert self.broken(reads=False) == 0
+    def test_break_counts_against_the_replica_only_if_the_caller_was_reading(self):
+        assert self.failure_rate_after_break(is_reading=True) > 0
+        assert self.failure_rate_after_break(is_reading=False) == 0
