--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/answering.py
@@ -24,7 +24,7 @@
 """Retry-After of refusals for which no better estimate exists."""
 
 
-class Answerer:
+class ErrorResponder:
     """Answers requests for which no replica's response is forwarded.
 
     Parameters
--- a/packages/gateway/src/gradelug_gateway/budgets.py
+++ b/packages/gateway/src/gradelug_gateway/budgets.py
@@ -23,7 +23,7 @@
 """Delay before the first count of a planner is used: instances that failed together reconnect one
 by one, within one or two seconds of the planner's start."""
 FOLLOW_TIMEOUT_S = 3.0
-"""After this time without a connected planner an instance may no longer be counted."""
+"""After this time without a connected planner, an instance may be missing from the count."""
 
 
 class GatewayCount:
--- a/packages/gateway/src/gradelug_gateway/exceptions.py
+++ b/packages/gateway/src/gradelug_gateway/exceptions.py
@@ -1,6 +1,6 @@
 """Exceptions that end a request without a replica's response.
 
-`Serving.serve` catches them and has an error answer sent.
+The request pipeline catches them and answers the caller with an error.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaInputs:
-    """The values by which a request was found to exceed a quota, for the log.
+    """The values by which a request exceeds a quota, for the log.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -82,7 +82,7 @@
     work : Work
         Prompt size, urgency and memory that it takes at an engine.
     admission : Admission
-        Under which configuration and principal it was admitted.
+        Configuration version and principal under which it was admitted.
     """
 
     __slots__ = (
--- a/packages/gateway/src/gradelug_gateway/patience.py
+++ b/packages/gateway/src/gradelug_gateway/patience.py
@@ -1,6 +1,6 @@
 """How long a request waits for its placement, and for capacity at a rate-limited replica.
 
-Used by `Serving` before each attempt.
+The request pipeline uses it before each attempt.
 """
 
 from __future__ import annotations
--- a/packages/gateway/src/gradelug_gateway/routing.py
+++ b/packages/gateway/src/gradelug_gateway/routing.py
@@ -1,6 +1,6 @@
 """Route lookup by host and path, and weighted choice among a route's services.
 
-`Serving` uses both when it admits a request.
+The request pipeline uses both when it admits a request.
 """
 
 from __future__ import annotations
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -1,7 +1,7 @@
 """A single attempt of a request at a replica: sending it and forwarding the response.
 
-`Serving` calls `Sender.send` for each attempt; the result is an `Outcome`, by which it decides
-whether to retry.
+The request pipeline calls `send` for each attempt and decides by the returned `Outcome` whether to
+retry.
 """
 
 from __future__ import annotations
@@ -99,7 +99,7 @@
     lasting : LastingRuns or None
         Continues runs after their connection is lost; None disables that.
     guard : PoisonGuard or None
-        Blocks requests that make replicas end; by default a guard without a shared record.
+        Blocks requests that make replicas end; None for a guard of its own.
     ends : EndWatch or None
         Detects ended replicas; None disables that.
     note_leaving : callable
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -1,6 +1,6 @@
 """The request pipeline: admission, quota, placement, sending, retries and the answer.
 
-The HTTP server calls `Serving.serve` for each request; other modules implement the single steps.
+The HTTP server calls `serve` for each request; other modules implement the individual steps.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from gradelug_http import ClientGone, Incoming
 
 from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, Admitter
-from .answering import DEFAULT_RETRY_AFTER_S, Answerer
+from .answering import DEFAULT_RETRY_AFTER_S, ErrorResponder
 from .authentication import renew
 from .budgets import RetryBudgets
 from .directory import Directory, Wish
@@ -38,7 +38,8 @@
 
 log = logbook.Logger("serving")
 ABSENT_RETRY_DELAY_S = 0.03
-"""Delay before a retry after a replica reported that the weights are not loaded there."""
+"""Delay before a retry after a replica reported that it lacks the weights; their load is about to
+finish then."""
 FIRST_CONFIG_WAIT_S = 2.0
 """Longest wait of a request for the first configuration after startup, while the store responds.
 The store sends 1.2 MB for 1,700 routes and 145 replicas, which takes 0.9 s on a 10 Mbit/s link;
@@ -89,7 +90,7 @@
 
     __slots__ = (
         "_admitter",
-        "_answerer",
+        "_error_responder",
         "_budgets",
         "_clock",
         "_dialect",
@@ -141,7 +142,7 @@
         self._quotas = quotas
         self._expects_config = expects_config
         self._plain_placer = PlainPlacer(fleet, clock, rng, meters, uses_shared_health)
-        self._answerer = Answerer(dialect, sender, admitter, meters, clock)
+        self._error_responder = ErrorResponder(dialect, sender, admitter, meters, clock)
         self._table = RouteTable(())
         self._table_version = -1
         self._shutdown_at = math.inf
@@ -168,7 +169,7 @@
             req = self._dialect.read_request(inc)
         except BadRequest as exc:
             log.info("rejected", why=str(exc))
-            self._answerer.answer_without_body(inc, "", 400, None)
+            self._error_responder.answer_without_body(inc, "", 400, None)
             return
         if self._fleet.state.snapshot is None:
             await self._await_config(req)
@@ -185,16 +186,16 @@
                     self._sender.release_weights(job)
                     self._release_kv_copy(job)
         except TimeoutError:
-            self._answerer.expire(job)
+            self._error_responder.expire(job)
         except Refused as exc:
-            self._answerer.refuse(job, exc)
+            self._error_responder.refuse(job, exc)
         except Failed as exc:
-            self._answerer.fail(job, exc)
+            self._error_responder.fail(job, exc)
         except Limited as exc:
-            self._answerer.limit(job, exc)
+            self._error_responder.limit(job, exc)
         except Unauthenticated as exc:
             job.give_back()
-            self._answerer.deny(job.inc, job.req, job.route, str(exc))
+            self._error_responder.deny(job.inc, job.req, job.route, str(exc))
         except (asyncio.CancelledError, ClientGone):
             job.give_back()
             self._meters.outcome(job.route.name, "left")
@@ -220,11 +221,13 @@
         snapshot = self._fleet.state.snapshot
         if self._clock() >= self._shutdown_at:
             log.info("refused", id=req.id, why="this instance is shutting down")
-            self._answerer.answer_without_body(inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S)
+            self._error_responder.answer_without_body(
+                inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S
+            )
             return None
         if snapshot is None:
             log.info("refused", id=req.id, why="no configuration has been received yet")
-            self._answerer.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
+            self._error_responder.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
             return None
         if snapshot.version != self._table_version:
             self._table = RouteTable(snapshot.routes)
@@ -232,17 +235,17 @@
         route = self._table.find(req.host, req.path)
         if route is None:
             log.info("no route", id=req.id, host=req.host, path=req.path, config=snapshot.version)
-            self._answerer.answer_without_body(inc, req.id, 404, None)
+            self._error_responder.answer_without_body(inc, req.id, 404, None)
             return None
         try:
             admission = self._admitter.admit(req, route, snapshot)
         except Unauthenticated as exc:
-            self._answerer.deny(inc, req, route, str(exc))
+            self._error_responder.deny(inc, req, route, str(exc))
             return None
         except Refused as exc:
             log.info("refused", id=req.id, why=str(exc), config=snapshot.version)
             self._meters.outcome(route.name, "refused")
-            self._answerer.answer_without_body(inc, req.id, 503, exc.retry_after_s)
+            self._error_responder.answer_without_body(inc, req.id, 503, exc.retry_after_s)
             return None
         name = choose_service(route, self._rng)
         service = snapshot.services.get(name) or Service(name, 1)
@@ -288,7 +291,8 @@
                     job, replica, self._wait_policy.demand(job, replica)
                 )
             finally:
-                # Without capacity found, none is freed: waking waiters would send all of them.
+                # A refused attempt frees no capacity: releasing a waiter after it would start a
+                # chain in which all waiting requests are sent at once.
                 if outcome not in (Outcome.FULL, Outcome.LIMITED):
                     self._plain_placer.note_finished(job.service.name)
                 self._tally.end(job, outcome)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -42,7 +42,7 @@
 
     def choose(self, simulation, gateway, now):
         others = {
-            rep: simulation.told[rep] - simulation.reporting[gateway][rep] for rep in REPLICAS
+            rep: simulation.reported[rep] - simulation.reporting[gateway][rep] for rep in REPLICAS
         }
         return min(REPLICAS, key=lambda rep: others[rep] + simulation.own[gateway][rep])
 
@@ -52,7 +52,9 @@
 
     def choose(self, simulation, gateway, now):
         drawn = simulation.rng.sample(REPLICAS, 2)
-        others = {rep: simulation.told[rep] - simulation.reporting[gateway][rep] for rep in drawn}
+        others = {
+            rep: simulation.reported[rep] - simulation.reporting[gateway][rep] for rep in drawn
+        }
         return min(drawn, key=lambda rep: others[rep] + simulation.own[gateway][rep])
 
 
@@ -98,7 +100,7 @@
         )
         self.own = [Counter() for _ in range(GATEWAYS)]
         self.reporting = [Counter() for _ in range(GATEWAYS)]
-        self.told = Counter()
+        self.reported = Counter()
         self.found = {}
         self.pool = VerdictPool()
         self.ended = [{} for _ in range(GATEWAYS)]
@@ -164,7 +166,7 @@
         self._at(now + GATHER_INTERVAL_S, self._gather, gateway)
 
     def _propagate(self, now):
-        self.told = sum(self.reporting, Counter())
+        self.reported = sum(self.reporting, Counter())
         members = {"plain": REPLICAS}
         changes = self.pool.step(members, GATHER_INTERVAL_S, now)
         self.ejected |= {change.replica for change in changes if change.ejected}
@@ -194,12 +196,12 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_reported_request_counts_send_all_gateways_to_the_same_replica(self, seed):
-        shares, told, two = (
+        shares, reported, two = (
             Simulation(strategy, seed=seed)
             for strategy in (PooledShares(), LeastReportedRequests(), BestOfTwoReported())
         )
         assert shares.fraction(shares.full) < 0.01
-        assert told.fraction(told.full) > 0.1
+        assert reported.fraction(reported.full) > 0.1
         assert two.fraction(two.full) > 0.02
 
     @pytest.mark.parametrize("seed", range(3))
@@ -351,13 +353,13 @@
     def test_ejected_replica_receives_only_a_probe_from_the_designated_gateway(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[[OK]] * 20, [[OK]] * 20])
-            told = bench.fleet.health("s0").told
-            told[""] = ToldFinding(0.5, 1.0, 0.0, False, bench.clock() + 3.0)
+            findings = bench.fleet.health("s0").told
+            findings[""] = ToldFinding(0.5, 1.0, 0.0, False, bench.clock() + 3.0)
             for _ in range(5):
                 bench.client()
                 await asyncio.sleep(0.05)
             assert not bench.received("s0")
-            told[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
+            findings[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
             for _ in range(3):
                 bench.client()
             await asyncio.sleep(0.05)
@@ -368,8 +370,8 @@
     def test_nonrepeatable_request_is_not_used_as_a_probe(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 20, [[OK]] * 20])
-            told = bench.fleet.health("s0").told
-            told[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
+            findings = bench.fleet.health("s0").told
+            findings[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
             bench.client()
             await asyncio.sleep(0.05)
             assert not bench.received("s0")
