--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -226,7 +226,7 @@
             )
             return None
         if snapshot is None:
-            log.info("refused", id=req.id, why="no configuration has been received yet")
+            log.info("refused", id=req.id, why="no configuration is known yet")
             self._error_responder.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
             return None
         if snapshot.version != self._table_version:
