--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -1,4 +1,7 @@
-"""Serving a request: admit it, have it placed and sent, send again or resume, answer."""
+"""The request pipeline: admission, quota, placement, sending, retries and the answer.
+
+The HTTP server calls `serve` for each request; other modules implement the individual steps.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,8 @@
 import logbook
 from gradelug_http import ClientGone, Incoming
 
-from .admitting import ELSEWHERE_S, Admitter
-from .answering import RETRY_AFTER_S, Answerer
+from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, Admitter
+from .answering import DEFAULT_RETRY_AFTER_S, ErrorResponder
 from .authentication import renew
 from .budgets import RetryBudgets
 from .directory import Directory, Wish
@@ -21,11 +24,11 @@
 from .job import Job, Outcome
 from .metrics import Meters
 from .model import AdapterKey, Copy, CopyKind, Repeat, Replica, Request, Service
-from .patience import Patience
+from .patience import WaitPolicy
 from .plain import PlainPlacer
 from .ports import BadRequest, Dialect
 from .quotas import Applicant, Quotas
-from .resting import check_rest
+from .resting import check_backoff
 from .routing import RouteTable, choose_service
 from .runs import LastingRuns
 from .sending import Sender
@@ -34,55 +37,60 @@
 from .wishes import begun_wish
 
 log = logbook.Logger("serving")
-NOT_READY_S = 0.03
-"""Pause before a request is sent again to a replica whose weights are about to be ready."""
-FIRST_CONFIG_S = 2.0
-"""How long a request waits for the first configuration after a start, while the store answers.
-1,700 routes and 145 replicas are reckoned at 1.2 MB, 0.9 s of a link of 10 Mbit/s; instances that
-start at once share the store's link as well."""
+ABSENT_RETRY_DELAY_S = 0.03
+"""Delay before a retry after a replica reported that it lacks the weights; their load is about to
+finish then."""
+FIRST_CONFIG_WAIT_S = 2.0
+"""Longest wait of a request for the first configuration after startup, while the store responds.
+The store sends 1.2 MB for 1,700 routes and 145 replicas, which takes 0.9 s on a 10 Mbit/s link;
+instances that start at the same time share the store's link too."""
 POLL_S = 0.05
-NEVER_S = 60.0
-"""A request that no engine can run had better not come back before the engines are others."""
-COPY_REST_S = 0.5
-"""Longest rest of its engine that a run waits for, in seconds; callers wait 2 s for an event."""
+OVERSIZED_RETRY_AFTER_S = 60.0
+"""Retry-After of a request that exceeds every engine's memory: only other engines could run it."""
+MAX_BACKOFF_WAIT_S = 0.5
+"""Longest backoff of its engine that a run waits out; callers wait 2 s for the next event."""
 MAX_SENDS = 6
-"""Bound on sendings of one request, whatever their outcomes."""
+"""Maximum number of attempts per request, whatever their outcomes."""
 
 
 class Serving:
-    """Serves requests of callers.
+    """Runs callers' requests from admission to the answer.
 
     Parameters
     ----------
     dialect : Dialect
-        How callers and replicas speak.
+        Reads and writes the HTTP headers of callers and replicas.
     fleet : Fleet
-        Replicas.
+        State and load of all replicas.
     directory : Directory
-        Asks for weights to be placed.
+        Requests placements from the planner.
     sender : Sender
-        Sends to replicas.
+        Sends requests to replicas.
     budgets : RetryBudgets
-        Repeated sendings that this instance may make.
-    clock, rng
-        The runtime's clock and source of chance.
+        Retry budget of this instance for each service.
+    meters : Meters
+        Request metrics.
+    clock : callable
+        Returns the event loop's time, in seconds.
+    rng : Random
+        Source of randomness for service shares and jitter.
     admitter : Admitter
-        Tells for whom a request is.
+        Authenticates requests and checks that the configuration is current.
     quotas : Quotas
-        Lets requests run within the quotas of their organisations.
+        Charges requests to the quotas of their organisations.
     expects_config : callable
-        Tells whether a first configuration is on its way.
-    shares_health : bool
-        Whether what all instances found of replicas decides where requests go.
+        Returns whether a first configuration is being fetched.
+    uses_shared_health : bool
+        Whether plain requests are balanced by the health data that all instances share.
     lasting : LastingRuns or None
-        Lets runs go on from their memory, if given.
+        Continues interrupted runs from their saved KV cache; None disables that.
     tally : ShareTally or None
-        Counts what parties use of engines.
+        Counts the engine use of each party.
     """
 
     __slots__ = (
         "_admitter",
-        "_answer",
+        "_error_responder",
         "_budgets",
         "_clock",
         "_dialect",
@@ -91,10 +99,10 @@
         "_fleet",
         "_lasting",
         "_meters",
-        "_patience",
-        "_plain",
+        "_wait_policy",
+        "_plain_placer",
         "_quotas",
-        "_refuses_from",
+        "_shutdown_at",
         "_rng",
         "_sender",
         "_table",
@@ -116,7 +124,7 @@
         admitter: Admitter,
         quotas: Quotas,
         expects_config: t.Callable[[], bool] = lambda: False,
-        shares_health: bool = True,
+        uses_shared_health: bool = True,
         lasting: LastingRuns | None = None,
         tally: ShareTally | None = None,
     ) -> None:
@@ -133,29 +141,35 @@
         self._admitter = admitter
         self._quotas = quotas
         self._expects_config = expects_config
-        self._plain = PlainPlacer(fleet, clock, rng, meters, shares_health)
-        self._answer = Answerer(dialect, sender, admitter, meters, clock)
+        self._plain_placer = PlainPlacer(fleet, clock, rng, meters, uses_shared_health)
+        self._error_responder = ErrorResponder(dialect, sender, admitter, meters, clock)
         self._table = RouteTable(())
         self._table_version = -1
-        self._refuses_from = math.inf
+        self._shutdown_at = math.inf
         self._values = RequestValues()
-        self._patience = Patience(fleet, self._values, clock)
+        self._wait_policy = WaitPolicy(fleet, self._values, clock)
 
     def forget_gone(self) -> None:
-        """Drop what is known of replicas that are gone."""
-        self._plain.forget_gone()
+        """Drop the state of removed replicas."""
+        self._plain_placer.forget_gone()
 
     def refuse_from(self, at: float) -> None:
-        """Refuse requests that arrive from a moment on: the process is about to end."""
-        self._refuses_from = at
+        """Refuse requests that arrive at or after a time, because the process shuts down.
+
+        Parameters
+        ----------
+        at : float
+            Event loop time, in seconds.
+        """
+        self._shutdown_at = at
 
     async def serve(self, inc: Incoming) -> None:
-        """Answer a request."""
+        """Serve one request and answer it."""
         try:
             req = self._dialect.read_request(inc)
         except BadRequest as exc:
             log.info("rejected", why=str(exc))
-            self._answer.answer_self(inc, "", 400, None)
+            self._error_responder.answer_without_body(inc, "", 400, None)
             return
         if self._fleet.state.snapshot is None:
             await self._await_config(req)
@@ -170,18 +184,18 @@
                     await self._run(job)
                 finally:
                     self._sender.release_weights(job)
-                    self._free_copies(job)
+                    self._release_kv_copy(job)
         except TimeoutError:
-            self._answer.expire(job)
+            self._error_responder.expire(job)
         except Refused as exc:
-            self._answer.refuse(job, exc)
+            self._error_responder.refuse(job, exc)
         except Failed as exc:
-            self._answer.fail(job, exc)
+            self._error_responder.fail(job, exc)
         except Limited as exc:
-            self._answer.limit(job, exc)
+            self._error_responder.limit(job, exc)
         except Unauthenticated as exc:
             job.give_back()
-            self._answer.deny(job.inc, job.req, job.route, str(exc))
+            self._error_responder.deny(job.inc, job.req, job.route, str(exc))
         except (asyncio.CancelledError, ClientGone):
             job.give_back()
             self._meters.outcome(job.route.name, "left")
@@ -190,14 +204,14 @@
         else:
             self._meters.latency(job.route.streaming, self._clock() - started)
 
-    def _free_copies(self, job: Job) -> None:
-        """Free the memory that a request leaves behind."""
+    def _release_kv_copy(self, job: Job) -> None:
+        """Release the saved KV cache of a request that ended without using it."""
         if self._lasting is not None and job.copy is not None and job.copy is not job.used:
             self._lasting.weights.give_up(job.copy)
 
     async def _await_config(self, req: Request) -> None:
-        """Wait for a first configuration that is on its way."""
-        until = self._clock() + min(FIRST_CONFIG_S, req.wait_s / 2)
+        """Wait for the first configuration while it is being fetched."""
+        until = self._clock() + min(FIRST_CONFIG_WAIT_S, req.wait_s / 2)
         while self._fleet.state.snapshot is None and self._expects_config():
             if self._clock() >= until:
                 return
@@ -205,13 +219,15 @@
 
     def _admit(self, inc: Incoming, req: Request) -> Job | None:
         snapshot = self._fleet.state.snapshot
-        if self._clock() >= self._refuses_from:
-            log.info("refused", id=req.id, why="this instance is about to end")
-            self._answer.answer_self(inc, req.id, 503, ELSEWHERE_S)
+        if self._clock() >= self._shutdown_at:
+            log.info("refused", id=req.id, why="this instance is shutting down")
+            self._error_responder.answer_without_body(
+                inc, req.id, 503, OTHER_INSTANCE_RETRY_AFTER_S
+            )
             return None
         if snapshot is None:
             log.info("refused", id=req.id, why="no configuration is known yet")
-            self._answer.answer_self(inc, req.id, 503, RETRY_AFTER_S)
+            self._error_responder.answer_without_body(inc, req.id, 503, DEFAULT_RETRY_AFTER_S)
             return None
         if snapshot.version != self._table_version:
             self._table = RouteTable(snapshot.routes)
@@ -219,17 +235,17 @@
         route = self._table.find(req.host, req.path)
         if route is None:
             log.info("no route", id=req.id, host=req.host, path=req.path, config=snapshot.version)
-            self._answer.answer_self(inc, req.id, 404, None)
+            self._error_responder.answer_without_body(inc, req.id, 404, None)
             return None
         try:
             admission = self._admitter.admit(req, route, snapshot)
         except Unauthenticated as exc:
-            self._answer.deny(inc, req, route, str(exc))
+            self._error_responder.deny(inc, req, route, str(exc))
             return None
         except Refused as exc:
             log.info("refused", id=req.id, why=str(exc), config=snapshot.version)
             self._meters.outcome(route.name, "refused")
-            self._answer.answer_self(inc, req.id, 503, exc.retry_after_s)
+            self._error_responder.answer_without_body(inc, req.id, 503, exc.retry_after_s)
             return None
         name = choose_service(route, self._rng)
         service = snapshot.services.get(name) or Service(name, 1)
@@ -239,11 +255,11 @@
         return Job(inc, req, route, service, work, admission)
 
     async def _charge(self, job: Job) -> None:
-        """Count a request to its organisation's quota."""
+        """Charge a request to its organisation's quota."""
         if job.principal is None:
             return
         req, route = job.req, job.route
-        # Within an organisation the route's urgency tells, whatever that of the organisation.
+        # Requests of one organisation are ordered by their routes' ranks, not by its own rank.
         applicant = Applicant(
             route.rank,
             self._values.value(route, route.rank, req),
@@ -264,28 +280,31 @@
     async def _run(self, job: Job) -> None:
         while True:
             self._sender.check(job)
-            began = self._clock()
-            replica = await self._place_again(job)
-            job.placed_s += self._clock() - began
-            self._check_key(job)
+            started_at = self._clock()
+            replica = await self._place_with_fallback(job)
+            job.placed_s += self._clock() - started_at
+            self._revalidate_key(job)
             outcome = Outcome.UNKNOWN
             self._tally.begin(job)
             try:
-                outcome = await self._sender.send(job, replica, self._patience.demand(job, replica))
+                outcome = await self._sender.send(
+                    job, replica, self._wait_policy.demand(job, replica)
+                )
             finally:
-                # Who found no room leaves none behind: all that wait would be sent at once.
+                # A refused attempt frees no capacity: releasing a waiter after it would start a
+                # chain in which all waiting requests are sent at once.
                 if outcome not in (Outcome.FULL, Outcome.LIMITED):
-                    self._plain.note_end(job.service.name)
+                    self._plain_placer.note_finished(job.service.name)
                 self._tally.end(job, outcome)
             if outcome is Outcome.DONE:
                 return
             if outcome is Outcome.LIMITED:
-                self._consider_limited(job, replica)
+                self._handle_limited(job, replica)
             else:
-                await self._consider_again(job, replica, outcome)
+                await self._prepare_retry(job, replica, outcome)
 
-    def _check_key(self, job: Job) -> None:
-        """See to it that a key is still good after a change of the configuration."""
+    def _revalidate_key(self, job: Job) -> None:
+        """Check that the caller's key is still valid if the configuration has changed."""
         snapshot = self._fleet.state.snapshot
         if job.principal is None or snapshot is None or snapshot.version == job.config:
             return
@@ -297,30 +316,30 @@
                 raise Failed(str(exc)) from exc
             raise
 
-    # Placing.
+    # Placement.
 
     async def _place(self, job: Job) -> Replica:
         key = job.req.key
-        job.chosen_here = False
+        job.is_chosen_locally = False
         if job.copy is not None and key is not None:
-            return await self._place_copy(job, job.copy, key)
-        check_rest(self._fleet, job)
+            return await self._place_at_kv_copy(job, job.copy, key)
+        check_backoff(self._fleet, job)
         if job.service.engine is not None and key is not None:
             return await self._place_weights(job, key)
-        job.chosen_here = True
-        return await self._plain.place(job)
+        job.is_chosen_locally = True
+        return await self._plain_placer.place(job)
 
     async def _place_weights(self, job: Job, key: AdapterKey) -> Replica:
         if not self._fleet.fits(job.service.name, job.work):
-            raise Refused("its prompt is larger than an engine's memory", NEVER_S)
+            raise Refused("the prompt exceeds the memory of every engine", OVERSIZED_RETRY_AFTER_S)
         known = None
         if not job.absent:
             holders = self._fleet.holders(job.service.name, key)
             known = self._fleet.choose(
                 holders, job.excluded, job.candidates(), job.work, job.may_repeat()
             )
-            if known is not None and not self._had_better_ask(job, known):
-                job.chosen_here = True
+            if known is not None and not self._should_ask_planner(job, known):
+                job.is_chosen_locally = True
                 return known
         excluded = {*job.excluded, *self._fleet.resting(job.service.name, key)}
         return await self._ask_planner(job, key, excluded, job.candidates(), known)
@@ -333,11 +352,25 @@
         only: t.Container[str] | None,
         known: Replica | None = None,
     ) -> Replica:
-        """Return where the planner places a request, and report a replica without the weights."""
+        """Return the replica that the planner chooses, and report one that lacks the weights.
+
+        Parameters
+        ----------
+        job : Job
+            The request.
+        key : AdapterKey
+            Model and adapter that it needs.
+        excluded : collection of str
+            Replicas that the planner must not choose.
+        only : container of str or None
+            Replicas among which it must choose; None for any.
+        known : Replica or None
+            The best replica that this instance knows of.
+        """
         replica = await self._directory.place(
             job.service.name,
             key,
-            wish=self._wish(job),
+            wish=self._build_wish(job),
             excluded=excluded,
             only=only,
             absent=job.absent,
@@ -346,25 +379,27 @@
         job.absent = ""
         return replica
 
-    async def _place_again(self, job: Job) -> Replica:
-        """Return where a request is sent next: where its memory is, as long as it has any."""
+    async def _place_with_fallback(self, job: Job) -> Replica:
+        """Return the next replica, preferring one that holds the run's saved KV cache."""
         while True:
             try:
                 return await self._place(job)
             except Refused as exc:
                 if job.copy is None:
                     raise
-                log.info("run cannot go on", id=job.req.id, why=str(exc))
-                self._drop_copy(job, job.copy)
+                log.info(
+                    "cannot continue the run from its saved KV cache", id=job.req.id, why=str(exc)
+                )
+                self._drop_kv_copy(job, job.copy)
                 if job.copy is None and not job.may_repeat():
                     raise
 
-    async def _place_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
-        """Return the engine that keeps the memory of a run, with the weights on it."""
+    async def _place_at_kv_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
+        """Return the engine that holds a run's saved KV cache, once it has the weights loaded."""
         holder = copy.holder
         rest_s = self._fleet.rests.left_s(holder)
-        if rest_s > COPY_REST_S:
-            raise Refused("the engine that keeps its memory rests", rest_s)
+        if rest_s > MAX_BACKOFF_WAIT_S:
+            raise Refused("the engine with the saved KV cache is in backoff", rest_s)
         if rest_s:
             await asyncio.sleep(rest_s)
         weights = self._lasting.weights if self._lasting is not None else None
@@ -374,87 +409,108 @@
         if holds and job.absent != holder.name:
             return holder
         if weights is None or not weights.can_load(copy, key):
-            raise Refused("other weights would be loaded than those of its memory", RETRY_AFTER_S)
+            raise Refused(
+                "the weights of the saved KV cache cannot be loaded", DEFAULT_RETRY_AFTER_S
+            )
         replica = await self._ask_planner(job, key, (), (holder.name,))
         job.copy = replace(copy, was_loaded=True)
         return replica
 
-    def _had_better_ask(self, job: Job, replica: Replica) -> bool:
-        """Tell whether the planner may know of a better replica than the one that is known here."""
-        if job.asked or job.inc.started or not self._directory.is_followed(job.service.name):
+    def _should_ask_planner(self, job: Job, replica: Replica) -> bool:
+        """Return whether the planner may offer a better replica than the one chosen locally."""
+        if (
+            job.was_planner_asked
+            or job.inc.started
+            or not self._directory.is_followed(job.service.name)
+        ):
             return False
-        job.asked = True
+        job.was_planner_asked = True
         if self._directory.asks_first(job.service.name) or self._fleet.is_ejected(replica.name):
             return True
         if self._fleet.limits.rate(replica.name) is not None:
             return True
         return self._fleet.is_late(replica, job.work, job.req.arrived_at + job.route.target_s)
 
-    def _wish(self, job: Job) -> Wish:
+    def _build_wish(self, job: Job) -> Wish:
         route, req = job.route, job.req
         if job.inc.started:
             return begun_wish(job, self._clock(), self._tally.party(job))
         return Wish(
             rank=job.rank,
             value=self._values.value(route, job.rank, req),
-            returning=self._patience.is_returning(job),
+            returning=self._wait_policy.is_returning(job),
             target_at=req.arrived_at + route.target_s,
-            until=self._patience.until(job),
+            until=self._wait_policy.placement_deadline(job),
             work=job.work,
             party=self._tally.party(job),
             request=req.id,
         )
 
-    # Replicas that take only so many requests a second, or rest.
+    # Replicas with a rate limit or in backoff.
 
-    def _consider_limited(self, job: Job, replica: Replica) -> None:
-        """Let a request for which a replica has no room go elsewhere, or end it."""
+    def _handle_limited(self, job: Job, replica: Replica) -> None:
+        """Exclude a replica without capacity; raise if the request has no alternative."""
         job.excluded.add(replica.name)
         job.sends += 1
         if job.copy is not None:
-            self._drop_copy(job, job.copy)
+            self._drop_kv_copy(job, job.copy)
             if job.copy is None and not job.may_repeat():
-                raise Failed("where its memory is, no more requests are taken")
+                raise Failed("the engine with the saved KV cache accepts no more requests")
             return
-        has_other = job.room_elsewhere or self._patience.has_open(job, replica)
-        if job.sends >= MAX_SENDS or not has_other:
-            raise Refused("its replicas take no more requests now", job.room_s)
+        has_alternative = job.has_capacity_elsewhere or self._wait_policy.has_unlimited_alternative(
+            job, replica
+        )
+        if job.sends >= MAX_SENDS or not has_alternative:
+            raise Refused("all replicas are at their rate limit", job.capacity_retry_s)
 
-    # Sending again.
+    # Retries.
 
     async def _take_retry(self, job: Job) -> None:
-        """Take a repeated sending from the budget, or raise.
+        """Take a retry from the budget.
+
+        A request that has not run waits for a retry until its target time, and is refused
+        immediately only if none becomes available by then.
 
-        A request that has not run waits for one as long as its answer would be in time: it is
-        refused at once only if there will be none by then.
+        Raises
+        ------
+        Refused
+            If the budget has no retry in time.
         """
         service, unrun = job.service.name, job.is_unrun
         until = job.req.arrived_at + job.route.target_s if unrun else -math.inf
         while not self._budgets.try_retry(service, unrun):
             if self._clock() + self._budgets.next_s(service) >= until:
-                # Whoever comes back is a new request, and needs no repetition.
-                raise Refused("the budget of repeated sendings is spent", RETRY_AFTER_S)
+                # The caller's own retry is a new request and takes nothing from the budget.
+                raise Refused("the retry budget is exhausted", DEFAULT_RETRY_AFTER_S)
             await asyncio.sleep(POLL_S)
 
     def _may_wait(self, job: Job, replica: Replica) -> bool:
-        """Tell whether a request for which there was no room may be sent to a replica again."""
-        if not self._plain.is_on or job.service.engine is not None:
+        """Return whether a request may wait for capacity at a replica that was full."""
+        if not self._plain_placer.is_queueing_enabled or job.service.engine is not None:
             return False
         if self._fleet.rests.left_s(replica):
             return False
-        return not self._plain.has_other(job) and self._budgets.has_retry(job.service.name)
+        return not self._plain_placer.has_alternative(job) and self._budgets.has_retry(
+            job.service.name
+        )
 
-    def _goes_on(self, job: Job, outcome: Outcome) -> bool:
-        """Tell whether the run of a request goes on from its memory, if it is kept somewhere."""
+    def _try_continue_run(self, job: Job, outcome: Outcome) -> bool:
+        """Select the saved KV cache from which a run continues, and take a retry for it.
+
+        Returns
+        -------
+        bool
+            Whether the run continues; False if no KV cache or no retry is available.
+        """
         if self._lasting is None or not self._lasting.is_lasting(job) or outcome is Outcome.RAN:
             return False
-        is_tried = job.copy is not None and job.copy is job.used
-        if is_tried and job.copy is not None and outcome is Outcome.UNKNOWN:
-            # It serves once.
+        was_used_last = job.copy is not None and job.copy is job.used
+        if was_used_last and job.copy is not None and outcome is Outcome.UNKNOWN:
+            # A saved KV cache can be used only once, and this one may have been.
             job.copy = None
-        elif is_tried and job.copy is not None and not self._can_load(job, outcome):
-            self._drop_copy(job, job.copy)
-        if job.copy is None and (outcome is Outcome.UNKNOWN or is_tried):
+        elif was_used_last and job.copy is not None and not self._can_load_weights(job, outcome):
+            self._drop_kv_copy(job, job.copy)
+        if job.copy is None and (outcome is Outcome.UNKNOWN or was_used_last):
             job.copy, job.backup = job.backup, None
         if job.copy is None or job.sends >= MAX_SENDS:
             return False
@@ -474,14 +530,14 @@
         )
         return True
 
-    def _can_load(self, job: Job, outcome: Outcome) -> bool:
-        """Tell whether a load at the engine that keeps a run's memory lets it go on there."""
+    def _can_load_weights(self, job: Job, outcome: Outcome) -> bool:
+        """Return whether loading weights at the engine with the KV cache lets the run continue."""
         if outcome is not Outcome.ABSENT or job.copy is None or self._lasting is None:
             return False
         return self._lasting.weights.can_load(job.copy, job.req.key)
 
-    def _drop_copy(self, job: Job, copy: Copy) -> None:
-        """Go on from the next memory of a run, if there is any: from this one it cannot."""
+    def _drop_kv_copy(self, job: Job, copy: Copy) -> None:
+        """Discard a saved KV cache and fall back to another one of the run, if there is one."""
         if copy.elsewhere is not None:
             job.copy = replace(
                 copy,
@@ -496,50 +552,50 @@
             self._lasting.weights.give_up(copy)
         job.copy, job.backup = job.backup, None
 
-    async def _consider_again(self, job: Job, replica: Replica, outcome: Outcome) -> None:
+    async def _prepare_retry(self, job: Job, replica: Replica, outcome: Outcome) -> None:
         if outcome is Outcome.NOT_SENT:
             job.excluded.add(replica.name)
             job.sends += 1
         elif outcome is Outcome.STALE:
-            # The repetition that was taken for it was not made.
+            # The retry taken from the budget was not used.
             job.is_paid = True
         elif outcome is Outcome.ABSENT:
-            await asyncio.sleep(NOT_READY_S)
+            await asyncio.sleep(ABSENT_RETRY_DELAY_S)
         else:
             job.excluded.add(replica.name)
         if outcome is Outcome.FULL:
-            self._plain.note_full(replica)
+            self._plain_placer.note_full(replica)
             if job.copy is None:
-                check_rest(self._fleet, job)
-        if self._goes_on(job, outcome):
+                check_backoff(self._fleet, job)
+        if self._try_continue_run(job, outcome):
             return
         if job.used is not None and outcome is not Outcome.RAN:
-            # What its memory was to go on from has run, and nothing has been heard of its end.
+            # The continued run had already started, and its result is unknown.
             outcome = Outcome.UNKNOWN
-        maybe_ran = outcome in (Outcome.UNKNOWN, Outcome.RAN)
+        may_have_run = outcome in (Outcome.UNKNOWN, Outcome.RAN)
         if outcome is Outcome.UNKNOWN:
             job.events.restart()
-        if maybe_ran and not job.may_repeat():
-            raise Failed(f"it may have run: {outcome.value}")
+        if may_have_run and not job.may_repeat():
+            raise Failed(f"the request may have run: {outcome.value}")
         if outcome is Outcome.RAN and job.route.repeat is not Repeat.FREELY:
-            raise Failed("the replica failed it")
+            raise Failed("the replica returned an error")
         if job.sends >= MAX_SENDS:
-            raise Refused("sent too often", RETRY_AFTER_S)
+            raise Refused("sent too often", DEFAULT_RETRY_AFTER_S)
         if outcome is Outcome.FULL and self._may_wait(job, replica):
-            await self._plain.wait(job, replica)
+            await self._plain_placer.wait(job, replica)
             job.excluded.discard(replica.name)
         candidates = job.candidates()
-        if candidates is not None and not maybe_ran and job.excluded >= job.tried:
-            raise Refused("no further replica may be tried", RETRY_AFTER_S)
-        if candidates is not None and maybe_ran:
+        if candidates is not None and not may_have_run and job.excluded >= job.tried:
+            raise Refused("the route allows no further replica", DEFAULT_RETRY_AFTER_S)
+        if candidates is not None and may_have_run:
             if job.route.repeat is not Repeat.RESUME:
-                raise Failed("no further replica may be tried")
+                raise Failed("the route allows no further replica")
             job.excluded.clear()
         if outcome is not Outcome.NOT_SENT and not job.is_paid:
             await self._take_retry(job)
         job.is_paid = False
         log.info(
-            "send again",
+            "retrying request",
             id=job.req.id,
             after=outcome.value,
             replica=replica.name,
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/waiting.py
@@ -1,4 +1,8 @@
-"""Requests that wait for their weights: whose turn it is, and who had better come back."""
+"""The planner's queue of requests that wait for weights to be loaded.
+
+It determines which weights are loaded first, and refuses requests whose weights would be loaded too
+late.
+"""
 
 from __future__ import annotations
 
@@ -17,37 +21,47 @@
 
 log = logbook.Logger("waiting")
 
-FUTURE_S = 2.0
-"""Requests of the coming seconds that loaded weights will serve count like those that wait."""
-FIRST_EVENT_S = 0.2
-"""From loaded weights to the first event."""
-LATE_GAIN = 0.4
-"""An answer that is late anyway is worth about a third, whenever it comes."""
-RETURNING_GAIN = 1.5
-"""A caller that was refused once is not to be refused again."""
-CAUTION = 2.0
-"""Those who come later and are more urgent go first: waits last so many times as long."""
-COME_BACK_PART = 0.33
-"""Callers come back after at most a third of their time."""
-COME_BACK_S = 0.3
-LEAST_LOADS_PER_S = 0.5
-THROUGHPUT_S = 1.0
-"""Span over which the rate of loads is taken."""
-LEAST_SPAN_S = 0.1
-TOO_LATE = "the weights would come too late"
-TELL_S = 1.0
-"""What refusals are decided by is logged this often at most."""
+DEMAND_HORIZON_S = 2.0
+"""Expected requests within this time count towards a load's urgency like waiting ones."""
+LOAD_TO_FIRST_EVENT_S = 0.2
+"""Time from the end of a load to the first event of a request."""
+LATE_GAIN_FACTOR = 0.4
+"""Factor on the value of a request that would miss its target: about a third, however late."""
+RETURNING_GAIN_FACTOR = 1.5
+"""Factor on the value of a caller's retry, to avoid refusing the same request twice."""
+WAIT_ESTIMATE_FACTOR = 2.0
+"""Factor on estimated waits, since more urgent requests that arrive later are served first."""
+MAX_RETRY_AFTER_FRACTION = 0.33
+"""Longest Retry-After, as a fraction of the caller's remaining wait time."""
+MIN_RETRY_AFTER_S = 0.3
+MIN_LOADS_PER_S = 0.5
+THROUGHPUT_DECAY_S = 1.0
+"""Time constant of the exponential average of the load rate."""
+MIN_BUSY_SPAN_S = 0.1
+TOO_LATE_REASON = "the weights would come too late"
+LOG_INTERVAL_S = 1.0
+"""Minimum interval between log lines about refusals."""
 
 
 class Waiter:
-    """A question that is not answered yet."""
+    """A placement request of a gateway that has not been answered yet.
+
+    Parameters
+    ----------
+    follower : Follower
+        Connection to the gateway that sent it.
+    ask : pb.Ask
+        The request, as received.
+    now : float
+        Current time by the event loop's clock.
+    """
 
     __slots__ = ("ask", "asked_at", "follower", "is_held", "key", "target_at", "until", "work")
 
     def __init__(self, follower: Follower, ask: pb.Ask, now: float) -> None:
         self.follower = follower
         self.is_held = False
-        """Whether its weights can be used and it waits for room there: it needs no load."""
+        """Whether its weights are loaded and it waits only for capacity at their engine."""
         self.ask = ask
         self.key = AdapterKey(ask.model, ask.adapter)
         self.asked_at = now
@@ -57,7 +71,7 @@
         self.work = Work(ask.prompt_tokens, ask.rank, ask.answer_tokens, chain)
 
     def may_use(self, replica: str) -> bool:
-        """Tell whether the request may run on a replica."""
+        """Return whether the request may run at a replica."""
         if self.ask.only:
             return replica == self.ask.only
         return replica not in self.ask.excluded
@@ -71,9 +85,22 @@
         standing: pb.Standing | None = None,
         has_room: bool = False,
     ) -> None:
-        """Tell where it can run, what runs and is kept there, and by what it had its turn.
+        """Answer with the replica at which the request is placed.
 
-        Also whether room was taken for it at a replica with a limit.
+        Parameters
+        ----------
+        replica : str
+            Name of the replica.
+        version : int
+            Version of the weights there.
+        load : pb.Load
+            Current load of the replica.
+        kept_tokens : int
+            Tokens of the prompt that are in the replica's prefix cache.
+        standing : pb.Standing or None
+            The values by which the request was ranked, for the log.
+        has_room : bool
+            Whether capacity was reserved for it at a rate-limited replica.
         """
         self.follower.answer(
             pb.Answer(
@@ -91,11 +118,25 @@
         self,
         ready_s: float,
         now: float,
-        why: str = TOO_LATE,
+        why: str = TOO_LATE_REASON,
         standing: pb.Standing | None = None,
     ) -> None:
-        """Tell when to come back, the weights or room being there in `ready_s` seconds."""
-        retry_s = max(COME_BACK_S, min(ready_s, COME_BACK_PART * (self.until - now)))
+        """Answer that the request is refused, and when to retry it.
+
+        Parameters
+        ----------
+        ready_s : float
+            Time until the weights or capacity are expected to be available, in seconds.
+        now : float
+            Current time by the event loop's clock.
+        why : str
+            Reason that is sent to the gateway.
+        standing : pb.Standing or None
+            The values by which the request was ranked, for the log.
+        """
+        retry_s = max(
+            MIN_RETRY_AFTER_S, min(ready_s, MAX_RETRY_AFTER_FRACTION * (self.until - now))
+        )
         self.follower.answer(
             pb.Answer(
                 ticket=self.ask.ticket,
@@ -107,14 +148,14 @@
 
 
 class Throughput:
-    """How many loads a second begin while requests wait for some.
+    """Rate at which loads start while requests wait for them.
 
     Parameters
     ----------
     now : float
-        By the runtime's clock.
+        Current time by the event loop's clock.
     rate : float
-        Loads a second to reckon with as long as nothing was seen.
+        Initial estimate of the rate, in loads per second.
     """
 
     __slots__ = ("_at", "_begun", "_busy_s", "_waiting")
@@ -122,51 +163,67 @@
     def __init__(self, now: float, rate: float) -> None:
         self._at = now
         self._waiting = False
-        self._begun = rate * THROUGHPUT_S
-        self._busy_s = THROUGHPUT_S
+        self._begun = rate * THROUGHPUT_DECAY_S
+        self._busy_s = THROUGHPUT_DECAY_S
 
     def note_load(self) -> None:
-        """Count a load that begins."""
+        """Count a load that starts."""
         self._begun += 1
 
     def note_queue(self, waiting: bool, now: float) -> None:
-        """Note whether requests wait for loads that cannot begin yet."""
+        """Record whether requests wait for loads that cannot start yet.
+
+        Parameters
+        ----------
+        waiting : bool
+            Whether there are such requests from now on.
+        now : float
+            Current time by the event loop's clock.
+        """
         passed_s = now - self._at
         self._at = now
-        kept = math.exp(-passed_s / THROUGHPUT_S)
+        kept = math.exp(-passed_s / THROUGHPUT_DECAY_S)
         if self._waiting:
             self._begun *= kept
             self._busy_s = self._busy_s * kept + passed_s
         self._waiting = waiting
 
     def rate(self) -> float:
-        """Return the loads a second to reckon with."""
-        return max(LEAST_LOADS_PER_S, self._begun / max(self._busy_s, LEAST_SPAN_S))
+        """Return the estimated rate of loads per second."""
+        return max(MIN_LOADS_PER_S, self._begun / max(self._busy_s, MIN_BUSY_SPAN_S))
 
 
 class WaitingLine:
-    """All requests that wait for weights on the engines of a service.
+    """All requests that wait for weights at the engines of a service.
 
     Parameters
     ----------
     popularity : Popularity
-        How often weights are asked for.
+        Request rate of each kind of weights.
     now : float
-        By the runtime's clock.
+        Current time by the event loop's clock.
     rate : float
-        Loads a second to reckon with as long as nothing was seen.
+        Initial estimate of the rate, in loads per second.
     """
 
-    __slots__ = ("_popularity", "_told_at", "throughput", "waiters")
+    __slots__ = ("_popularity", "_logged_at", "throughput", "waiters")
 
     def __init__(self, popularity: Popularity, now: float, rate: float) -> None:
         self._popularity = popularity
         self.throughput = Throughput(now, rate)
-        self._told_at = -math.inf
+        self._logged_at = -math.inf
         self.waiters: list[Waiter] = []
 
     def cancel(self, follower: Follower, tickets: t.Collection[int]) -> None:
-        """Forget questions that a gateway took back."""
+        """Remove requests that a gateway cancelled.
+
+        Parameters
+        ----------
+        follower : Follower
+            Connection to the gateway.
+        tickets : collection of int
+            Numbers of the cancelled requests on that connection.
+        """
         self.waiters = [
             waiter
             for waiter in self.waiters
@@ -174,7 +231,7 @@
         ]
 
     def forget(self, follower: Follower) -> None:
-        """Forget all questions of a gateway."""
+        """Remove all requests of a gateway."""
         self.waiters = [waiter for waiter in self.waiters if waiter.follower is not follower]
 
     def in_order(self, now: float, load_s: float) -> list[Waiter]:
@@ -183,7 +240,7 @@
         Parameters
         ----------
         now : float
-            By the runtime's clock.
+            Current time by the event loop's clock.
         load_s : float
             Expected time of a load, in seconds.
         """
@@ -195,37 +252,40 @@
             wanted.setdefault(waiter.key, waiter)
             urgency[waiter.key] += _gain(waiter, now, load_s)
         for key in wanted:
-            urgency[key] += FUTURE_S * self._popularity.rate(key.text, now)
+            urgency[key] += DEMAND_HORIZON_S * self._popularity.rate(key.text, now)
         return sorted(wanted.values(), key=lambda waiter: -urgency[waiter.key])
 
     def refuse_hopeless(self, queued: t.Iterable[AdapterKey], now: float, load_s: float) -> None:
-        """Refuse what will not be loaded before its caller leaves, so that it can come back.
+        """Refuse requests whose weights cannot be loaded before their callers time out.
 
         Parameters
         ----------
         queued : iterable of AdapterKey
-            Weights that are not on their way yet, in their order.
+            Weights whose load has not started, in the order of loading.
         now : float
-            By the runtime's clock.
+            Current time by the event loop's clock.
         load_s : float
             Expected time of a load, in seconds.
         """
         rate = self.throughput.rate()
-        ready = {key: now + CAUTION * (at + 1) / rate + load_s for at, key in enumerate(queued)}
+        ready = {
+            key: now + WAIT_ESTIMATE_FACTOR * (at + 1) / rate + load_s
+            for at, key in enumerate(queued)
+        }
         kept, refused = [], 0
         for waiter in self.waiters:
             ready_at = ready.get(waiter.key)
-            served = ready_at is None or ready_at + FIRST_EVENT_S < waiter.until
+            served = ready_at is None or ready_at + LOAD_TO_FIRST_EVENT_S < waiter.until
             if ready_at is None or served or waiter.ask.begun or waiter.is_held:
                 kept.append(waiter)
             else:
                 waiter.refuse(ready_at - now, now)
                 refused += 1
         self.waiters = kept
-        if refused and now - self._told_at >= TELL_S:
-            self._told_at = now
+        if refused and now - self._logged_at >= LOG_INTERVAL_S:
+            self._logged_at = now
             log.info(
-                "refusing",
+                "refusing requests whose weights would be late",
                 refused=refused,
                 kept=len(kept),
                 kinds=len(ready),
@@ -235,7 +295,7 @@
 
 
 def _gain(waiter: Waiter, now: float, load_s: float) -> float:
-    """Return what is gained by loading what a request waits for now and not later."""
-    gain = waiter.ask.value * (RETURNING_GAIN if waiter.ask.returning else 1.0)
-    in_time = now + load_s + FIRST_EVENT_S < waiter.target_at
-    return gain if in_time else gain * LATE_GAIN
+    """Return the value of loading a request's weights now instead of later."""
+    gain = waiter.ask.value * (RETURNING_GAIN_FACTOR if waiter.ask.returning else 1.0)
+    in_time = now + load_s + LOAD_TO_FIRST_EVENT_S < waiter.target_at
+    return gain if in_time else gain * LATE_GAIN_FACTOR
