--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -12,7 +12,7 @@
 import logbook
 from gradelug_policy.reading import Busyness, Work, add_queues, less_queue
 
-from .holders import EngineIndex, Places
+from .holders import EngineIndex, WeightSlots
 from .model import (
     AdapterKey,
     EngineReport,
@@ -27,19 +27,19 @@
 from .ports import OrderTransport
 
 log = logbook.Logger("engine")
-HOST_PER_PLACE = 6
+CACHED_ADAPTERS_PER_SLOT = 6
 """Adapters that an engine's host memory is taken to keep for each place: 36 with 6 places and 54
 with 9 on the users' engines. A load that was wrongly expected from there is awaited longer."""
 REPORT_LAG_S = 0.35
 """A report shows the state of some hundred ms ago."""
-STRAY_S = 15.0
+UNACKNOWLEDGED_LOAD_TTL_S = 15.0
 """An order without an answer may be carried out seconds later, 12 s at the most, and then reach a
 process that has started again under the engine's name."""
-LOADS_AT_ONCE = 4
+MAX_CONCURRENT_LOADS = 4
 """Adapters that may be on their way to an engine."""
-MAX_TRIES = 3
-NO_LOAD = ToldLoad()
-IDLE_S = 0.06
+MAX_ORDER_ATTEMPTS = 3
+EMPTY_LOAD = ToldLoad()
+MIN_IDLE_BEFORE_EVICTION_S = 0.06
 """An adapter makes way when it was unused this long: uses are told with a delay."""
 
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StrayLoad:
+class UnacknowledgedLoad:
     """A load that was ordered in an earlier life of an engine and may still be carried out.
 
     Parameters
@@ -74,12 +74,12 @@
     """A place of an engine with weights in it."""
 
     __slots__ = (
-        "at_limit",
+        "was_store_saturated",
         "began_at",
-        "ordered_at",
+        "acknowledged_at",
         "phase",
         "ready_at",
-        "under_way",
+        "store_loads_at_start",
         "used_at",
         "version",
     )
@@ -88,13 +88,13 @@
         self.version = version
         self.phase = phase
         self.began_at = now
-        self.ordered_at = now
+        self.acknowledged_at = now
         """When the engine answered the order to load it."""
         self.ready_at = now
         self.used_at = now
-        self.at_limit = False
+        self.was_store_saturated = False
         """Whether as many loads as allowed were under way when its own began."""
-        self.under_way = 0
+        self.store_loads_at_start = 0
         """Loads from the weight store under way when its own began; 0 for other loads."""
 
 
@@ -118,17 +118,17 @@
 
     __slots__ = (
         "active",
-        "asked_at",
+        "sync_started_at",
         "born",
         "cached",
         "_index",
-        "_loads",
-        "_lost_loads",
-        "_strays",
-        "_told_born",
-        "_total",
+        "_loads_by_gateway",
+        "_unacknowledged_loads",
+        "_inherited_loads",
+        "_registered_born",
+        "_total_load",
         "lock",
-        "has_ended",
+        "is_replaced",
         "orders",
         "places",
         "replica",
@@ -142,73 +142,73 @@
         replica: Replica,
         spec: EngineSpec,
         index: EngineIndex | None = None,
-        strays: t.Iterable[StrayLoad] = (),
+        inherited_loads: t.Iterable[UnacknowledgedLoad] = (),
         born: int = 0,
     ) -> None:
         self.replica = replica
         self.born = born or replica.born
         """Names the life of which all the rest is known."""
-        self._told_born = replica.born
+        self._registered_born = replica.born
         """The life that the platform's entry told last: a report may be ahead of it."""
-        self.has_ended = False
+        self.is_replaced = False
         """Whether that life is over: no order that was decided for it is given."""
-        self._strays = tuple(strays)
-        self._lost_loads: list[StrayLoad] = []
+        self._inherited_loads = tuple(inherited_loads)
+        self._unacknowledged_loads: list[UnacknowledgedLoad] = []
         self.spec = spec
         self._index = index if index is not None else EngineIndex()
         self.orders = 0
-        self.places = Places(self, self._index)
+        self.places = WeightSlots(self, self._index)
         self.cached: dict[Holding, None] = {}
         """Adapters that host memory keeps, those of the longest ago first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
         """Requests by weights and gateway, of those that have any."""
-        self._loads: dict[int, ToldLoad] = {}
+        self._loads_by_gateway: dict[int, ToldLoad] = {}
         """What runs there, by gateway, of those that have anything there."""
-        self._total = ToldLoad()
+        self._total_load = ToldLoad()
         self.lock = asyncio.Lock()
         """Held while an order is on its way: each names how many came before it."""
         self.synced = False
         """Whether places and number of orders are known."""
         self.syncing = False
-        self.asked_at = -math.inf
+        self.sync_started_at = -math.inf
         """When it was asked for its state last."""
 
     @property
     def starting(self) -> int:
         """Requests before their first event."""
-        return self._total.starting
+        return self._total_load.starting
 
     @property
     def running(self) -> int:
         """Requests after their first event."""
-        return self._total.running
+        return self._total_load.running
 
     def load(self) -> ToldLoad:
         """Return what runs there, of all gateways."""
-        return self._total
+        return self._total_load
 
     def take_load(self, gateway: int, load: ToldLoad) -> None:
         """Take over what a gateway has there.
 
         The sum is kept and not made anew: it is asked for with each decision about each engine.
         """
-        before = self._loads.get(gateway, NO_LOAD)
+        previous = self._loads_by_gateway.get(gateway, EMPTY_LOAD)
         if load.starting or load.running or any(load.queued):
-            self._loads[gateway] = load
+            self._loads_by_gateway[gateway] = load
         else:
-            self._loads.pop(gateway, None)
+            self._loads_by_gateway.pop(gateway, None)
         self._index.changed_loads.add(self.replica.name)
-        total = self._total
-        self._total = ToldLoad(
-            total.starting + load.starting - before.starting,
-            total.running + load.running - before.running,
-            less_queue(add_queues((total.queued, load.queued)), before.queued),
-            total.memory + load.memory - before.memory,
+        current = self._total_load
+        self._total_load = ToldLoad(
+            current.starting + load.starting - previous.starting,
+            current.running + load.running - previous.running,
+            less_queue(add_queues((current.queued, load.queued)), previous.queued),
+            current.memory + load.memory - previous.memory,
         )
 
-    def book(self, gateway: int, work: Work) -> None:
+    def reserve(self, gateway: int, work: Work) -> None:
         """Count a request that a gateway was told to send here, until it tells what it has here."""
-        load = self._loads.get(gateway, ToldLoad())
+        load = self._loads_by_gateway.get(gateway, ToldLoad())
         prompt = (0,) * work.urgency + (work.reading_tokens,)
         queued = add_queues((load.queued, prompt))
         memory = load.memory + work.memory_tokens
@@ -216,13 +216,13 @@
 
     def busyness(self) -> Busyness:
         """Return what the engine does."""
-        total = self._total
-        return Busyness(total.queued, total.running, total.starting, total.memory)
+        current = self._total_load
+        return Busyness(current.queued, current.running, current.starting, current.memory)
 
     @property
     def gateways(self) -> t.KeysView[int]:
         """Gateways that have requests there."""
-        return self._loads.keys()
+        return self._loads_by_gateway.keys()
 
     def take_use(self, gateway: int, key: AdapterKey, active: int) -> None:
         """Take over how many requests of a gateway use weights."""
@@ -234,12 +234,12 @@
         if not counts:
             del self.active[key]
 
-    def users(self, key: AdapterKey) -> int:
+    def request_count(self, key: AdapterKey) -> int:
         """Return how many requests use weights."""
         counts = self.active.get(key)
         return sum(counts.values()) if counts else 0
 
-    def model_users(self, model: str) -> int:
+    def model_request_count(self, model: str) -> int:
         """Return how many requests use a base model, with an adapter or without one."""
         return sum(
             sum(counts.values()) for key, counts in self.active.items() if key.model == model
@@ -249,13 +249,13 @@
         """Tell whether any request uses a base model, with an adapter or without one."""
         return any(key.model == model for key in self.active)
 
-    def has_any_base(self) -> bool:
+    def has_any_model(self) -> bool:
         """Tell whether any base model can be used now."""
         return any(
             place.phase is Phase.READY for key, place in self.places.items() if not key.adapter
         )
 
-    def close(self, base: AdapterKey) -> None:
+    def drain_model(self, base: AdapterKey) -> None:
         """Take no new requests for a base model and its adapters."""
         for key, place in self.places.items():
             if key.model == base.model and place.phase is Phase.READY:
@@ -275,7 +275,7 @@
         place = self.places.get(key)
         return place is not None and place.phase is Phase.READY
 
-    def has_base(self, model: str) -> bool:
+    def has_model(self, model: str) -> bool:
         """Tell whether a base model can be used now."""
         return self.holds(AdapterKey(model))
 
@@ -283,20 +283,20 @@
         """Yield the adapters in places."""
         return ((key, place) for key, place in self.places.items() if key.adapter)
 
-    def free(self) -> int:
+    def free_adapter_slots(self) -> int:
         """Return the number of empty places for adapters."""
-        strays = sum(stray.expected >= self.orders for stray in self._strays)
-        return self.spec.adapter_slots - strays - (len(self.places) - self.places.bases)
+        inherited_loads = sum(stray.expected >= self.orders for stray in self._inherited_loads)
+        return self.spec.adapter_slots - inherited_loads - (len(self.places) - self.places.bases)
 
-    def begins_again(self, rep: Replica) -> bool:
+    def update_replica(self, rep: Replica) -> bool:
         """Take over what the replica says of itself; tell whether it began another life."""
         self.replica = rep
-        if not rep.born or rep.born == self._told_born:
+        if not rep.born or rep.born == self._registered_born:
             return False
-        self._told_born = rep.born
-        return self.begins_life(rep.born)
+        self._registered_born = rep.born
+        return self.update_incarnation(rep.born)
 
-    def begins_life(self, born: int) -> bool:
+    def update_incarnation(self, born: int) -> bool:
         """Take over which life an engine is in; tell whether it is another one than was known."""
         if not born or born == self.born:
             return False
@@ -305,34 +305,43 @@
             return False
         return True
 
-    def note_lost_load(self, expected: int, now: float) -> None:
+    def note_unacknowledged_load(self, expected: int, now: float) -> None:
         """Note a load without an answer, ordered after so many others."""
-        self._lost_loads.append(StrayLoad(expected, now + STRAY_S))
+        self._unacknowledged_loads.append(
+            UnacknowledgedLoad(expected, now + UNACKNOWLEDGED_LOAD_TTL_S)
+        )
 
-    def strays(self, now: float) -> tuple[StrayLoad, ...]:
+    def unacknowledged_loads(self, now: float) -> tuple[UnacknowledgedLoad, ...]:
         """Return the loads of this life and of earlier ones that may reach the next one."""
-        self.drop_strays(now)
-        return (*self._strays, *(lost for lost in self._lost_loads if lost.until > now))
+        self.drop_expired_loads(now)
+        return (
+            *self._inherited_loads,
+            *(lost for lost in self._unacknowledged_loads if lost.until > now),
+        )
 
-    def drop_strays(self, now: float) -> None:
+    def drop_expired_loads(self, now: float) -> None:
         """Forget what cannot be carried out any more."""
-        if self._strays:
-            self._strays = tuple(stray for stray in self._strays if stray.until > now)
-        if self._lost_loads and self._lost_loads[0].until <= now:
-            self._lost_loads = [lost for lost in self._lost_loads if lost.until > now]
-
-    def loading(self) -> int:
+        if self._inherited_loads:
+            self._inherited_loads = tuple(
+                stray for stray in self._inherited_loads if stray.until > now
+            )
+        if self._unacknowledged_loads and self._unacknowledged_loads[0].until <= now:
+            self._unacknowledged_loads = [
+                lost for lost in self._unacknowledged_loads if lost.until > now
+            ]
+
+    def loading_count(self) -> int:
         """Return how many adapters are on their way."""
         return sum(place.phase is Phase.LOADING for _, place in self.adapters())
 
-    def idle(self, now: float) -> list[AdapterKey]:
+    def evictable(self, now: float) -> list[AdapterKey]:
         """Return the adapters that can make way."""
         return [
             key
             for key, place in self.adapters()
             if place.phase in (Phase.READY, Phase.LEAVING)
-            and not self.users(key)
-            and now - place.used_at >= IDLE_S
+            and not self.request_count(key)
+            and now - place.used_at >= MIN_IDLE_BEFORE_EVICTION_S
         ]
 
     def is_cached(self, key: AdapterKey, version: int) -> bool:
@@ -344,38 +353,38 @@
         self.cached.pop(holding, None)
         self.cached[holding] = None
         self._index.note_cached(self, holding, True)
-        while len(self.cached) > HOST_PER_PLACE * self.spec.adapter_slots:
+        while len(self.cached) > CACHED_ADAPTERS_PER_SLOT * self.spec.adapter_slots:
             oldest = next(iter(self.cached))
             del self.cached[oldest]
             self._index.note_cached(self, oldest, False)
 
     def can_load(self) -> bool:
         """Tell whether an order to load an adapter may be given now."""
-        return self.synced and self.loading() < LOADS_AT_ONCE
+        return self.synced and self.loading_count() < MAX_CONCURRENT_LOADS
 
-    def lacks(self, key: AdapterKey) -> bool:
+    def is_missing(self, key: AdapterKey) -> bool:
         """Tell whether an adapter is not there although its base model is."""
-        return key not in self.places and self.has_base(key.model)
+        return key not in self.places and self.has_model(key.model)
 
     def take_out(self, text: str) -> AdapterKey:
         """Take an adapter out of its place, which another shares until the first is gone."""
-        key = next(found for found in self.places if found.text == text)
+        key = next(candidate for candidate in self.places if candidate.text == text)
         del self.places[key]
         return key
 
-    def undo(self, key: AdapterKey, place: Place) -> None:
+    def discard(self, key: AdapterKey, place: Place) -> None:
         """Take weights out of a place that did not get there."""
         if self.places.get(key) is place:
             del self.places[key]
 
-    def forget(self, gateway: int) -> None:
+    def forget_gateway(self, gateway: int) -> None:
         """Forget what a gateway ran."""
-        if gateway in self._loads:
-            self.take_load(gateway, NO_LOAD)
+        if gateway in self._loads_by_gateway:
+            self.take_load(gateway, EMPTY_LOAD)
         for key in [key for key, counts in self.active.items() if gateway in counts]:
             self.take_use(gateway, key, 0)
 
-    def take_told(self, now: float) -> None:
+    def assume_registered_holdings(self, now: float) -> None:
         """Take what it tells of itself in the platform's store for what it holds.
 
         That may be late: it counts until the engine's own report, and an engine that lacks what it
@@ -422,8 +431,8 @@
         """
         order = Order(load, key, version, self.orders, owner, term.fence)
         outcome = OrderOutcome.NOT_GIVEN
-        for _ in range(MAX_TRIES):
-            if term.is_over or self.has_ended:
+        for _ in range(MAX_ORDER_ATTEMPTS):
+            if term.is_over or self.is_replaced:
                 break
             outcome = await transport.order(self.replica, order)
             if outcome is not OrderOutcome.LOST:
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -30,7 +30,7 @@
 from .waiting import Waiter
 
 log = logbook.Logger("shares")
-TELL_S = 1.0
+LOG_INTERVAL_S = 1.0
 """Who is held back is logged this often at most."""
 EQUAL_WEIGHTS = EqualWeights()
 
@@ -55,7 +55,7 @@
         return self._rates.get(owner, self._mean)
 
 
-class FairLine:
+class FairQueue:
     """Implements `parts.PlannerPart`: orders the questions that wait by shares of what was used.
 
     Parameters
@@ -74,15 +74,15 @@
         "_board",
         "_claimed",
         "_flush_s",
-        "_full",
-        "_heard_at",
+        "_saturated",
+        "_received_at",
         "_is_on",
         "_loads",
         "_order",
         "_owners",
         "_shares",
         "_state",
-        "_told_at",
+        "_logged_at",
         "_turns",
         "_version",
         "_waiting",
@@ -108,20 +108,20 @@
         """Who stands how; None while no request waits for room."""
         self._claimed: frozenset[AdapterKey] = frozenset()
         """Weights of those that wait for room and yield to nobody."""
-        self._full: set[AdapterKey] = set()
+        self._saturated: set[AdapterKey] = set()
         """Weights whose holders had no room in this decision."""
         self._waiting = self._owners = 0
-        self._heard_at: dict[int, float] = {}
+        self._received_at: dict[int, float] = {}
         """When each gateway was last heard, by its number."""
         self._version = -1
         self._weights: Weights = EQUAL_WEIGHTS
-        self._told_at = -math.inf
+        self._logged_at = -math.inf
 
     # What gateways tell.
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
         """Count what requests of a gateway used."""
-        self._heard_at[follower.number] = now
+        self._received_at[follower.number] = now
         for use in message.party_uses:
             party = Party(use.owner, use.kind)
             self._shares.note(party, use.tokens, now, self._board is not None)
@@ -129,7 +129,7 @@
 
     def leave(self, follower: Follower, now: float) -> None:
         """What a gateway's requests used ages by itself."""
-        self._heard_at.pop(follower.number, None)
+        self._received_at.pop(follower.number, None)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Tell nothing: how parties stand goes with the answers."""
@@ -141,15 +141,15 @@
 
     def arrange(self, waiters: list[Waiter], now: float) -> list[Waiter]:
         """Return those that wait, in the order in which they are to be answered."""
-        self._full.clear()
+        self._saturated.clear()
         self._waiting = sum(waiter.is_held for waiter in waiters)
         if not self._waiting or not self._is_on:
             was_arranged, self._board = self._board is not None, None
             return sorted(waiters, key=_arrival) if was_arranged else waiters
-        claims = [_claim(waiter, at) for at, waiter in enumerate(waiters)]
+        claims = [_claim(waiter, position) for position, waiter in enumerate(waiters)]
         held = [claim for claim in claims if waiters[claim.number].is_held]
         self._owners = len({claim.party.owner for claim in held})
-        board = self._board = self._shares.board(held, self._weigh(), now)
+        board = self._board = self._shares.board(held, self._current_weights(), now)
         self._claimed = frozenset(
             waiters[claim.number].key
             for claim in held
@@ -163,7 +163,7 @@
             return False
         return self._board.yields(_party(waiter), waiter.ask.urgency)
 
-    def awaits_turn(self, waiter: Waiter, is_placed: bool) -> bool:
+    def defers(self, waiter: Waiter, is_placed: bool) -> bool:
         """Tell whether a new question waits for the next decision, with those that came before.
 
         Parameters
@@ -176,26 +176,28 @@
         waiter.is_held = True
         return True
 
-    def skips(self, waiter: Waiter, now: float) -> bool:
+    def can_skip(self, waiter: Waiter, now: float) -> bool:
         """Tell whether one that goes after others need not be tried: none before it found room."""
-        if waiter.key not in self._full or now >= waiter.target_at or not self.yields(waiter):
+        if waiter.key not in self._saturated or now >= waiter.target_at or not self.yields(waiter):
             return False
         # It is no request for a load.
         waiter.is_held = True
         return True
 
-    def hold_s(self, waiter: Waiter) -> float:
+    def max_hold_s(self, waiter: Waiter) -> float:
         """Return how long a request is held for room at most, in seconds.
 
         One that goes after others is held as long as it is in time: sent earlier, it would fill
         the engines' queues, which know no shares.
         """
-        if not self._lingers(waiter):
+        if not self._must_stay_queued(waiter):
             return HOLD_S
-        self._full.add(waiter.key)
+        self._saturated.add(waiter.key)
         return max(HOLD_S, waiter.target_at - waiter.asked_at)
 
-    def ahead_s(self, waiter: Waiter, engine: Engine, end_s: float, now: float) -> float:
+    def dispatch_lead_s(
+        self, waiter: Waiter, engine: Engine, completion_interval_s: float, now: float
+    ) -> float:
         """Return how long before room is expected a request may be sent to it, in seconds.
 
         With 0 slots stay empty from the end of a run until it is told here.
@@ -207,13 +209,15 @@
         end_s : float
             Time between two ends of runs on an engine, in seconds.
         """
-        if now <= waiter.asked_at + HOLD_S or not self._lingers(waiter):
+        if now <= waiter.asked_at + HOLD_S or not self._must_stay_queued(waiter):
             return 0.0
-        left_part = (waiter.target_at - now) / max(HOLD_S, waiter.target_at - waiter.asked_at)
+        remaining_fraction = (waiter.target_at - now) / max(
+            HOLD_S, waiter.target_at - waiter.asked_at
+        )
         is_claimed = any(key in engine.places for key in self._claimed)
-        return ahead_s(left_part, self._flush_s(), end_s, is_claimed)
+        return ahead_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
 
-    def _lingers(self, waiter: Waiter) -> bool:
+    def _must_stay_queued(self, waiter: Waiter) -> bool:
         """Tell whether a request must not fill an engine's queue, whoever waits at the moment."""
         if self._board is None or waiter.ask.begun:
             return False
@@ -225,11 +229,11 @@
         if board is None or now <= waiter.asked_at:
             return None
         party = _party(waiter)
-        stands = board.owners.standing(party.owner)
-        oldest = min(self._heard_at.values(), default=now)
+        owner_standing = board.owners.standing(party.owner)
+        oldest = min(self._received_at.values(), default=now)
         return pb.Standing(
-            part=stands.part,
-            fair=stands.fair,
+            part=owner_standing.part,
+            fair=owner_standing.fair,
             yields=self.yields(waiter),
             waiting=self._waiting,
             owners=self._owners,
@@ -240,38 +244,40 @@
 
     def refuse_late(self, waiters: list[Waiter], now: float) -> list[Waiter]:
         """Refuse requests that will not have their turn in time; return the others."""
-        lines: dict[Party, list[Waiter]] = {}
+        queues: dict[Party, list[Waiter]] = {}
         for waiter in waiters:
             if waiter.is_held and self.yields(waiter):
-                lines.setdefault(_party(waiter), []).append(waiter)
+                queues.setdefault(_party(waiter), []).append(waiter)
         late: set[int] = set()
-        for party, line in lines.items():
+        for party, queue in queues.items():
             rate = self._turns.rate(party, now)
-            left_s = [waiter.target_at - now for waiter in line]
-            late.update(id(line[at]) for at in out_of_turn(left_s, rate))
+            times_left_s = [waiter.target_at - now for waiter in queue]
+            late.update(id(queue[position]) for position in out_of_turn(times_left_s, rate))
         if not late:
             return waiters
         for waiter in waiters:
             if id(waiter) in late:
-                back_s = max(0.0, waiter.target_at - now)
-                waiter.refuse(back_s, now, BEYOND_SHARE, self.standing(waiter, now))
-        self._tell(len(late), lines, now)
+                remaining_s = max(0.0, waiter.target_at - now)
+                waiter.refuse(remaining_s, now, BEYOND_SHARE, self.standing(waiter, now))
+        self._log_refusals(len(late), queues, now)
         return [waiter for waiter in waiters if id(waiter) not in late]
 
-    def _tell(self, refused: int, lines: t.Mapping[Party, list[Waiter]], now: float) -> None:
-        if now < self._told_at + TELL_S or self._board is None:
+    def _log_refusals(
+        self, refused: int, queues: t.Mapping[Party, list[Waiter]], now: float
+    ) -> None:
+        if now < self._logged_at + LOG_INTERVAL_S or self._board is None:
             return
-        self._told_at = now
-        most = max(lines, key=lambda party: len(lines[party]))
-        stands = self._board.owners.standing(most.owner)
+        self._logged_at = now
+        largest = max(queues, key=lambda party: len(queues[party]))
+        owner_standing = self._board.owners.standing(largest.owner)
         log.info(
             "beyond their share",
             refused=refused,
-            owner=most.owner,
-            kind=most.kind,
-            part=round(stands.part, 3),
-            fair=round(stands.fair, 3),
-            turns=round(self._turns.rate(most, now), 1),
+            owner=largest.owner,
+            kind=largest.kind,
+            part=round(owner_standing.part, 3),
+            fair=round(owner_standing.fair, 3),
+            turns=round(self._turns.rate(largest, now), 1),
             held=self._waiting,
             owners=self._owners,
         )
@@ -282,19 +288,19 @@
         """Count a load that begins."""
         self._loads.note(waiter.ask.organisation, 1.0, now)
 
-    def put_last(self, ordered: list[Waiter], now: float) -> list[Waiter]:
+    def put_over_share_last(self, ordered: list[Waiter], now: float) -> list[Waiter]:
         """Return one waiter for each of some weights, those of who loaded beyond its share last."""
-        wanted: dict[str, float] = {}
+        waiting_count: dict[str, float] = {}
         for waiter in ordered:
             owner = waiter.ask.organisation
-            wanted[owner] = wanted.get(owner, 0.0) + 1.0
-        if len(wanted) < 2 or not self._is_on:
+            waiting_count[owner] = waiting_count.get(owner, 0.0) + 1.0
+        if len(waiting_count) < 2 or not self._is_on:
             return ordered
-        parts = Parts(self._loads.all(now), wanted, self._weigh())
-        over = {owner for owner in wanted if parts.is_over(owner)}
+        parts = Parts(self._loads.all(now), waiting_count, self._current_weights())
+        over = {owner for owner in waiting_count if parts.is_over(owner)}
         return sorted(ordered, key=lambda waiter: waiter.ask.organisation in over)
 
-    def _weigh(self) -> Weights:
+    def _current_weights(self) -> Weights:
         snapshot = self._state.snapshot
         if snapshot is not None and snapshot.version != self._version:
             self._version = snapshot.version
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -27,7 +27,7 @@
         Is told when what engines keep of prompts is gone.
     """
 
-    __slots__ = ("_by_key", "_cached", "changed_keys", "changed_loads", "inserted", "kept")
+    __slots__ = ("_by_key", "_cached", "changed_keys", "changed_loads", "added_keys", "kept")
 
     def __init__(self, kept: KeptParts | None = None) -> None:
         self._by_key: dict[AdapterKey, dict[str, Engine]] = {}
@@ -36,7 +36,7 @@
         """Engines whose requests have changed since this was emptied."""
         self.changed_keys: set[AdapterKey] = set()
         """Weights that came into places or left them since this was emptied."""
-        self.inserted: set[AdapterKey] = set()
+        self.added_keys: set[AdapterKey] = set()
         """Weights that came into places since this was emptied, for what keeps versions new."""
         self.kept = kept or KeptParts()
         """Parts of prompts that engines keep go with the weights, and with a life."""
@@ -45,7 +45,7 @@
         """Return the engines that have weights in a place, in whatever phase."""
         return self._by_key.get(key, {})
 
-    def keeping(self, holding: Holding) -> t.Mapping[str, Engine]:
+    def engines_caching(self, holding: Holding) -> t.Mapping[str, Engine]:
         """Return the engines whose host memory keeps an adapter at a version."""
         return self._cached.get(holding, {})
 
@@ -54,17 +54,17 @@
         """All weights that are in a place of any engine."""
         return self._by_key.keys()
 
-    def note_placed(self, engine: Engine, key: AdapterKey) -> None:
+    def note_added(self, engine: Engine, key: AdapterKey) -> None:
         """Note that weights came into a place."""
-        if engine.has_ended:
+        if engine.is_replaced:
             return
         self._by_key.setdefault(key, {})[engine.replica.name] = engine
         self.changed_keys.add(key)
-        self.inserted.add(key)
+        self.added_keys.add(key)
 
-    def note_left(self, engine: Engine, key: AdapterKey) -> None:
+    def note_removed(self, engine: Engine, key: AdapterKey) -> None:
         """Note that weights left their place."""
-        if engine.has_ended:
+        if engine.is_replaced:
             return
         _drop(self._by_key, key, engine.replica.name)
         self.kept.forget_weights(engine.replica.name, key.text)
@@ -72,7 +72,7 @@
 
     def note_cached(self, engine: Engine, holding: Holding, kept: bool) -> None:
         """Note that host memory keeps an adapter, or no more."""
-        if engine.has_ended:
+        if engine.is_replaced:
             return
         if kept:
             self._cached.setdefault(holding, {})[engine.replica.name] = engine
@@ -82,14 +82,14 @@
     def drop(self, engine: Engine) -> None:
         """Forget an engine that is gone."""
         for key in engine.places:
-            self.note_left(engine, key)
+            self.note_removed(engine, key)
         for holding in engine.cached:
             self.note_cached(engine, holding, False)
         self.changed_loads.discard(engine.replica.name)
         self.kept.forget(engine.replica.name)
 
 
-class Places(dict[AdapterKey, "Place"]):
+class WeightSlots(dict[AdapterKey, "Place"]):
     """The places of an engine; the index is told of each change.
 
     Parameters
@@ -110,18 +110,18 @@
         """How many of the weights are base models."""
 
     def __setitem__(self, key: AdapterKey, place: Place) -> None:
-        known = self.get(key)
-        if known is None:
+        previous = self.get(key)
+        if previous is None:
             self.bases += not key.adapter
-        elif known.version != place.version:
+        elif previous.version != place.version:
             self._index.kept.forget_weights(self._engine.replica.name, key.text)
         super().__setitem__(key, place)
-        self._index.note_placed(self._engine, key)
+        self._index.note_added(self._engine, key)
 
     def __delitem__(self, key: AdapterKey) -> None:
         super().__delitem__(key)
         self.bases -= not key.adapter
-        self._index.note_left(self._engine, key)
+        self._index.note_removed(self._engine, key)
 
     def replace(self, places: t.Mapping[AdapterKey, Place]) -> None:
         """Take over all that an engine reports."""
@@ -131,15 +131,15 @@
             self[key] = place
 
 
-def tells_any(replica: Replica, keys: t.Collection[AdapterKey]) -> bool:
+def reports_any(replica: Replica, keys: t.Collection[AdapterKey]) -> bool:
     """Tell whether a replica says of itself that it holds any of some weights."""
     return any(holding.key in keys for holding in replica.holdings)
 
 
-def _drop(found: dict[V, dict[str, Engine]], key: V, name: str) -> None:
-    engines = found.get(key)
+def _drop(index: dict[V, dict[str, Engine]], key: V, name: str) -> None:
+    engines = index.get(key)
     if engines is None:
         return
     engines.pop(name, None)
     if not engines:
-        del found[key]
+        del index[key]
--- a/packages/gateway/src/gradelug_gateway/loading.py
+++ b/packages/gateway/src/gradelug_gateway/loading.py
@@ -18,21 +18,21 @@
     from .planner import Planner
 
 log = logbook.Logger("planner")
-SPARE_PART = 0.5
+SPARE_STORE_FRACTION = 0.5
 """What nobody waits for leaves this part of the weight store's loads at once to what is waited for
 next: a load that finds them all taken waits for a whole one."""
-NOT_READY_S = 0.06
+MIN_LOAD_EXTENSION_S = 0.06
 """A load that was not through when expected is awaited so much longer at least."""
-RESYNC_S = 0.3
+REPORT_RETRY_DELAY_S = 0.3
 """Pause before an engine that gives no report is asked again."""
-JUST_LOADED_S = 1.5
+LOAD_GRACE_S = 1.5
 """An engine that lacks an adapter this soon after its load has not finished it."""
-FIRST_VERSION = 1
+DEFAULT_VERSION = 1
 """Version of adapters for which none was named."""
 
 
 @dataclass(slots=True, frozen=True)
-class Swap:
+class PlannedLoad:
     """A load that was decided, and what makes way for it.
 
     Parameters
@@ -59,7 +59,7 @@
     cached: bool
 
 
-class Loading:
+class Loader:
     """Loads and unloads on the engines of one planner.
 
     Parameters
@@ -84,14 +84,14 @@
         owner: str,
         transport: OrderTransport,
         clock: t.Callable[[], float],
-        first_at_once: float = 0.0,
+        initial_concurrency: float = 0.0,
     ) -> None:
         self._planner = planner
         self._owner = owner
         self._transport = transport
         self._clock = clock
         self._store_loads = 0
-        self.pace = StorePace(clock(), first_at_once)
+        self.pace = StorePace(clock(), initial_concurrency)
 
     def costs(self, uses: float) -> LoadCosts:
         """Return what a load costs each of the requests that it is for."""
@@ -101,43 +101,43 @@
         """Tell whether another load from the weight store may begin."""
         return self._store_loads < self.pace.at_once
 
-    def has_store_to_spare(self) -> bool:
+    def has_spare_store_capacity(self) -> bool:
         """Tell whether a load from the weight store that nobody waits for may begin."""
-        return self._store_loads < SPARE_PART * self.pace.at_once
+        return self._store_loads < SPARE_STORE_FRACTION * self.pace.at_once
 
-    def begin(self, swap: Swap) -> None:
+    def begin(self, planned: PlannedLoad) -> None:
         """Begin to load an adapter into a place that was booked, after unloading its victim."""
-        place = swap.place
-        if not swap.cached:
+        place = planned.place
+        if not planned.cached:
             self._store_loads += 1
-            place.under_way = self._store_loads
-            place.at_limit = self._store_loads >= self.pace.at_once
-        self._planner.start(self._carry_out(swap))
+            place.store_loads_at_start = self._store_loads
+            place.was_store_saturated = self._store_loads >= self.pace.at_once
+        self._planner.start(self._run_load(planned))
 
-    def note_absent(self, replica: str, key: AdapterKey) -> None:
+    def handle_missing(self, replica: str, key: AdapterKey) -> None:
         """Note that a replica said it lacks weights that it was thought to hold."""
         engine = self._planner.engines.get(replica)
         place = engine.places.get(key) if engine is not None else None
         if engine is None or place is None or place.phase is not Phase.READY:
             return
-        if self._clock() - place.ready_at < JUST_LOADED_S:
-            self.take_back(engine, key, place)
+        if self._clock() - place.ready_at < LOAD_GRACE_S:
+            self.extend_load(engine, key, place)
         else:
             log.info("holdings in doubt", replica=replica, weights=key.text)
             del engine.places[key]
             engine.synced = False
         self._planner.followers.mark(replica)
 
-    def take_back(self, engine: Engine, key: AdapterKey, place: Place) -> None:
+    def extend_load(self, engine: Engine, key: AdapterKey, place: Place) -> None:
         """Await a load longer: the engine says that the adapter is not there yet."""
         now = self._clock()
-        if place.under_way:
-            self.pace.note_late(place.under_way, now - place.ordered_at, now)
+        if place.store_loads_at_start:
+            self.pace.note_late(place.store_loads_at_start, now - place.acknowledged_at, now)
         place.phase = Phase.LOADING
-        place.ready_at = max(now + NOT_READY_S, place.ordered_at + self.pace.load_s)
+        place.ready_at = max(now + MIN_LOAD_EXTENSION_S, place.acknowledged_at + self.pace.load_s)
         self._planner.start(self._make_ready(engine, key, place))
 
-    def keep_unloading(self, engine: Engine, key: AdapterKey, outcome: OrderOutcome) -> None:
+    def track_unload(self, engine: Engine, key: AdapterKey, outcome: OrderOutcome) -> None:
         """Keep the place of an adapter that was not unloaded at once."""
         if outcome is not OrderOutcome.TAKEN or key in engine.places:
             # In doubt, or asked for again and booked meanwhile: the report tells what is there.
@@ -155,7 +155,7 @@
         expected = engine.orders
         outcome = await engine.give(self._transport, load, key, version, self._owner, term)
         if outcome is OrderOutcome.LOST and load and key.adapter:
-            engine.note_lost_load(expected, self._clock())
+            engine.note_unacknowledged_load(expected, self._clock())
         if outcome is OrderOutcome.OUTRANKED and not planner.is_outranked:
             planner.outranked()
         return outcome
@@ -171,9 +171,9 @@
                 await asyncio.sleep(REPORT_LAG_S if engine.orders else 0.0)
                 report = await self._transport.report(engine.replica)
                 if report is None:
-                    await asyncio.sleep(RESYNC_S)
+                    await asyncio.sleep(REPORT_RETRY_DELAY_S)
                     return
-                if engine.begins_life(report.born):
+                if engine.update_incarnation(report.born):
                     self._planner.begin_life(engine, report.born)
                     return
                 engine.take_report(report, self._clock())
@@ -185,61 +185,63 @@
                 holds=[key.text for key in engine.places],
             )
             self._planner.followers.mark(engine.replica.name)
-            self._planner.decide_soon()
+            self._planner.schedule_decision()
         finally:
             engine.syncing = False
 
-    async def _carry_out(self, swap: Swap) -> None:
+    async def _run_load(self, planned: PlannedLoad) -> None:
         try:
-            await self._swap(swap)
+            await self._execute(planned)
         finally:
-            if not swap.cached:
+            if not planned.cached:
                 self._store_loads -= 1
-            self._planner.followers.mark(swap.engine.replica.name)
-            self._planner.decide_soon()
+            self._planner.followers.mark(planned.engine.replica.name)
+            self._planner.schedule_decision()
 
-    async def _swap(self, swap: Swap) -> None:
-        term, engine, key, place = swap.term, swap.engine, swap.key, swap.place
+    async def _execute(self, planned: PlannedLoad) -> None:
+        term, engine, key, place = planned.term, planned.engine, planned.key, planned.place
         async with engine.lock:
             if term.is_over or engine.places.get(key) is not place:
                 # Its victim is out of the account and still there.
-                engine.undo(key, place)
+                engine.discard(key, place)
                 engine.synced = False
                 return
-            if swap.victim is not None:
-                outcome = await self.order(term, engine, False, swap.victim, 0)
+            if planned.victim is not None:
+                outcome = await self.order(term, engine, False, planned.victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
-                    engine.undo(key, place)
-                    self.keep_unloading(engine, swap.victim, outcome)
+                    engine.discard(key, place)
+                    self.track_unload(engine, planned.victim, outcome)
                     return
             newest = self._planner.state.versions.get(key, 0)
-            place.version = newest or FIRST_VERSION
+            place.version = newest or DEFAULT_VERSION
             outcome = await self.order(term, engine, True, key, newest)
         if outcome is OrderOutcome.HOLDS:
             self._set_ready(engine, key, place)
             return
         if outcome is not OrderOutcome.TAKEN:
-            engine.undo(key, place)
+            engine.discard(key, place)
             return
         # Counted from the answer: before it the order may have been given more than once.
-        place.ordered_at = self._clock()
-        load_s = self.pace.cached_s if swap.cached else self.pace.load_s
-        place.ready_at = place.ordered_at + load_s
+        place.acknowledged_at = self._clock()
+        load_s = self.pace.cached_s if planned.cached else self.pace.load_s
+        place.ready_at = place.acknowledged_at + load_s
         await self._make_ready(engine, key, place)
-        if place.under_way:
-            self.pace.note_in_time(place.under_way, place.at_limit, self._clock())
+        if place.store_loads_at_start:
+            self.pace.note_in_time(
+                place.store_loads_at_start, place.was_store_saturated, self._clock()
+            )
 
     async def _await_unload(self, engine: Engine, key: AdapterKey, place: Place) -> None:
         """Free a place when the engine reports that its adapter is gone."""
         engines, name = self._planner.engines, engine.replica.name
         while engines.get(name) is engine and engine.places.get(key) is place:
             await asyncio.sleep(REPORT_LAG_S)
-            if engine.users(key):
+            if engine.request_count(key):
                 continue
             report = await self._transport.report(engine.replica)
             if report is not None and key not in {held.key for held in report.holdings}:
-                engine.undo(key, place)
-                self._planner.decide_soon()
+                engine.discard(key, place)
+                self._planner.schedule_decision()
 
     async def _make_ready(self, engine: Engine, key: AdapterKey, place: Place) -> None:
         await asyncio.sleep(max(0.0, place.ready_at - self._clock()))
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -14,7 +14,7 @@
 from .holders import EngineIndex
 from .model import AdapterKey, Holding, Replica
 
-ALL_LOOKED_AT = 64
+MAX_UNSAMPLED_ENGINES = 64
 """Up to so many engines all are looked at for each load: it takes half a millisecond."""
 CANDIDATES = 32
 """Of more engines so many with room are looked for: what is best among them is nearly the best."""
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Opening:
+class LoadTarget:
     """Room on an engine for one more adapter.
 
     Parameters
@@ -37,7 +37,7 @@
     """
 
     engine: Engine
-    free: int
+    free_slots: int
     victims: tuple[Victim, ...]
 
 
@@ -68,7 +68,7 @@
         By the runtime's clock.
     """
 
-    __slots__ = ("_cells", "_engines", "_found", "_index", "_may_order", "_now", "_popularity")
+    __slots__ = ("_cells", "_engines", "_targets", "_index", "_may_order", "_now", "_popularity")
 
     def __init__(
         self,
@@ -85,11 +85,11 @@
         self._popularity = popularity
         self._may_order = may_order
         self._now = now
-        self._found: dict[str, Opening | None] = {}
+        self._targets: dict[str, LoadTarget | None] = {}
 
     def candidates(
         self, key: AdapterKey, version: int, may_use: t.Callable[[str], bool]
-    ) -> list[tuple[str, Opening]]:
+    ) -> list[tuple[str, LoadTarget]]:
         """Return engines that lack an adapter and have room for it.
 
         Parameters
@@ -101,15 +101,15 @@
         may_use : callable
             Tells whether an engine may be chosen, by its name.
         """
-        if len(self._engines) <= ALL_LOOKED_AT:
-            return list(self._open(self._engines, key, may_use))
-        keepers = self._index.keeping(Holding(key, version))
-        found = dict(itertools.islice(self._open(keepers, key, may_use), KEEPERS))
-        others = self._open(self._cells.homes(key.text), key, may_use)
+        if len(self._engines) <= MAX_UNSAMPLED_ENGINES:
+            return list(self._available(self._engines, key, may_use))
+        caching = self._index.engines_caching(Holding(key, version))
+        found = dict(itertools.islice(self._available(caching, key, may_use), KEEPERS))
+        others = self._available(self._cells.homes(key.text), key, may_use)
         found.update(itertools.islice(others, CANDIDATES))
         return list(found.items())
 
-    def has_place_for(self, name: str, rate: float) -> bool:
+    def has_slot_for(self, name: str, rate: float) -> bool:
         """Tell whether nothing would make way on an engine that is asked for as often.
 
         Parameters
@@ -119,40 +119,40 @@
         rate : float
             Requests a second for what is to be loaded.
         """
-        opening = self._at(name)
-        if opening is None:
+        target = self._target(name)
+        if target is None:
             return False
-        return opening.free > 0 or any(victim.rate < rate for victim in opening.victims)
+        return target.free_slots > 0 or any(victim.rate < rate for victim in target.victims)
 
-    def renew(self, engine: Engine) -> None:
+    def invalidate(self, engine: Engine) -> None:
         """Look again at an engine whose places have changed."""
-        self._found.pop(engine.replica.name, None)
+        self._targets.pop(engine.replica.name, None)
 
-    def _open(
+    def _available(
         self, names: t.Iterable[str], key: AdapterKey, may_use: t.Callable[[str], bool]
-    ) -> t.Iterator[tuple[str, Opening]]:
+    ) -> t.Iterator[tuple[str, LoadTarget]]:
         for name in names:
-            opening = self._at(name)
-            if opening is not None and may_use(name) and opening.engine.lacks(key):
-                yield name, opening
+            target = self._target(name)
+            if target is not None and may_use(name) and target.engine.is_missing(key):
+                yield name, target
 
-    def _at(self, name: str) -> Opening | None:
-        if name not in self._found:
-            self._found[name] = self._find(self._engines[name])
-        return self._found[name]
+    def _target(self, name: str) -> LoadTarget | None:
+        if name not in self._targets:
+            self._targets[name] = self._inspect(self._engines[name])
+        return self._targets[name]
 
-    def _find(self, engine: Engine) -> Opening | None:
+    def _inspect(self, engine: Engine) -> LoadTarget | None:
         if not engine.can_load() or not self._may_order(engine.replica):
             return None
-        free = engine.free()
-        if free > 0:
-            return Opening(engine, free, ())
+        free_slots = engine.free_adapter_slots()
+        if free_slots > 0:
+            return LoadTarget(engine, free_slots, ())
         # Each copy of an adapter is missed for its share of the requests.
         victims = tuple(
             Victim(
                 key.text,
                 self._popularity.rate(key.text, self._now) / max(1, count_copies(self._index, key)),
             )
-            for key in engine.idle(self._now)
+            for key in engine.evictable(self._now)
         )
-        return Opening(engine, 0, victims) if victims else None
+        return LoadTarget(engine, 0, victims) if victims else None
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -21,13 +21,13 @@
 from .departures import DepartureDesk
 from .engine_speeds import SpeedDesk
 from .engines import Engine, Phase, Place
-from .fair_line import FairLine
+from .fair_line import FairQueue
 from .fleet import terms
 from .followers import Follower, Followers, encode_load
-from .holders import EngineIndex, tells_any
+from .holders import EngineIndex, reports_any
 from .kept import Kept, sample_holders
 from .limit_desk import LimitDesk
-from .loading import FIRST_VERSION, Loading, Swap
+from .loading import DEFAULT_VERSION, Loader, PlannedLoad
 from .model import AdapterKey, EngineSpec, FleetState, Term, ToldLoad
 from .openings import Openings
 from .pacing import FRESH_S
@@ -40,30 +40,30 @@
 from .settings import Feature
 from .sharedhealth import DOUBTED_S, HealthDesk
 from .storenews import StoreTeller
-from .upkeep import PART_PER_COPY, Upkeep
+from .upkeep import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
 from .waiting import Waiter, WaitingLine
 
 log = logbook.Logger("planner")
-HALF_LIFE_S = 4.0
+DEMAND_HALF_LIFE_S = 4.0
 """Demand moves within seconds."""
 TICK_S = 0.1
-DECIDE_S = 0.008
+DECISION_DELAY_S = 0.008
 """What comes within this time is decided together."""
-MOST_IN_VAIN = 16
+MAX_FAILED_LOADS_PER_DECISION = 16
 """After so many that cannot be loaded now, those of less gain are not tried in the same decision:
 each takes 0.7 ms with 45 engines."""
-REST_PART = 4.0
+IDLE_TO_DECISION_RATIO = 4.0
 """The planner rests so many times as long as its last decision took: owners and gateways wait for
 it to read what they say."""
-MOVE_S = 0.5
+MAX_REDIRECT_WAIT_S = 0.5
 """A request waits no longer than this for another engine than the one that could run it: a load
 takes 0.25 s from the weight store."""
-MOVE_MARGIN_S = 0.1
+MIN_REDIRECT_GAIN_S = 0.1
 """The other engine must be better by this: that it takes a place there costs others."""
-OTHER_HALL_S = 0.03
+CROSS_HALL_COST_S = 0.03
 """A nearer engine wins among equals only: bytes between halls have a price."""
-ALL_HOLDERS = 64
-HOLDERS = 32
+MAX_UNSAMPLED_HOLDERS = 64
+HOLDER_SAMPLE_SIZE = 32
 """Of more engines that hold the same weights, as of a base model, so many are drawn for a request:
 the best of them is nearly the best of all."""
 SYNCS_AT_ONCE = 64
@@ -72,7 +72,7 @@
 for it: a new planner would open connections to all at once, and requests would wait behind the
 reports of engines that none uses. Until then more engines than are asked at once are taken to hold
 what they tell in the platform's store: their reports take seconds."""
-LOOK_S = 0.05
+REDIRECT_RETRY_S = 0.05
 """Another engine for requests that are held for room is looked for this often: each look takes
 0.7 ms with 45 engines, and they are looked at with each message."""
 
@@ -136,8 +136,8 @@
         self.is_outranked = False
         """Whether an engine has seen a greater token than this planner's."""
         self.engines: dict[str, Engine] = {}
-        self._kept = Kept(clock)
-        self.index = EngineIndex(self._kept.parts)
+        self._prefix_cache = Kept(clock)
+        self.index = EngineIndex(self._prefix_cache.parts)
         """Finds engines by what they hold."""
         self._cells = Cells()
         self._rng = random.Random(0)
@@ -148,11 +148,11 @@
         """Grants room at replicas that take only so many requests a second."""
         speeds = speeds or ReadingSpeeds()
         is_fair = Feature.FAIR_SHARES in features and room is not None
-        self.fair = FairLine(state, lambda: self.followers.pacing.flush_s, is_fair)
+        self.fair_queue = FairQueue(state, lambda: self.followers.pacing.flush_s, is_fair)
         """Whose question is answered first where engines are full."""
         self.parts: tuple[PlannerPart, ...] = (
             QuotaDesk(quotas, state, lambda: self.term is not None),
-            self.fair,
+            self.fair_queue,
             *((self._health,) if self._health is not None else ()),
             *((poison,) if poison is not None else ()),
             *((self.limits,) if Feature.REPLICA_LIMITS in features else ()),
@@ -170,8 +170,8 @@
             Feature.SCOPED_NEWS in features,
             self._cells,
         )
-        self.popularity = Popularity(HALF_LIFE_S)
-        self.tokens = Popularity(HALF_LIFE_S)
+        self.popularity = Popularity(DEMAND_HALF_LIFE_S)
+        self.tokens = Popularity(DEMAND_HALF_LIFE_S)
         """Tokens of prompts a second, by adapter."""
         self.hot: set[AdapterKey] = set()
         """Adapters of which a single copy may not be enough."""
@@ -180,17 +180,17 @@
         self._transport = transport
         self._relay = transport if isinstance(transport, OrderRelay) else None
         self._clock = clock
-        self.loading = Loading(self, owner, transport, clock, spec.loads_at_once)
+        self.loading = Loader(self, owner, transport, clock, spec.loads_at_once)
         """Carries out what is decided here."""
         self._line = WaitingLine(self.popularity, clock(), self.loading.pace.rate)
-        self._upkeep = Upkeep(self, spec, window, clock)
+        self._upkeep = Maintenance(self, spec, window, clock)
         self._spec = spec
-        self._syncs = asyncio.Semaphore(SYNCS_AT_ONCE)
+        self._sync_semaphore = asyncio.Semaphore(SYNCS_AT_ONCE)
         self._syncing: set[str] = set()
         """Engines that are being asked for their state, or are about to be."""
-        self._room = room
+        self._engine_estimator = room
         self._terms = terms(spec)
-        self._looked_at: dict[AdapterKey, float] = {}
+        self._redirect_tried_at: dict[AdapterKey, float] = {}
         """When it was looked for another engine for requests that have a holder."""
         self.look_from = -math.inf
         """No such look begins before."""
@@ -198,32 +198,32 @@
         """Looks whether adapters need another engine; None without knowledge of engines' room."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._deciding: asyncio.TimerHandle | None = None
+        self._decision_timer: asyncio.TimerHandle | None = None
         self.has_queue = False
         """Whether requests wait for loads that cannot begin yet."""
-        self._decision_s = 0.0
+        self._last_decision_s = 0.0
         """How long the last decision took, in seconds."""
 
     # Life.
 
     async def run(self) -> None:
         """Plan until cancelled."""
-        telling = asyncio.create_task(self._tell())
+        publishing = asyncio.create_task(self._publish_updates())
         try:
             while True:
                 self.refresh()
                 self.decide()
-                self.refill.bring(self._clock())
-                if telling.done():
+                self.refill.start_loads(self._clock())
+                if publishing.done():
                     # A planner that tells nothing any more is lost to its gateways, and kept them
                     # from finding another: they followed it again and again.
-                    telling.result()
+                    publishing.result()
                 await asyncio.sleep(TICK_S)
         finally:
             self.end_term()
-            telling.cancel()
-            if self._deciding is not None:
-                self._deciding.cancel()
+            publishing.cancel()
+            if self._decision_timer is not None:
+                self._decision_timer.cancel()
             for task in list(self._tasks):
                 task.cancel()
 
@@ -240,12 +240,12 @@
 
     def refresh(self) -> None:
         """Follow the replicas that the platform tells of."""
-        told = {
+        reported = {
             rep.name: rep
             for rep in self.state.replicas.values()
             if rep.service == self.service and not rep.leaving
         }
-        for name in [name for name in self.engines if name not in told]:
+        for name in [name for name in self.engines if name not in reported]:
             gone = self.engines.pop(name)
             self.index.drop(gone)
             self.refill.note_lost(gone, name in self.state.replicas, self._clock())
@@ -253,42 +253,46 @@
             self.followers.mark(name)
             for part in self.parts:
                 part.forget(name)
-        for name, rep in told.items():
+        for name, rep in reported.items():
             engine = self.engines.get(name)
             if engine is None:
                 engine = self.engines[name] = Engine(rep, self._spec, self.index)
                 self._cells.add(name)
-                self._take_cached(engine)
-                if len(told) > SYNCS_AT_ONCE:
-                    engine.take_told(self._clock())
+                self._add_reported_cache(engine)
+                if len(reported) > SYNCS_AT_ONCE:
+                    engine.assume_registered_holdings(self._clock())
                     self.followers.mark(name)
-            elif engine.replica is not rep or len(told) <= SYNCS_AT_ONCE:
+            elif engine.replica is not rep or len(reported) <= SYNCS_AT_ONCE:
                 # Of few engines what they tell counts again each time, also if it was forgotten.
-                if engine.begins_again(rep):
+                if engine.update_replica(rep):
                     engine = self.begin_life(engine, rep.born)
-                self._take_cached(engine)
-            engine.drop_strays(self._clock())
+                self._add_reported_cache(engine)
+            engine.drop_expired_loads(self._clock())
         now = self._clock()
-        self._looked_at = {key: at for key, at in self._looked_at.items() if at + LOOK_S > now}
+        self._redirect_tried_at = {
+            key: at for key, at in self._redirect_tried_at.items() if at + REDIRECT_RETRY_S > now
+        }
         if self.term is not None:
             self._sync_engines()
-            self._upkeep.do(self.term)
+            self._upkeep.run_due(self.term)
 
     def begin_life(self, engine: Engine, born: int) -> Engine:
         """Forget all that is known of an engine that has started again under its name."""
         name, now = engine.replica.name, self._clock()
-        strays = engine.strays(now)
+        strays = engine.unacknowledged_loads(now)
         self.index.drop(engine)
         self.refill.note_lost(engine, True, now)
-        engine.has_ended = True
+        engine.is_replaced = True
         log.info("engine began again", replica=name, born=born, strays=len(strays))
-        fresh = self.engines[name] = Engine(engine.replica, self._spec, self.index, strays, born)
+        replacement = self.engines[name] = Engine(
+            engine.replica, self._spec, self.index, strays, born
+        )
         self.followers.mark(name)
         for part in self.parts:
             part.forget(name)
-        return fresh
+        return replacement
 
-    def _take_cached(self, engine: Engine) -> None:
+    def _add_reported_cache(self, engine: Engine) -> None:
         for holding in engine.replica.cached:
             if holding.key.adapter and holding not in engine.cached:
                 engine.remember(holding)
@@ -307,13 +311,13 @@
         ]
         room = SYNCS_WAITING - len(self._syncing)
         if len(unknown) > room:
-            waited = {waiter.key for waiter in self._line.waiters}
+            awaited_keys = {waiter.key for waiter in self._line.waiters}
             unknown.sort(
                 key=lambda engine: (
                     # One that gives no report keeps no other one waiting.
-                    engine.asked_at,
+                    engine.sync_started_at,
                     not engine.is_in_use(),
-                    not tells_any(engine.replica, waited),
+                    not reports_any(engine.replica, awaited_keys),
                 )
             )
         for engine in unknown[: max(0, room)]:
@@ -322,8 +326,8 @@
 
     async def _sync(self, engine: Engine) -> None:
         try:
-            async with self._syncs:
-                engine.asked_at = self._clock()
+            async with self._sync_semaphore:
+                engine.sync_started_at = self._clock()
                 await self.loading.sync(engine)
         finally:
             self._syncing.discard(engine.replica.name)
@@ -354,7 +358,7 @@
             part.leave(follower, self._clock())
         self._line.forget(follower)
         for engine in self.engines.values():
-            engine.forget(follower.number)
+            engine.forget_gateway(follower.number)
 
     def take(self, follower: Follower, message: pb.FromGateway) -> None:
         """Take a gateway's message."""
@@ -370,31 +374,31 @@
         if self._relay is not None:
             self._relay.take(follower, message)
         for use in message.uses:
-            self._take_use(follower, use, now)
+            self._handle_use(follower, use, now)
         for load in message.loads:
             engine = self.engines.get(load.replica)
             if engine is not None:
                 queued = tuple(load.queued)
-                told = ToldLoad(load.starting, load.running, queued, load.memory_tokens)
-                engine.take_load(follower.number, told)
+                reported = ToldLoad(load.starting, load.running, queued, load.memory_tokens)
+                engine.take_load(follower.number, reported)
         for part in self.parts:
             part.take(follower, message, now)
         if message.cancelled:
             self._line.cancel(follower, set(message.cancelled))
         for ask in message.asks:
-            self._take_ask(Waiter(follower, ask, now), now)
-        self.decide_soon()
+            self._handle_ask(Waiter(follower, ask, now), now)
+        self.schedule_decision()
 
-    def _take_ask(self, waiter: Waiter, now: float) -> None:
-        self.loading.note_absent(waiter.ask.absent, waiter.key)
+    def _handle_ask(self, waiter: Waiter, now: float) -> None:
+        self.loading.handle_missing(waiter.ask.absent, waiter.key)
         self.followers.note_use(waiter.follower, waiter.key)
-        turn = self.fair.awaits_turn(waiter, bool(self.index.with_key(waiter.key)))
-        if turn or not self._try_answer(waiter, now):
+        is_deferred = self.fair_queue.defers(waiter, bool(self.index.with_key(waiter.key)))
+        if is_deferred or not self._try_answer(waiter, now):
             if not waiter.is_held:
                 self.popularity.note(waiter.key.text, now)
             self._line.waiters.append(waiter)
 
-    def _take_use(self, follower: Follower, use: pb.Use, now: float) -> None:
+    def _handle_use(self, follower: Follower, use: pb.Use, now: float) -> None:
         key = AdapterKey(use.model, use.adapter)
         if use.started:
             self.popularity.note(key.text, now, use.started)
@@ -405,162 +409,177 @@
         if engine is None:
             return
         self.tokens.note(key.text, now, use.started_tokens)
-        self._kept.parts.note_sent(use.replica, use.started_tokens, self._terms.memory_tokens)
-        if self.tokens.rate(key.text, now) > PART_PER_COPY * self.speed:
+        self._prefix_cache.parts.note_sent(
+            use.replica, use.started_tokens, self._terms.memory_tokens
+        )
+        if self.tokens.rate(key.text, now) > MAX_PREFILL_FRACTION_PER_COPY * self.speed:
             self.hot.add(key)
         engine.take_use(follower.number, key, use.active)
         place = engine.places.get(key)
         if place is not None:
             place.used_at = now
 
-    async def _tell(self) -> None:
+    async def _publish_updates(self) -> None:
         while True:
             await asyncio.sleep(self.followers.pacing.news_s)
             self.followers.tell_news(self.term is not None)
 
     # Deciding.
 
-    def decide_soon(self) -> None:
+    def schedule_decision(self) -> None:
         """Decide in a moment, together with what else comes until then."""
-        if self._deciding is None:
+        if self._decision_timer is None:
             loop = asyncio.get_running_loop()
-            rest_s = REST_PART * self._decision_s
-            self._deciding = loop.call_later(max(DECIDE_S, rest_s), self.decide)
+            idle_s = IDLE_TO_DECISION_RATIO * self._last_decision_s
+            self._decision_timer = loop.call_later(max(DECISION_DELAY_S, idle_s), self.decide)
 
     def decide(self) -> None:
         """Answer who can be answered, load what is waited for most, refuse what is hopeless."""
-        if self._deciding is not None:
-            self._deciding.cancel()
-            self._deciding = None
+        if self._decision_timer is not None:
+            self._decision_timer.cancel()
+            self._decision_timer = None
         now = self._clock()
         self._line.waiters = [
             waiter
-            for waiter in self.limits.put_urgent_first(self.fair.arrange(self._line.waiters, now))
+            for waiter in self.limits.put_urgent_first(
+                self.fair_queue.arrange(self._line.waiters, now)
+            )
             if now < waiter.until
-            and (self.fair.skips(waiter, now) or not self._try_answer(waiter, now))
+            and (self.fair_queue.can_skip(waiter, now) or not self._try_answer(waiter, now))
         ]
-        self._line.waiters = self.fair.refuse_late(self._line.waiters, now)
+        self._line.waiters = self.fair_queue.refuse_late(self._line.waiters, now)
         if self.term is None:
             return
-        ordered = self.fair.put_last(self._line.in_order(now, self.loading.pace.load_s), now)
-        queued = self._load_for(ordered, now) if ordered else []
+        ordered = self.fair_queue.put_over_share_last(
+            self._line.in_order(now, self.loading.pace.load_s), now
+        )
+        queued = self._start_loads(ordered, now) if ordered else []
         self.has_queue = bool(queued)
         self._line.throughput.note_queue(self.has_queue, now)
         self._line.refuse_hopeless(queued, now, self.loading.pace.load_s)
-        self._decision_s = self._clock() - now
+        self._last_decision_s = self._clock() - now
 
-    def _load_for(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
+    def _start_loads(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
         """Begin to load what is waited for; return what cannot be begun yet, in its order."""
         openings = self.openings()
         queued: list[AdapterKey] = []
         for waiter in ordered:
-            if self._is_coming(waiter):
+            if self._is_loading(waiter):
                 continue
-            tried = len(queued) < MOST_IN_VAIN
+            tried = len(queued) < MAX_FAILED_LOADS_PER_DECISION
             if not tried or not self.load(
                 waiter.key, now, openings, waiter.may_use, work=waiter.work
             ):
                 queued.append(waiter.key)
             else:
-                self.fair.note_load(waiter, now)
+                self.fair_queue.note_load(waiter, now)
         return queued
 
     def _try_answer(self, waiter: Waiter, now: float) -> bool:
         best: Engine | None = None
-        least, most_kept = math.inf, 0
+        min_cost, max_cached_tokens = math.inf, 0
         waiter.is_held = False
         holders, newest = self._holders(waiter), self.state.versions.get(waiter.key, 0)
-        able = (name for name, one in holders if one.holds(waiter.key) and waiter.may_use(name))
+        ready_names = (
+            name for name, one in holders if one.holds(waiter.key) and waiter.may_use(name)
+        )
         # Gateways with fresh news send a chain to its home by themselves.
         is_fresh = self.followers.pacing.news_s <= FRESH_S
-        home = self._kept.home(waiter.work, able) if is_fresh else ""
+        home = self._prefix_cache.home(waiter.work, ready_names) if is_fresh else ""
         for name, engine in holders:
             place = engine.places.get(waiter.key)
             if place is None or place.phase is not Phase.READY or not waiter.may_use(name):
                 continue
-            work = self._kept.at_least(name, waiter.work, home, self.speed)
+            work = self._prefix_cache.at_least(name, waiter.work, home, self.speed)
             cost = self._cost_s(engine, waiter, work) - held_up_s(work.kept_tokens, self.speed)
-            most_kept = max(most_kept, work.kept_tokens if name != home else 0)
-            if place.version >= newest and cost < least:
-                best, least = engine, cost
+            max_cached_tokens = max(max_cached_tokens, work.kept_tokens if name != home else 0)
+            if place.version >= newest and cost < min_cost:
+                best, min_cost = engine, cost
         if best is None:
             return False
-        work = self._kept.at(best.replica.name, waiter.work)
-        if self._goes_elsewhere(waiter, best, self._cost_s(best, waiter, work), now):
+        work = self._prefix_cache.at(best.replica.name, waiter.work)
+        if self._should_wait(waiter, best, self._cost_s(best, waiter, work), now):
             return False
         place = best.places[waiter.key]
         # Until its gateway tells that it is there.
         place.used_at = now + self.followers.pacing.flush_s
-        best.book(waiter.follower.number, work)
+        best.reserve(waiter.follower.number, work)
         name = best.replica.name
-        self._kept.parts.note_credit(work.chain, work.kept_tokens, most_kept)
-        self._kept.parts.note(name, work.chain, now)
-        load, standing = encode_load(name, best), self.fair.standing(waiter, now)
+        self._prefix_cache.parts.note_credit(work.chain, work.kept_tokens, max_cached_tokens)
+        self._prefix_cache.parts.note(name, work.chain, now)
+        load, standing = encode_load(name, best), self.fair_queue.standing(waiter, now)
         has_room = self.limits.try_take(name, waiter.follower.instance, now)
         waiter.answer(name, place.version, load, work.kept_tokens, standing, has_room)
         return True
 
     def _holders(self, waiter: Waiter) -> t.Collection[tuple[str, Engine]]:
         """Return engines that may have a request's weights in a place, a few of very many."""
-        if len(self.engines) <= ALL_HOLDERS:
+        if len(self.engines) <= MAX_UNSAMPLED_HOLDERS:
             # In their own order: of equals the first one runs most, and others stay free.
             return self.engines.items()
         holders = self.index.with_key(waiter.key)
-        if len(holders) <= ALL_HOLDERS:
+        if len(holders) <= MAX_UNSAMPLED_HOLDERS:
             return holders.items()
         if waiter.ask.only in holders:
             return [(waiter.ask.only, holders[waiter.ask.only])]
-        return sample_holders(list(holders.items()), HOLDERS, waiter.work.chain, self._rng)
+        return sample_holders(
+            list(holders.items()), HOLDER_SAMPLE_SIZE, waiter.work.chain, self._rng
+        )
 
     def _cost_s(self, engine: Engine, waiter: Waiter, work: Work) -> float:
         """Return what a request costs on an engine that has the adapter, in seconds."""
         name = engine.replica.name
-        cost = self.wait_s(engine, work) + self._doubt_s(name, waiter)
+        cost = self.wait_s(engine, work) + self._health_penalty_s(name, waiter)
         cost += self.limits.delay_s(name, self._clock())
         if engine.replica.hall != waiter.follower.hall:
-            cost += OTHER_HALL_S
+            cost += CROSS_HALL_COST_S
         return cost
 
-    def _doubt_s(self, replica: str, waiter: Waiter) -> float:
+    def _health_penalty_s(self, replica: str, waiter: Waiter) -> float:
         if self._health is not None:
             return self._health.doubt_s(replica, waiter.follower, waiter.ask.doubted)
         return DOUBTED_S if replica in waiter.ask.doubted else 0.0
 
-    def _goes_elsewhere(self, waiter: Waiter, best: Engine, least_s: float, now: float) -> bool:
+    def _should_wait(self, waiter: Waiter, best: Engine, min_cost_s: float, now: float) -> bool:
         """Tell whether a request waits for another engine, or for room on the best holder.
 
         So does one that would be late there, that would wait for a slot or displace another.
         """
         # A stream that was begun waits for its next event.
         is_full = not waiter.ask.begun and not self._has_room(best, waiter, now)
-        if now > waiter.asked_at + (self.fair.hold_s(waiter) if is_full else MOVE_S):
+        if now > waiter.asked_at + (
+            self.fair_queue.max_hold_s(waiter) if is_full else MAX_REDIRECT_WAIT_S
+        ):
             return False
-        if now + least_s <= waiter.target_at and not is_full:
+        if now + min_cost_s <= waiter.target_at and not is_full:
             return False
         waiter.is_held = is_full
-        if self._is_coming(waiter):
+        if self._is_loading(waiter):
             return True
-        if self._room is not None and not self._may_look(waiter.key, now):
+        if self._engine_estimator is not None and not self._may_try_redirect(waiter.key, now):
             return is_full
-        most_s = least_s - MOVE_MARGIN_S
+        max_cost_s = min_cost_s - MIN_REDIRECT_GAIN_S
         # Where there is no room at its holders, a copy serves those who come as well.
-        shares = is_full and not self.has_queue
-        uses = self.uses(waiter.key, now) if shares else 1.0
+        is_shared = is_full and not self.has_queue
+        uses = self.uses(waiter.key, now) if is_shared else 1.0
         begun = self.load(
-            waiter.key, now, self.openings(), waiter.may_use, most_s, waiter.work, uses
+            waiter.key, now, self.openings(), waiter.may_use, max_cost_s, waiter.work, uses
         )
         self.rest_from(now)
         return begun or is_full
 
     def rest_from(self, began: float) -> None:
         """Look for no further engine for a while after a look that began at a moment."""
-        self.look_from = began + REST_PART * (self._clock() - began)
+        self.look_from = began + IDLE_TO_DECISION_RATIO * (self._clock() - began)
 
-    def _may_look(self, key: AdapterKey, now: float) -> bool:
+    def _may_try_redirect(self, key: AdapterKey, now: float) -> bool:
         """Tell whether it is time to look for another engine for a request that has a holder."""
-        if now < self.look_from or now < self._looked_at.get(key, -math.inf) + LOOK_S:
+        if (
+            now < self.look_from
+            or now < self._redirect_tried_at.get(key, -math.inf) + REDIRECT_RETRY_S
+        ):
             return False
-        self._looked_at[key] = now
+        self._redirect_tried_at[key] = now
         return True
 
     @property
@@ -570,9 +589,9 @@
 
     def wait_s(self, engine: Engine, work: Work) -> float:
         """Return the time to a first event on an engine that has the adapter, in seconds."""
-        if self._room is None:
+        if self._engine_estimator is None:
             return first_event_s(engine.busyness(), work, self.speed)
-        pace = self._room.pace(self.service, engine.replica.name, self._clock())
+        pace = self._engine_estimator.pace(self.service, engine.replica.name, self._clock())
         return expected_s(engine.busyness(), work, self._terms, pace)
 
     def _is_reading(self, replica: str) -> bool:
@@ -584,28 +603,28 @@
         """Tell whether a request neither waits for a slot or memory there nor displaces another."""
         if self.limits.delay_s(engine.replica.name, now) > 0:
             return False
-        if self._room is None:
+        if self._engine_estimator is None:
             return True
-        pace = self._room.pace(self.service, engine.replica.name, now)
-        end_s = pace.hold_s / max(1, self._terms.slots)
-        ahead_s = self.fair.ahead_s(waiter, engine, end_s, now)
-        return has_room(engine.busyness(), waiter.work, self._terms, pace, ahead_s)
+        pace = self._engine_estimator.pace(self.service, engine.replica.name, now)
+        completion_interval_s = pace.hold_s / max(1, self._terms.slots)
+        lead_s = self.fair_queue.dispatch_lead_s(waiter, engine, completion_interval_s, now)
+        return has_room(engine.busyness(), waiter.work, self._terms, pace, lead_s)
 
     def uses(self, key: AdapterKey, now: float) -> float:
         """Return how many requests will use a further copy of an adapter, 1 at least."""
         return max(1.0, COPY_USE_S * self.popularity.rate(key.text, now))
 
-    def _ejected_s(self, replica: str) -> float:
+    def _ejection_penalty_s(self, replica: str) -> float:
         return self._health.ejected_s(replica) if self._health is not None else 0.0
 
-    def _is_coming(self, waiter: Waiter) -> bool:
+    def _is_loading(self, waiter: Waiter) -> bool:
         for name, engine in self._holders(waiter):
             place = engine.places.get(waiter.key)
             if place is not None and place.phase is Phase.LOADING and waiter.may_use(name):
                 return True
         return False
 
-    def wanted_models(self) -> set[str]:
+    def requested_models(self) -> set[str]:
         """Return the base models of all that is waited for."""
         return {waiter.key.model for waiter in self._line.waiters}
 
@@ -630,7 +649,7 @@
         now: float,
         openings: Openings,
         may_use: t.Callable[[str], bool],
-        most_s: float = math.inf,
+        max_cost_s: float = math.inf,
         work: Work = Work(),  # noqa: B008
         uses: float = 1.0,
     ) -> bool:
@@ -655,25 +674,25 @@
         """
         if not key.adapter or self.term is None:
             return False
-        version = self.state.versions.get(key, 0) or FIRST_VERSION
+        version = self.state.versions.get(key, 0) or DEFAULT_VERSION
         views = [
             EnginePlaces(
                 name,
-                opening.free,
-                opening.victims,
-                opening.engine.is_cached(key, version),
-                self.wait_s(opening.engine, work)
-                + self._ejected_s(name)
+                target.free_slots,
+                target.victims,
+                target.engine.is_cached(key, version),
+                self.wait_s(target.engine, work)
+                + self._ejection_penalty_s(name)
                 + self.limits.home_s(name),
             )
-            for name, opening in openings.candidates(key, version, may_use)
+            for name, target in openings.candidates(key, version, may_use)
         ]
         choice = choose_home(
             views,
             key.text,
             self.loading.costs(uses),
             self.loading.may_use_store(),
-            most_s,
+            max_cost_s,
         )
         if choice is None:
             return False
@@ -682,8 +701,8 @@
         place = engine.places[key] = Place(version, Phase.LOADING, now)
         self._line.throughput.note_load()
         self.followers.mark(choice.engine)
-        openings.renew(engine)
-        self.loading.begin(Swap(self.term, engine, key, place, victim, choice.cached))
+        openings.invalidate(engine)
+        self.loading.begin(PlannedLoad(self.term, engine, key, place, victim, choice.cached))
         return True
 
     # Tasks.
@@ -692,9 +711,9 @@
         """Run something beside; it ends with the planner."""
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("a planner's task failed", why=repr(task.exception()))
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -17,18 +17,18 @@
     from .planner import Planner
 
 log = logbook.Logger("planner")
-MOST_LOST = 256
+MAX_LOST_ADAPTERS = 256
 """Lost adapters that are remembered, those of most gain: looking at them takes some 2 ms."""
-MOST_LOADS = 8
+MAX_LOADS_PER_PASS = 8
 """Begun each time, those of most gain; the others come a tenth of a second later."""
-MOST_TRIED = 16
+MAX_ATTEMPTS_PER_PASS = 16
 """Where there is no place for so many of most gain there is hardly one for the others."""
-SURE_S = 0.5
+LOSS_CONFIRMATION_S = 0.5
 """An engine whose entry goes without a word may be back after the next news of the store."""
 
 
 @dataclass(slots=True, frozen=True)
-class _Lost:
+class _LostAdapter:
     """An adapter that its only holder took along.
 
     Parameters
@@ -61,9 +61,9 @@
     def __init__(self, planner: Planner, is_on: bool) -> None:
         self._planner = planner
         self._is_on = is_on
-        self._lost: dict[AdapterKey, _Lost] = {}
+        self._lost: dict[AdapterKey, _LostAdapter] = {}
 
-    def note_lost(self, engine: Engine, is_told: bool, now: float) -> None:
+    def note_lost(self, engine: Engine, is_announced: bool, now: float) -> None:
         """Note that an engine is gone, about to go or empty; it is not in the index any more.
 
         Parameters
@@ -77,43 +77,43 @@
         """
         if not self._is_on:
             return
-        due_at = now if is_told else now + SURE_S
+        due_at = now if is_announced else now + LOSS_CONFIRMATION_S
         for key, place in engine.places.items():
             if not key.adapter or place.phase is Phase.UNLOADING:
                 continue
             gain_s = self._gain_s(key, now)
             if gain_s > 0 and not count_copies(self._planner.index, key):
-                self._lost[key] = _Lost(due_at, gain_s)
-        if len(self._lost) > MOST_LOST:
+                self._lost[key] = _LostAdapter(due_at, gain_s)
+        if len(self._lost) > MAX_LOST_ADAPTERS:
             by_gain = sorted(self._lost.items(), key=lambda item: -item[1].gain_s)
-            self._lost = dict(by_gain[:MOST_LOST])
+            self._lost = dict(by_gain[:MAX_LOST_ADAPTERS])
 
-    def bring(self, now: float) -> None:
+    def start_loads(self, now: float) -> None:
         """Bring those that save most, as long as nothing waits for the weight store."""
         planner = self._planner
         if not self._lost or planner.term is None:
             return
-        self._forget_old(now)
+        self._expire(now)
         if planner.has_queue:
             return
         gains = self._gains(now)
         openings = planner.openings()
-        begun = 0
-        for key in sorted(gains, key=lambda key: -gains[key])[:MOST_TRIED]:
-            if begun == MOST_LOADS or not planner.loading.has_store_to_spare():
+        started = 0
+        for key in sorted(gains, key=lambda key: -gains[key])[:MAX_ATTEMPTS_PER_PASS]:
+            if started == MAX_LOADS_PER_PASS or not planner.loading.has_spare_store_capacity():
                 break
             if self._load(key, openings, now):
-                begun += 1
+                started += 1
                 log.info("brought ahead", weights=key.text, gain_s=round(gains[key], 2))
 
     def _load(self, key: AdapterKey, openings: Openings, now: float) -> bool:
         rate = self._planner.popularity.rate(key.text, now)
         uses = self._planner.uses(key, now)
         return self._planner.load(
-            key, now, openings, lambda name: openings.has_place_for(name, rate), uses=uses
+            key, now, openings, lambda name: openings.has_slot_for(name, rate), uses=uses
         )
 
-    def _forget_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         """Forget what nobody has asked for: demand is not foreseen for longer."""
         self._lost = {
             key: lost for key, lost in self._lost.items() if now <= lost.due_at + COPY_USE_S
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -28,7 +28,7 @@
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_outdated", "_planner", "_renewing", "_seen_versions")
+    __slots__ = ("_clock", "_outdated", "_planner", "_renewals", "_seen_versions")
 
     def __init__(self, planner: Planner, clock: t.Callable[[], float]) -> None:
         self._planner = planner
@@ -36,13 +36,13 @@
         self._seen_versions: dict[AdapterKey, int] = {}
         self._outdated: set[AdapterKey] = set()
         """Weights of which some engine may hold a version that is not the newest."""
-        self._renewing: dict[tuple[str, AdapterKey], float] = {}
+        self._renewals: dict[tuple[str, AdapterKey], float] = {}
         """Engines and base models that are being renewed there, and since when."""
 
-    def do(self, term: Term) -> None:
+    def run_due(self, term: Term) -> None:
         """Do what is due in the planner's term."""
         self._find_outdated()
-        self._drop_renewed()
+        self._forget_finished()
         versions, index = self._planner.state.versions, self._planner.index
         for key in list(self._outdated):
             held = {
@@ -61,8 +61,8 @@
     def _find_outdated(self) -> None:
         """Find weights of which a version was named, or that came into a place, since last time."""
         versions, index = self._planner.state.versions, self._planner.index
-        inserted, index.inserted = index.inserted, set()
-        self._outdated.update(key for key in inserted if key in versions)
+        added, index.added_keys = index.added_keys, set()
+        self._outdated.update(key for key in added if key in versions)
         if versions != self._seen_versions:
             self._outdated.update(
                 key for key, version in versions.items() if self._seen_versions.get(key) != version
@@ -76,54 +76,54 @@
         if place.phase is Phase.READY:
             place.phase = Phase.LEAVING
             self._planner.followers.mark(name)
-        if engine.synced and not engine.users(key):
-            self._planner.start(self._drop(term, engine, key, place))
+        if engine.synced and not engine.request_count(key):
+            self._planner.start(self._unload(term, engine, key, place))
 
     def _renew_model(self, term: Term, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Renew a base model engine by engine, those with the fewest runs first."""
-        closed = [one for one in held.values() if one.places[key].phase is Phase.LEAVING]
-        self._close_some(held, key)
-        for engine in closed:
+        draining = [engine for engine in held.values() if engine.places[key].phase is Phase.LEAVING]
+        self._drain_some(held, key)
+        for engine in draining:
             # Adapters may have been loaded since.
-            engine.close(key)
+            engine.drain_model(key)
             if engine.synced and not engine.uses_model(key.model):
-                self._planner.start(self._drop(term, engine, key, engine.places[key]))
+                self._planner.start(self._unload(term, engine, key, engine.places[key]))
 
-    def _close_some(self, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
+    def _drain_some(self, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Close engines for the renewal of their base model; gateways have yet to be told."""
         now, engines = self._clock(), self._planner.engines
-        left = renewals_left(self._renewing.values(), len(engines), now)
-        if not left:
+        allowed = renewals_left(self._renewals.values(), len(engines), now)
+        if not allowed:
             return
         ready = [
-            (engine.model_users(key.model), name)
+            (engine.model_request_count(key.model), name)
             for name, engine in held.items()
             if engine.places[key].phase is Phase.READY
         ]
-        for _, name in sorted(ready)[:left]:
-            self._renewing[name, key] = now
-            engines[name].close(key)
+        for _, name in sorted(ready)[:allowed]:
+            self._renewals[name, key] = now
+            engines[name].drain_model(key)
             self._planner.followers.mark(name)
 
-    def _drop_renewed(self) -> None:
+    def _forget_finished(self) -> None:
         """Forget engines that have a base model again, or are gone."""
-        for name, key in list(self._renewing):
+        for name, key in list(self._renewals):
             engine = self._planner.engines.get(name)
             if engine is None or engine.holds(key):
-                del self._renewing[name, key]
-            elif key not in engine.places and engine.has_any_base():
+                del self._renewals[name, key]
+            elif key not in engine.places and engine.has_any_model():
                 # Another base model came in its place.
-                del self._renewing[name, key]
+                del self._renewals[name, key]
 
-    async def _drop(self, term: Term, engine: Engine, key: AdapterKey, place: Place) -> None:
+    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, place: Place) -> None:
         async with engine.lock:
             held = engine.places.get(key) is place
             if term.is_over or not engine.synced or not held:
                 return
             outcome = await self._planner.loading.order(term, engine, False, key, 0)
-            engine.undo(key, place)
+            engine.discard(key, place)
             if outcome is not OrderOutcome.HOLDS:
-                self._planner.loading.keep_unloading(engine, key, outcome)
+                self._planner.loading.track_unload(engine, key, outcome)
             elif not key.adapter:
                 engine.drop_model(key)
                 self._planner.followers.mark(engine.replica.name)
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -18,14 +18,14 @@
     from .planner import Planner
 
 log = logbook.Logger("upkeep")
-MODEL_SLACK_S = 1.5
+MODEL_REPORT_DELAY_S = 1.5
 """A base model shows in an engine's report this long after its load at the latest."""
-PART_PER_COPY = 0.7
+MAX_PREFILL_FRACTION_PER_COPY = 0.7
 """Part of an engine's time that reading the prompts for one adapter may take before it gets another
 engine: beside the other adapters there it waits for itself then."""
 
 
-class Upkeep:
+class Maintenance:
     """Keeps engines fit for what is asked of them.
 
     Parameters
@@ -42,7 +42,7 @@
 
     __slots__ = (
         "_clock",
-        "_coming",
+        "_loading_until",
         "_planner",
         "_renewal",
         "_spec",
@@ -60,49 +60,51 @@
         self._spec = spec
         self._window = window
         self._clock = clock
-        self._coming: dict[str, float] = {}
+        self._loading_until: dict[str, float] = {}
         """Until when a base model is on its way, by its name."""
         self._renewal = Renewal(planner, clock)
 
-    def do(self, term: Term) -> None:
+    def run_due(self, term: Term) -> None:
         """Do what is due in the planner's term."""
-        self._renewal.do(term)
+        self._renewal.run_due(term)
         self._ensure_models(term)
-        self._place_wanted_models(term)
+        self._place_requested_models(term)
         self._add_copies()
 
     def _ensure_models(self, term: Term) -> None:
         for engine in self._planner.engines.values():
             if engine.synced and not engine.places.bases and self._spec.models:
-                model = self._least_held_model()
+                model = self._least_replicated_model()
                 key = AdapterKey(model.name)
                 place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
                 self._planner.start(self._load_model(term, engine, key, place, model.load_s))
 
-    def _least_held_model(self) -> BaseModel:
+    def _least_replicated_model(self) -> BaseModel:
         index = self._planner.index
         return min(self._spec.models, key=lambda model: len(index.with_key(AdapterKey(model.name))))
 
-    def _place_wanted_models(self, term: Term) -> None:
+    def _place_requested_models(self, term: Term) -> None:
         """Bring in models that requests wait for and no engine holds."""
         now, index = self._clock(), self._planner.index
-        self._coming = {name: until for name, until in self._coming.items() if until > now}
+        self._loading_until = {
+            name: until for name, until in self._loading_until.items() if until > now
+        }
         missing = {
             name
-            for name in self._planner.wanted_models() - self._coming.keys()
+            for name in self._planner.requested_models() - self._loading_until.keys()
             if not index.with_key(AdapterKey(name))
         }
-        held = self._count_models() if missing else Counter()
+        copies_by_model = self._count_models() if missing else Counter()
         for name in missing:
             model = next((model for model in self._spec.models if model.name == name), None)
-            engine = self._engine_for(model, held) if model is not None else None
+            engine = self._choose_engine(model, copies_by_model) if model is not None else None
             if model is None or engine is None:
                 continue
             victim = None if self._fits(engine, model) else self._victim(engine)
             if victim is not None:
-                engine.close(victim)
+                engine.drain_model(victim)
                 self._planner.followers.mark(engine.replica.name)
-            self._coming[name] = now + model.load_s + MODEL_SLACK_S
+            self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
             place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
             self._planner.start(self._load_model(term, engine, key, place, model.load_s, victim))
@@ -114,18 +116,21 @@
             {key.model: len(index.with_key(key)) for key in index.keys if not key.adapter}
         )
 
-    def _engine_for(self, model: BaseModel, held: Counter[str]) -> Engine | None:
+    def _choose_engine(self, model: BaseModel, copies_by_model: Counter[str]) -> Engine | None:
         """Return an engine with room, else the unused one whose models are held most elsewhere."""
-        found = [
+        idle_engines = [
             engine
             for engine in self._planner.engines.values()
-            if engine.synced and not engine.loading() and not engine.is_in_use()
+            if engine.synced and not engine.loading_count() and not engine.is_in_use()
         ]
         return max(
-            found,
+            idle_engines,
             key=lambda engine: (
                 self._fits(engine, model),
-                min((held[key.model] for key in engine.places if not key.adapter), default=0),
+                min(
+                    (copies_by_model[key.model] for key in engine.places if not key.adapter),
+                    default=0,
+                ),
             ),
             default=None,
         )
@@ -153,12 +158,12 @@
                 return
             in_use = victim is not None and engine.uses_model(victim.model)
             if in_use or not self._window.allows(self._clock()):
-                self._give_up(engine, key, place, victim)
+                self._abandon_load(engine, key, place, victim)
                 return
             if victim is not None:
                 outcome = await self._planner.loading.order(term, engine, False, victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
-                    self._give_up(engine, key, place, victim)
+                    self._abandon_load(engine, key, place, victim)
                     return
                 engine.drop_model(victim)
                 self._planner.followers.mark(engine.replica.name)
@@ -168,15 +173,15 @@
                 # Another order for this engine may only come when it is through.
                 await asyncio.sleep(load_s)
             # The report tells when it is there.
-            engine.undo(key, place)
+            engine.discard(key, place)
             engine.synced = False
 
-    def _give_up(
+    def _abandon_load(
         self, engine: Engine, key: AdapterKey, place: Place, victim: AdapterKey | None
     ) -> None:
         """Leave an engine with the base model that it has."""
-        engine.undo(key, place)
-        self._coming.pop(key.model, None)
+        engine.discard(key, place)
+        self._loading_until.pop(key.model, None)
         if victim is not None:
             # It was closed for this; the report tells what can be used.
             engine.synced = False
@@ -185,16 +190,16 @@
         planner, now = self._planner, self._clock()
         if planner.copies is not None:
             planner.copies.bring(now)
-        least = PART_PER_COPY * planner.speed
-        planner.hot = {key for key in planner.hot if planner.tokens.rate(key.text, now) > least}
-        wanted = [
+        threshold = MAX_PREFILL_FRACTION_PER_COPY * planner.speed
+        planner.hot = {key for key in planner.hot if planner.tokens.rate(key.text, now) > threshold}
+        overloaded = [
             key
             for key in planner.hot
             if (count := count_copies(planner.index, key)) > 0
-            and planner.tokens.rate(key.text, now) > least * count
+            and planner.tokens.rate(key.text, now) > threshold * count
         ]
-        if not wanted:
+        if not overloaded:
             return
         openings = planner.openings()
-        for key in wanted:
+        for key in overloaded:
             planner.load(key, now, openings, lambda name: True)
--- a/tests/test_fair_line.py
+++ b/tests/test_fair_line.py
@@ -64,7 +64,7 @@
     def test_without_the_feature_it_goes_to_who_came_first(self):
         async def scenario():
             bench = ShareBench()
-            bench.planner.fair._is_on = False
+            bench.planner.fair_queue._is_on = False
             home = await bench.flooded()
             first = bench.ask("a", **FLOOD)
             second = bench.ask("a", **SMALL)
@@ -159,14 +159,14 @@
     def test_who_loaded_beyond_its_share_comes_after_the_others(self):
         async def scenario():
             bench = ShareBench()
-            fair = bench.planner.fair
+            fair = bench.planner.fair_queue
             waiters = [_Waiting(owner) for owner in ("flood", "flood", "small", "other")]
             now = bench.clock()
-            assert fair.put_last(list(waiters), now) == waiters
+            assert fair.put_over_share_last(list(waiters), now) == waiters
             for _ in range(40):
                 fair.note_load(waiters[0], now)
             fair.note_load(waiters[2], now)
-            assert fair.put_last(list(waiters), now) == [*waiters[2:], *waiters[:2]]
+            assert fair.put_over_share_last(list(waiters), now) == [*waiters[2:], *waiters[:2]]
             await bench.stop()
 
         run(scenario)
@@ -190,7 +190,7 @@
             bench.planner.state.snapshot = Snapshot(
                 1, (), {}, None, Organisations([(Organisation("flood", quota=Quota(1e9, 1.0)), [])])
             )
-            assert bench.planner.fair._weigh().weight("small") == 1e9
+            assert bench.planner.fair_queue._current_weights().weight("small") == 1e9
             await bench.stop()
 
         run(scenario)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -7,7 +7,7 @@
 import pytest
 from engine_model import SLOTS, ModelEngine
 from gradelug_coordination import KvEntry, Mirror
-from gradelug_gateway.engines import STRAY_S, Engine, Phase, Place
+from gradelug_gateway.engines import UNACKNOWLEDGED_LOAD_TTL_S, Engine, Phase, Place
 from gradelug_gateway.feed import Feed
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.holders import EngineIndex
@@ -190,15 +190,15 @@
 
     def test_one_that_went_back_in_time_is_another_one_too(self):
         engine = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5), SPEC)
-        assert not engine.begins_again(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5))
-        assert engine.begins_again(Replica("i-1", "llm", "10.0.0.1:80", "z", born=4))
+        assert not engine.update_replica(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5))
+        assert engine.update_replica(Replica("i-1", "llm", "10.0.0.1:80", "z", born=4))
 
     def test_a_report_may_tell_of_it_before_the_entry_does(self):
         old = Replica("i-1", "llm", "10.0.0.1:80", "z", born=5)
         engine = Engine(old, SPEC)
-        assert engine.begins_life(6)
+        assert engine.update_incarnation(6)
         fresh = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=6), SPEC)
-        assert not fresh.begins_life(6)
+        assert not fresh.update_incarnation(6)
 
     def test_no_order_of_the_earlier_one_is_given(self):
         async def scenario():
@@ -250,16 +250,20 @@
 
     def test_a_place_is_kept_for_a_load_that_may_still_reach_it(self):
         engine = Engine(Replica("e0", "llm", "10.0.0.1:80", "z", born=1), SPEC)
-        engine.note_lost_load(2, 10.0)
-        fresh = Engine(engine.replica, SPEC, strays=engine.strays(11.0))
-        assert fresh.free() == SLOTS - 1
+        engine.note_unacknowledged_load(2, 10.0)
+        fresh = Engine(engine.replica, SPEC, inherited_loads=engine.unacknowledged_loads(11.0))
+        assert fresh.free_adapter_slots() == SLOTS - 1
         fresh.take_report(EngineReport(3, (), (), frozenset(), False), 12.0)
         # It has taken more orders than that one expects.
-        assert fresh.free() == SLOTS
-        late = Engine(engine.replica, SPEC, strays=engine.strays(10.0 + STRAY_S))
-        assert late.free() == SLOTS
+        assert fresh.free_adapter_slots() == SLOTS
+        late = Engine(
+            engine.replica,
+            SPEC,
+            inherited_loads=engine.unacknowledged_loads(10.0 + UNACKNOWLEDGED_LOAD_TTL_S),
+        )
+        assert late.free_adapter_slots() == SLOTS
         late.places[A1] = Place(1, Phase.READY, 0.0)
-        assert late.free() == SLOTS - 1
+        assert late.free_adapter_slots() == SLOTS - 1
 
     def test_what_ends_late_of_the_earlier_one_hides_nothing_of_the_later_one(self):
         index = EngineIndex()
@@ -267,10 +271,10 @@
         old = Engine(rep, SPEC, index)
         old.places[A1] = Place(1, Phase.READY, 0.0)
         index.drop(old)
-        old.has_ended = True
+        old.is_replaced = True
         fresh = Engine(rep, SPEC, index, (), 2)
         fresh.places[A1] = Place(1, Phase.READY, 0.0)
-        old.undo(A1, old.places[A1])
+        old.discard(A1, old.places[A1])
         assert index.with_key(A1) == {"e0": fresh}
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -471,8 +471,8 @@
             engine.take_load(2, ToldLoad(1, 4, (1, 0, 3)))
             engine.take_load(1, ToldLoad(1, 2, (5,)))
             assert engine.load() == ToldLoad(2, 6, (6, 0, 3))
-            engine.forget(2)
-            engine.forget(9)
+            engine.forget_gateway(2)
+            engine.forget_gateway(9)
             assert engine.load() == ToldLoad(1, 2, (5, 0, 0))
             await bench.stop()
 
@@ -486,7 +486,7 @@
             await asyncio.sleep(0.5)
             bench.use("e0", "a1", 1)
             bench.planner.leave(bench.gateway)
-            assert bench.planner.engines["e0"].users(AdapterKey("m", "a1")) == 0
+            assert bench.planner.engines["e0"].request_count(AdapterKey("m", "a1")) == 0
             await bench.stop()
 
         run(scenario)
@@ -547,7 +547,7 @@
             for follower in (earlier, other):
                 bench.planner.take(follower, pb.FromGateway(uses=[use]))
             later = bench.planner.join("h", "h:1")
-            assert bench.planner.engines["e0"].users(key) == 1
+            assert bench.planner.engines["e0"].request_count(key) == 1
             assert (earlier.is_gone, other.is_gone, later.is_gone) == (True, False, False)
             assert len(bench.planner.followers) == 3
             bench.planner.leave(earlier)
@@ -616,7 +616,7 @@
 
 def release_all(bench):
     for name, engine in bench.transport.engines.items():
-        for key in list(engine.users):
+        for key in list(engine.request_count):
             bench.use(name, key.adapter, 0)
     for name in ("e0", "e1", "e2"):
         if name not in bench.state.replicas:
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -7,10 +7,15 @@
 import pytest
 from engine_model import ModelEngine
 from gradelug_gateway.engines import Engine, Phase, Place
-from gradelug_gateway.loading import SPARE_PART
+from gradelug_gateway.loading import SPARE_STORE_FRACTION
 from gradelug_gateway.model import AdapterKey, FleetState, Replica
 from gradelug_gateway.planner import Planner
-from gradelug_gateway.refill import MOST_LOADS, MOST_LOST, SURE_S, Refill
+from gradelug_gateway.refill import (
+    LOSS_CONFIRMATION_S,
+    MAX_LOADS_PER_PASS,
+    MAX_LOST_ADAPTERS,
+    Refill,
+)
 from gradelug_gateway.settings import Feature
 from gradelug_policy.pace import FIRST_LOAD_S
 from gradelug_policy.refill import refill_gain_s
@@ -122,7 +127,7 @@
             await asyncio.sleep(1.0)
             assert (bench.holders("a"), bench.loads()) == ([home], before)
             del bench.state.replicas[home]
-            await asyncio.sleep(SURE_S + FIRST_LOAD_S + 0.2)
+            await asyncio.sleep(LOSS_CONFIRMATION_S + FIRST_LOAD_S + 0.2)
             assert len(bench.holders("a")) == 1
             assert bench.loads() == before + 1
             await bench.stop()
@@ -151,10 +156,10 @@
             bench.lose(home)
             bench.planner.refresh()
             bench.planner.has_queue = True
-            bench.planner.refill.bring(bench.clock())
+            bench.planner.refill.start_loads(bench.clock())
             assert not is_coming(bench, "a")
             bench.planner.has_queue = False
-            bench.planner.refill.bring(bench.clock())
+            bench.planner.refill.start_loads(bench.clock())
             assert is_coming(bench, "a")
             await bench.stop()
 
@@ -168,13 +173,13 @@
             for at, adapter in enumerate(adapters):
                 await bench.place(adapter, only=f"e{at // 3}")
                 bench.asked_for(f"e{at // 3}", adapter, 40)
-            most = math.ceil(SPARE_PART * bench.planner.loading.pace.at_once)
-            assert 1 < most < MOST_LOADS
+            most = math.ceil(SPARE_STORE_FRACTION * bench.planner.loading.pace.at_once)
+            assert 1 < most < MAX_LOADS_PER_PASS
             for name in [f"e{at}" for at in range(8)]:
                 bench.lose(name)
             bench.planner.refresh()
             for _ in range(2):
-                bench.planner.refill.bring(bench.clock())
+                bench.planner.refill.start_loads(bench.clock())
                 assert sum(is_coming(bench, adapter) for adapter in adapters) == most
             assert bench.planner.loading.may_use_store()
             await bench.stop()
@@ -186,14 +191,14 @@
             bench = RefillBench(engines=1)
             await asyncio.sleep(0.5)
             engine, now = bench.planner.engines["e0"], bench.clock()
-            for number in range(MOST_LOST + 50):
+            for number in range(MAX_LOST_ADAPTERS + 50):
                 key = AdapterKey("m", f"x{number}")
                 engine.places[key] = Place(1, Phase.READY, now)
                 bench.planner.popularity.note(key.text, now, 8.0 + number)
             bench.planner.index.drop(engine)
             bench.planner.refill.note_lost(engine, True, now)
             kept = bench.planner.refill._lost
-            assert len(kept) == MOST_LOST
+            assert len(kept) == MAX_LOST_ADAPTERS
             assert AdapterKey("m", "x49") not in kept
             await bench.stop()
 
