--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -1,4 +1,7 @@
-"""One engine as its planner keeps it: places, orders in their sequence, doubts."""
+"""A planner's record of one engine: its weights, requests, order sequence and sync state.
+
+The planner creates an `Engine` for each replica and replaces it when the process restarts.
+"""
 
 from __future__ import annotations
 
@@ -28,42 +31,43 @@
 
 log = logbook.Logger("engine")
 CACHED_ADAPTERS_PER_SLOT = 6
-"""Adapters that an engine's host memory is taken to keep for each place: 36 with 6 places and 54
-with 9 on the users' engines. A load that was wrongly expected from there is awaited longer."""
+"""Adapters assumed to stay in an engine's host memory, for each adapter slot: engines keep 36 with
+6 slots and 54 with 9. A load that was wrongly expected to come from there is awaited longer."""
 REPORT_LAG_S = 0.35
-"""A report shows the state of some hundred ms ago."""
+"""Maximum age of the state in an engine's report, which is some hundred ms old."""
 UNACKNOWLEDGED_LOAD_TTL_S = 15.0
-"""An order without an answer may be carried out seconds later, 12 s at the most, and then reach a
-process that has started again under the engine's name."""
+"""An order without an answer may take effect up to 12 s later, and may then reach a process that
+has restarted under the engine's name."""
 MAX_CONCURRENT_LOADS = 4
-"""Adapters that may be on their way to an engine."""
+"""Adapters that may be loading on one engine."""
 MAX_ORDER_ATTEMPTS = 3
+"""Sends of one order that gets no answer."""
 EMPTY_LOAD = ToldLoad()
 MIN_IDLE_BEFORE_EVICTION_S = 0.06
-"""An adapter makes way when it was unused this long: uses are told with a delay."""
+"""Time without use before an adapter may be evicted: uses are reported with a delay."""
 
 
 class Phase(Enum):
-    """What may be done with weights in a place."""
+    """Lifecycle state of weights on an engine."""
 
     LOADING = "loading"
     READY = "ready"
     LEAVING = "leaving"
-    """No new requests; it is to be unloaded when its requests have ended."""
+    """No new requests; unloaded when its requests have ended."""
     UNLOADING = "unloading"
-    """Ordered to go; the engine still runs requests that use it."""
+    """Unload ordered; the engine still runs requests that use the weights."""
 
 
 @dataclass(slots=True, frozen=True)
 class UnacknowledgedLoad:
-    """A load that was ordered in an earlier life of an engine and may still be carried out.
+    """A load order without an answer, which may still take effect, also after a restart.
 
     Parameters
     ----------
     expected : int
-        How many orders the engine must have taken then.
+        Number of orders that the engine must have accepted for it to take effect.
     until : float
-        Until when it may be carried out, by the runtime's clock.
+        Time until which it may take effect, by the runtime's clock.
     """
 
     expected: int
@@ -71,7 +75,7 @@
 
 
 class Place:
-    """A place of an engine with weights in it."""
+    """Weights that an engine holds, loads or unloads, with their phase."""
 
     __slots__ = (
         "was_store_saturated",
@@ -89,31 +93,32 @@
         self.phase = phase
         self.began_at = now
         self.acknowledged_at = now
-        """When the engine answered the order to load it."""
+        """Time at which the engine accepted the load order."""
         self.ready_at = now
         self.used_at = now
         self.was_store_saturated = False
-        """Whether as many loads as allowed were under way when its own began."""
+        """Whether the weight store was at its limit of concurrent loads when this load started."""
         self.store_loads_at_start = 0
-        """Loads from the weight store under way when its own began; 0 for other loads."""
+        """Concurrent loads from the weight store at its start, itself included; 0 if cached."""
 
 
 class Engine:
-    """State of an engine.
+    """State of one incarnation of an engine, that is, of one process under its name.
 
     Parameters
     ----------
     replica : Replica
-        As it says of itself.
+        The engine's entry in the platform's store.
     spec : EngineSpec
-        What replicas of its service are like.
+        Capacity of the engines of its service.
     index : EngineIndex or None
-        Told of what is in its places and its host memory, and when what runs there has changed.
-    strays : iterable of StrayLoad
-        Loads ordered in its earlier lives: a place is kept free for each as long as the engine
-        may take it, since one place too many ends the engine.
+        Updated when the weights, the host cache or the requests of the engine change.
+    inherited_loads : iterable of UnacknowledgedLoad
+        Loads ordered from earlier incarnations. An adapter slot stays free for each while it may
+        still take effect, since one adapter too many crashes the engine.
     born : int
-        The life that it is in, if its report tells of another one than its entry; 0 if not.
+        Start time that identifies the incarnation, if the engine's report names another one than
+        its entry; 0 to use the entry's.
     """
 
     __slots__ = (
@@ -130,7 +135,7 @@
         "lock",
         "is_replaced",
         "orders",
-        "places",
+        "slots",
         "replica",
         "spec",
         "synced",
@@ -147,31 +152,31 @@
     ) -> None:
         self.replica = replica
         self.born = born or replica.born
-        """Names the life of which all the rest is known."""
+        """Identifies the incarnation that this object describes; 0 if unknown."""
         self._registered_born = replica.born
-        """The life that the platform's entry told last: a report may be ahead of it."""
+        """Incarnation in the platform's last entry, which may be older than the report's."""
         self.is_replaced = False
-        """Whether that life is over: no order that was decided for it is given."""
+        """Whether the process has restarted: orders decided for this incarnation are not sent."""
         self._inherited_loads = tuple(inherited_loads)
         self._unacknowledged_loads: list[UnacknowledgedLoad] = []
         self.spec = spec
         self._index = index if index is not None else EngineIndex()
         self.orders = 0
-        self.places = WeightSlots(self, self._index)
+        self.slots = WeightSlots(self, self._index)
         self.cached: dict[Holding, None] = {}
-        """Adapters that host memory keeps, those of the longest ago first."""
+        """Adapters in the host memory, least recently added first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
-        """Requests by weights and gateway, of those that have any."""
+        """Number of requests by weights and gateway; only entries above 0."""
         self._loads_by_gateway: dict[int, ToldLoad] = {}
-        """What runs there, by gateway, of those that have anything there."""
+        """Reported load by gateway; only gateways with requests on the engine."""
         self._total_load = ToldLoad()
         self.lock = asyncio.Lock()
-        """Held while an order is on its way: each names how many came before it."""
+        """Held while an order is in flight: each order carries the number of orders before it."""
         self.synced = False
-        """Whether places and number of orders are known."""
+        """Whether the weights and the number of orders are known."""
         self.syncing = False
         self.sync_started_at = -math.inf
-        """When it was asked for its state last."""
+        """Time of the last state query."""
 
     @property
     def starting(self) -> int:
@@ -184,13 +189,13 @@
         return self._total_load.running
 
     def load(self) -> ToldLoad:
-        """Return what runs there, of all gateways."""
+        """Return the load from all gateways."""
         return self._total_load
 
     def take_load(self, gateway: int, load: ToldLoad) -> None:
-        """Take over what a gateway has there.
+        """Set the load that one gateway reports.
 
-        The sum is kept and not made anew: it is asked for with each decision about each engine.
+        The total is updated by the difference, since each decision reads it for each engine.
         """
         previous = self._loads_by_gateway.get(gateway, EMPTY_LOAD)
         if load.starting or load.running or any(load.queued):
@@ -207,7 +212,7 @@
         )
 
     def reserve(self, gateway: int, work: Work) -> None:
-        """Count a request that a gateway was told to send here, until it tells what it has here."""
+        """Add a request assigned to this engine, until its gateway reports its load."""
         load = self._loads_by_gateway.get(gateway, ToldLoad())
         prompt = (0,) * work.urgency + (work.reading_tokens,)
         queued = add_queues((load.queued, prompt))
@@ -215,17 +220,17 @@
         self.take_load(gateway, ToldLoad(load.starting + 1, load.running, queued, memory))
 
     def busyness(self) -> Busyness:
-        """Return what the engine does."""
+        """Return the engine's load in the form that the policies use."""
         current = self._total_load
         return Busyness(current.queued, current.running, current.starting, current.memory)
 
     @property
     def gateways(self) -> t.KeysView[int]:
-        """Gateways that have requests there."""
+        """Numbers of the gateways with requests on the engine."""
         return self._loads_by_gateway.keys()
 
     def take_use(self, gateway: int, key: AdapterKey, active: int) -> None:
-        """Take over how many requests of a gateway use weights."""
+        """Set how many requests of one gateway use some weights."""
         counts = self.active.setdefault(key, Counter())
         if active:
             counts[gateway] = active
@@ -235,7 +240,7 @@
             del self.active[key]
 
     def request_count(self, key: AdapterKey) -> int:
-        """Return how many requests use weights."""
+        """Return how many requests use some weights."""
         counts = self.active.get(key)
         return sum(counts.values()) if counts else 0
 
@@ -250,46 +255,44 @@
         return any(key.model == model for key in self.active)
 
     def has_any_model(self) -> bool:
-        """Tell whether any base model can be used now."""
-        return any(
-            place.phase is Phase.READY for key, place in self.places.items() if not key.adapter
-        )
+        """Tell whether any base model is ready for requests."""
+        return any(slot.phase is Phase.READY for key, slot in self.slots.items() if not key.adapter)
 
     def drain_model(self, base: AdapterKey) -> None:
-        """Take no new requests for a base model and its adapters."""
-        for key, place in self.places.items():
-            if key.model == base.model and place.phase is Phase.READY:
-                place.phase = Phase.LEAVING
+        """Accept no new requests for a base model and its adapters."""
+        for key, slot in self.slots.items():
+            if key.model == base.model and slot.phase is Phase.READY:
+                slot.phase = Phase.LEAVING
 
     def drop_model(self, base: AdapterKey) -> None:
-        """Forget a base model that was unloaded, and its adapters with it."""
-        for key in [key for key in self.places if key.model == base.model]:
-            del self.places[key]
+        """Remove a base model that was unloaded, with its adapters."""
+        for key in [key for key in self.slots if key.model == base.model]:
+            del self.slots[key]
 
     def is_in_use(self) -> bool:
-        """Tell whether any request runs there."""
+        """Tell whether the engine has any requests."""
         return bool(self.starting or self.running or self.active)
 
     def holds(self, key: AdapterKey) -> bool:
-        """Tell whether weights can be used now."""
-        place = self.places.get(key)
-        return place is not None and place.phase is Phase.READY
+        """Tell whether some weights are ready for requests."""
+        slot = self.slots.get(key)
+        return slot is not None and slot.phase is Phase.READY
 
     def has_model(self, model: str) -> bool:
-        """Tell whether a base model can be used now."""
+        """Tell whether a base model is ready for requests."""
         return self.holds(AdapterKey(model))
 
     def adapters(self) -> t.Iterator[tuple[AdapterKey, Place]]:
-        """Yield the adapters in places."""
-        return ((key, place) for key, place in self.places.items() if key.adapter)
+        """Yield the adapters on the engine, in any phase."""
+        return ((key, slot) for key, slot in self.slots.items() if key.adapter)
 
     def free_adapter_slots(self) -> int:
-        """Return the number of empty places for adapters."""
+        """Return the number of free adapter slots, less those reserved for inherited loads."""
         inherited_loads = sum(stray.expected >= self.orders for stray in self._inherited_loads)
-        return self.spec.adapter_slots - inherited_loads - (len(self.places) - self.places.bases)
+        return self.spec.adapter_slots - inherited_loads - (len(self.slots) - self.slots.bases)
 
     def update_replica(self, rep: Replica) -> bool:
-        """Take over what the replica says of itself; tell whether it began another life."""
+        """Set the platform's entry; tell whether it names another incarnation."""
         self.replica = rep
         if not rep.born or rep.born == self._registered_born:
             return False
@@ -297,7 +300,7 @@
         return self.update_incarnation(rep.born)
 
     def update_incarnation(self, born: int) -> bool:
-        """Take over which life an engine is in; tell whether it is another one than was known."""
+        """Set the incarnation if unknown; tell whether it differs from the known one."""
         if not born or born == self.born:
             return False
         if not self.born:
@@ -306,13 +309,13 @@
         return True
 
     def note_unacknowledged_load(self, expected: int, now: float) -> None:
-        """Note a load without an answer, ordered after so many others."""
+        """Record a load order without an answer that had `expected` orders before it."""
         self._unacknowledged_loads.append(
             UnacknowledgedLoad(expected, now + UNACKNOWLEDGED_LOAD_TTL_S)
         )
 
     def unacknowledged_loads(self, now: float) -> tuple[UnacknowledgedLoad, ...]:
-        """Return the loads of this life and of earlier ones that may reach the next one."""
+        """Return the loads of this and earlier incarnations that may still take effect."""
         self.drop_expired_loads(now)
         return (
             *self._inherited_loads,
@@ -320,7 +323,7 @@
         )
 
     def drop_expired_loads(self, now: float) -> None:
-        """Forget what cannot be carried out any more."""
+        """Remove loads that cannot take effect any more."""
         if self._inherited_loads:
             self._inherited_loads = tuple(
                 stray for stray in self._inherited_loads if stray.until > now
@@ -331,25 +334,25 @@
             ]
 
     def loading_count(self) -> int:
-        """Return how many adapters are on their way."""
-        return sum(place.phase is Phase.LOADING for _, place in self.adapters())
+        """Return how many adapters are loading."""
+        return sum(slot.phase is Phase.LOADING for _, slot in self.adapters())
 
     def evictable(self, now: float) -> list[AdapterKey]:
-        """Return the adapters that can make way."""
+        """Return the adapters that can be evicted."""
         return [
             key
-            for key, place in self.adapters()
-            if place.phase in (Phase.READY, Phase.LEAVING)
+            for key, slot in self.adapters()
+            if slot.phase in (Phase.READY, Phase.LEAVING)
             and not self.request_count(key)
-            and now - place.used_at >= MIN_IDLE_BEFORE_EVICTION_S
+            and now - slot.used_at >= MIN_IDLE_BEFORE_EVICTION_S
         ]
 
     def is_cached(self, key: AdapterKey, version: int) -> bool:
-        """Tell whether host memory keeps an adapter at a version."""
+        """Tell whether the host memory holds an adapter at a version."""
         return Holding(key, version) in self.cached
 
     def remember(self, holding: Holding) -> None:
-        """Note that host memory has a copy now."""
+        """Add an adapter to the host cache, dropping the oldest ones beyond its size."""
         self.cached.pop(holding, None)
         self.cached[holding] = None
         self._index.note_cached(self, holding, True)
@@ -359,57 +362,57 @@
             self._index.note_cached(self, oldest, False)
 
     def can_load(self) -> bool:
-        """Tell whether an order to load an adapter may be given now."""
+        """Tell whether the engine can be ordered to load an adapter now."""
         return self.synced and self.loading_count() < MAX_CONCURRENT_LOADS
 
     def is_missing(self, key: AdapterKey) -> bool:
-        """Tell whether an adapter is not there although its base model is."""
-        return key not in self.places and self.has_model(key.model)
+        """Tell whether an adapter is missing while its base model is ready."""
+        return key not in self.slots and self.has_model(key.model)
 
     def take_out(self, text: str) -> AdapterKey:
-        """Take an adapter out of its place, which another shares until the first is gone."""
-        key = next(candidate for candidate in self.places if candidate.text == text)
-        del self.places[key]
+        """Remove an adapter, given by its text, so that another can be loaded; return its key."""
+        key = next(candidate for candidate in self.slots if candidate.text == text)
+        del self.slots[key]
         return key
 
-    def discard(self, key: AdapterKey, place: Place) -> None:
-        """Take weights out of a place that did not get there."""
-        if self.places.get(key) is place:
-            del self.places[key]
+    def discard(self, key: AdapterKey, slot: Place) -> None:
+        """Remove weights after a failed load, unless another slot has replaced the given one."""
+        if self.slots.get(key) is slot:
+            del self.slots[key]
 
     def forget_gateway(self, gateway: int) -> None:
-        """Forget what a gateway ran."""
+        """Remove all requests of a gateway."""
         if gateway in self._loads_by_gateway:
             self.take_load(gateway, EMPTY_LOAD)
         for key in [key for key, counts in self.active.items() if gateway in counts]:
             self.take_use(gateway, key, 0)
 
     def assume_registered_holdings(self, now: float) -> None:
-        """Take what it tells of itself in the platform's store for what it holds.
+        """Assume that the engine holds the weights listed in the platform's store.
 
-        That may be late: it counts until the engine's own report, and an engine that lacks what it
-        told of is taken at its word.
+        The list may be outdated. It is used until the engine's own report, and weights that a
+        replica rejects as missing are dropped.
         """
         for holding in self.replica.holdings:
-            place = self.places[holding.key] = Place(holding.version, Phase.READY, now)
-            place.ready_at = -math.inf
+            slot = self.slots[holding.key] = Place(holding.version, Phase.READY, now)
+            slot.ready_at = -math.inf
 
     def take_report(self, report: EngineReport, now: float) -> None:
-        """Take over what the engine reports."""
+        """Apply an engine's report."""
         self.orders = report.orders
-        places: dict[AdapterKey, Place] = {}
+        slots: dict[AdapterKey, Place] = {}
         for holding in report.holdings:
-            old = self.places.get(holding.key)
+            old = self.slots.get(holding.key)
             if old is not None and old.phase is Phase.UNLOADING:
-                places[holding.key] = old
+                slots[holding.key] = old
                 continue
-            place = Place(holding.version, Phase.READY, now)
+            slot = Place(holding.version, Phase.READY, now)
             if old is not None:
-                place.used_at = old.used_at
-            places[holding.key] = place
+                slot.used_at = old.used_at
+            slots[holding.key] = slot
         for holding in report.loading:
-            places[holding.key] = Place(holding.version, Phase.LOADING, now)
-        self.places.replace(places)
+            slots[holding.key] = Place(holding.version, Phase.LOADING, now)
+        self.slots.replace(slots)
         for holding in report.cached:
             self.remember(holding)
         self.synced = not report.busy and not report.loading
@@ -423,11 +426,11 @@
         owner: str,
         term: Term,
     ) -> OrderOutcome:
-        """Give an order; the lock must be held. Doubtful outcomes leave it unsynced.
+        """Send an order; the lock must be held. Uncertain outcomes leave the engine unsynced.
 
-        An order without an answer is given again at once: it names how many orders came before
-        it, so that only one of the two can take effect, whichever comes first. Nothing is sent
-        once the term under which it was decided is over.
+        An order without an answer is resent at once: it carries the number of orders before it, so
+        that only one of the two can take effect, whichever arrives first. Nothing is sent once the
+        term under which it was decided is over.
         """
         order = Order(load, key, version, self.orders, owner, term.fence)
         outcome = OrderOutcome.NOT_GIVEN
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -1,4 +1,9 @@
-"""Whose question a planner answers first where engines are full."""
+"""Orders waiting requests by fair share of capacity while engines are full.
+
+The planner uses one `FairQueue` for its service. Organisations and kinds of requests that used
+more than their share go after the others, and their requests are refused when they cannot be
+served in time.
+"""
 
 from __future__ import annotations
 
@@ -31,17 +36,17 @@
 
 log = logbook.Logger("shares")
 LOG_INTERVAL_S = 1.0
-"""Who is held back is logged this often at most."""
+"""Minimum interval between log lines about refused requests."""
 EQUAL_WEIGHTS = EqualWeights()
 
 
 class QuotaWeights:
-    """Weights of organisations by the rates of their quotas; who has none has the mean of them.
+    """Weights of organisations by their quota rates; those without a quota get the mean rate.
 
     Parameters
     ----------
     organisations : Organisations
-        Those of a configuration.
+        Organisations of the configuration in force.
     """
 
     __slots__ = ("_mean", "_rates")
@@ -56,18 +61,18 @@
 
 
 class FairQueue:
-    """Implements `parts.PlannerPart`: orders the questions that wait by shares of what was used.
+    """Implements `parts.PlannerPart`: orders waiting requests by the shares that owners used.
 
     Parameters
     ----------
     state : FleetState
-        What the platform has told.
+        Platform state with the configuration in force.
     flush_s : callable
-        Returns how old news of what runs may be, in seconds.
+        Returns the maximum age of reported engine loads, in seconds.
     is_on : bool
-        Without it nothing is decided here.
+        Whether fair sharing is enabled; otherwise requests keep the order of their arrival.
     order : Order
-        Whose turn it is.
+        Policy that orders requests by the shares of their owners.
     """
 
     __slots__ = (
@@ -103,24 +108,24 @@
         self._shares = Shares()
         self._turns = Turns()
         self._loads = Uses()
-        """Loads that began, by owner."""
+        """Number of loads started, by owner, with exponential decay."""
         self._board: Board | None = None
-        """Who stands how; None while no request waits for room."""
+        """Shares of owners and kinds; None while no request waits for capacity."""
         self._claimed: frozenset[AdapterKey] = frozenset()
-        """Weights of those that wait for room and yield to nobody."""
+        """Weights of the held requests that yield to no others."""
         self._saturated: set[AdapterKey] = set()
-        """Weights whose holders had no room in this decision."""
+        """Weights whose holders are full in the current decision."""
         self._waiting = self._owners = 0
         self._received_at: dict[int, float] = {}
-        """When each gateway was last heard, by its number."""
+        """Time of the last message from each gateway, by its number."""
         self._version = -1
         self._weights: Weights = EQUAL_WEIGHTS
         self._logged_at = -math.inf
 
-    # What gateways tell.
+    # Messages from and to gateways.
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Count what requests of a gateway used."""
+        """Add the usage that a gateway reports."""
         self._received_at[follower.number] = now
         for use in message.party_uses:
             party = Party(use.owner, use.kind)
@@ -128,19 +133,19 @@
             self._turns.note(party, use.requests, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """What a gateway's requests used ages by itself."""
+        """Drop a gateway; the usage of its requests decays by itself."""
         self._received_at.pop(follower.number, None)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Tell nothing: how parties stand goes with the answers."""
+        """Add nothing: shares are sent with each answer."""
 
     def forget(self, replica: str) -> None:
-        """Shares know no replicas."""
+        """Do nothing: shares do not depend on replicas."""
 
-    # Requests that wait for room.
+    # Requests that wait for capacity.
 
     def arrange(self, waiters: list[Waiter], now: float) -> list[Waiter]:
-        """Return those that wait, in the order in which they are to be answered."""
+        """Return the waiting requests in the order in which they are to be answered."""
         self._saturated.clear()
         self._waiting = sum(waiter.is_held for waiter in waiters)
         if not self._waiting or not self._is_on:
@@ -158,18 +163,20 @@
         return [waiters[claim.number] for claim in self._order.arrange(claims, board)]
 
     def yields(self, waiter: Waiter) -> bool:
-        """Tell whether a request goes after others that wait for room."""
+        """Tell whether a request goes after others that wait for capacity."""
         if self._board is None or waiter.ask.begun:
             return False
         return self._board.yields(_party(waiter), waiter.ask.urgency)
 
     def defers(self, waiter: Waiter, is_placed: bool) -> bool:
-        """Tell whether a new question waits for the next decision, with those that came before.
+        """Tell whether a new request is left to the next decision, and mark it as held if so.
 
         Parameters
         ----------
+        waiter : Waiter
+            The request.
         is_placed : bool
-            Whether its weights are on some engine.
+            Whether any engine holds or loads its weights.
         """
         if not is_placed or not self.yields(waiter):
             return False
@@ -177,18 +184,18 @@
         return True
 
     def can_skip(self, waiter: Waiter, now: float) -> bool:
-        """Tell whether one that goes after others need not be tried: none before it found room."""
+        """Tell whether a request need not be tried: it goes after others that found holders full."""
         if waiter.key not in self._saturated or now >= waiter.target_at or not self.yields(waiter):
             return False
-        # It is no request for a load.
+        # Held requests are not counted as waiting for a load.
         waiter.is_held = True
         return True
 
     def max_hold_s(self, waiter: Waiter) -> float:
-        """Return how long a request is held for room at most, in seconds.
+        """Return the maximum time for which a request is held for capacity, in seconds.
 
-        One that goes after others is held as long as it is in time: sent earlier, it would fill
-        the engines' queues, which know no shares.
+        One that goes after others is held until its target time: sent earlier, it would fill the
+        engines' queues, which ignore shares.
         """
         if not self._must_stay_queued(waiter):
             return HOLD_S
@@ -198,16 +205,20 @@
     def dispatch_lead_s(
         self, waiter: Waiter, engine: Engine, completion_interval_s: float, now: float
     ) -> float:
-        """Return how long before room is expected a request may be sent to it, in seconds.
+        """Return how long before capacity is expected a request may be sent, in seconds.
 
-        With 0 slots stay empty from the end of a run until it is told here.
+        With 0, batch slots stay empty from the end of a run until it is reported here.
 
         Parameters
         ----------
+        waiter : Waiter
+            The request.
         engine : Engine
-            Where.
-        end_s : float
-            Time between two ends of runs on an engine, in seconds.
+            Engine that would run it.
+        completion_interval_s : float
+            Mean time between two completed runs on an engine, in seconds.
+        now : float
+            Current time by the runtime's clock.
         """
         if now <= waiter.asked_at + HOLD_S or not self._must_stay_queued(waiter):
             return 0.0
@@ -218,13 +229,13 @@
         return ahead_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
 
     def _must_stay_queued(self, waiter: Waiter) -> bool:
-        """Tell whether a request must not fill an engine's queue, whoever waits at the moment."""
+        """Tell whether a request must not enter an engine's queue, even if no other waits now."""
         if self._board is None or waiter.ask.begun:
             return False
         return self.yields(waiter) or self._board.is_over(waiter.ask.organisation)
 
     def standing(self, waiter: Waiter, now: float) -> pb.Standing | None:
-        """Return by what a request was answered when it was, None if nobody waited."""
+        """Return the shares that decided when a request was answered; None if it did not wait."""
         board = self._board
         if board is None or now <= waiter.asked_at:
             return None
@@ -243,7 +254,7 @@
         )
 
     def refuse_late(self, waiters: list[Waiter], now: float) -> list[Waiter]:
-        """Refuse requests that will not have their turn in time; return the others."""
+        """Refuse requests that cannot be served in time within their share; return the others."""
         queues: dict[Party, list[Waiter]] = {}
         for waiter in waiters:
             if waiter.is_held and self.yields(waiter):
@@ -271,7 +282,7 @@
         largest = max(queues, key=lambda party: len(queues[party]))
         owner_standing = self._board.owners.standing(largest.owner)
         log.info(
-            "beyond their share",
+            "refused requests beyond the fair share of their owner",
             refused=refused,
             owner=largest.owner,
             kind=largest.kind,
@@ -282,14 +293,14 @@
             owners=self._owners,
         )
 
-    # Requests that wait for loads.
+    # Requests that wait for loads of weights.
 
     def note_load(self, waiter: Waiter, now: float) -> None:
-        """Count a load that begins."""
+        """Count a started load for the owner of its request."""
         self._loads.note(waiter.ask.organisation, 1.0, now)
 
     def put_over_share_last(self, ordered: list[Waiter], now: float) -> list[Waiter]:
-        """Return one waiter for each of some weights, those of who loaded beyond its share last."""
+        """Return the requests with those of owners over their share of loads last."""
         waiting_count: dict[str, float] = {}
         for waiter in ordered:
             owner = waiter.ask.organisation
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -1,4 +1,4 @@
-"""Which engines hold, load or keep an adapter, without a look at all of them."""
+"""Index of engines by the weights that they hold, load or cache in host memory."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class EngineIndex:
-    """Finds the engines of one planner by what is in their places and host memories.
+    """Looks up the engines of one planner by their weights and host caches.
 
-    What engines tell it of themselves is exact: their places and host memories change by way of
-    `Places` and `note_cached` alone. An engine whose life is over tells nothing any more: another
-    one may have its name.
+    The index is always consistent with the engines, which change their weights and host caches
+    only through `WeightSlots` and `note_cached`. Changes of a replaced engine are ignored, since
+    its successor has the same name.
 
     Parameters
     ----------
     kept : KeptParts or None
-        Is told when what engines keep of prompts is gone.
+        Tracks the prompt prefixes that engines cache; entries are dropped with their weights.
     """
 
     __slots__ = ("_by_key", "_cached", "changed_keys", "changed_loads", "added_keys", "kept")
@@ -33,29 +33,29 @@
         self._by_key: dict[AdapterKey, dict[str, Engine]] = {}
         self._cached: dict[Holding, dict[str, Engine]] = {}
         self.changed_loads: set[str] = set()
-        """Engines whose requests have changed since this was emptied."""
+        """Names of engines whose requests changed since the set was last cleared."""
         self.changed_keys: set[AdapterKey] = set()
-        """Weights that came into places or left them since this was emptied."""
+        """Weights that were added or removed since the set was last cleared."""
         self.added_keys: set[AdapterKey] = set()
-        """Weights that came into places since this was emptied, for what keeps versions new."""
+        """Weights that were added since the set was last replaced, for version renewal."""
         self.kept = kept or KeptParts()
-        """Parts of prompts that engines keep go with the weights, and with a life."""
+        """Cached prompt prefixes, lost when an engine drops the weights or restarts."""
 
     def with_key(self, key: AdapterKey) -> t.Mapping[str, Engine]:
-        """Return the engines that have weights in a place, in whatever phase."""
+        """Return the engines with some weights in any phase, by name."""
         return self._by_key.get(key, {})
 
     def engines_caching(self, holding: Holding) -> t.Mapping[str, Engine]:
-        """Return the engines whose host memory keeps an adapter at a version."""
+        """Return the engines whose host memory holds an adapter at a version, by name."""
         return self._cached.get(holding, {})
 
     @property
     def keys(self) -> t.KeysView[AdapterKey]:
-        """All weights that are in a place of any engine."""
+        """Return all weights that any engine has, in any phase."""
         return self._by_key.keys()
 
     def note_added(self, engine: Engine, key: AdapterKey) -> None:
-        """Note that weights came into a place."""
+        """Record that weights were added to an engine."""
         if engine.is_replaced:
             return
         self._by_key.setdefault(key, {})[engine.replica.name] = engine
@@ -63,7 +63,7 @@
         self.added_keys.add(key)
 
     def note_removed(self, engine: Engine, key: AdapterKey) -> None:
-        """Note that weights left their place."""
+        """Record that weights were removed from an engine."""
         if engine.is_replaced:
             return
         _drop(self._by_key, key, engine.replica.name)
@@ -71,7 +71,7 @@
         self.changed_keys.add(key)
 
     def note_cached(self, engine: Engine, holding: Holding, kept: bool) -> None:
-        """Note that host memory keeps an adapter, or no more."""
+        """Record whether an engine's host memory holds an adapter."""
         if engine.is_replaced:
             return
         if kept:
@@ -80,8 +80,8 @@
             _drop(self._cached, holding, engine.replica.name)
 
     def drop(self, engine: Engine) -> None:
-        """Forget an engine that is gone."""
-        for key in engine.places:
+        """Remove an engine from the index."""
+        for key in engine.slots:
             self.note_removed(engine, key)
         for holding in engine.cached:
             self.note_cached(engine, holding, False)
@@ -90,14 +90,14 @@
 
 
 class WeightSlots(dict[AdapterKey, "Place"]):
-    """The places of an engine; the index is told of each change.
+    """The weights of an engine by key; each change updates the index.
 
     Parameters
     ----------
     engine : Engine
-        Whose.
+        Engine that holds the weights.
     index : EngineIndex
-        Told.
+        Index to update.
     """
 
     __slots__ = ("_engine", "_index", "bases")
@@ -107,15 +107,15 @@
         self._engine = engine
         self._index = index
         self.bases = 0
-        """How many of the weights are base models."""
+        """Number of base models among the weights."""
 
-    def __setitem__(self, key: AdapterKey, place: Place) -> None:
+    def __setitem__(self, key: AdapterKey, slot: Place) -> None:
         previous = self.get(key)
         if previous is None:
             self.bases += not key.adapter
-        elif previous.version != place.version:
+        elif previous.version != slot.version:
             self._index.kept.forget_weights(self._engine.replica.name, key.text)
-        super().__setitem__(key, place)
+        super().__setitem__(key, slot)
         self._index.note_added(self._engine, key)
 
     def __delitem__(self, key: AdapterKey) -> None:
@@ -123,16 +123,16 @@
         self.bases -= not key.adapter
         self._index.note_removed(self._engine, key)
 
-    def replace(self, places: t.Mapping[AdapterKey, Place]) -> None:
-        """Take over all that an engine reports."""
-        for key in [key for key in self if key not in places]:
+    def replace(self, slots: t.Mapping[AdapterKey, Place]) -> None:
+        """Replace all weights by those that an engine reports."""
+        for key in [key for key in self if key not in slots]:
             del self[key]
-        for key, place in places.items():
-            self[key] = place
+        for key, slot in slots.items():
+            self[key] = slot
 
 
 def reports_any(replica: Replica, keys: t.Collection[AdapterKey]) -> bool:
-    """Tell whether a replica says of itself that it holds any of some weights."""
+    """Tell whether a replica's entry in the store lists any of some weights."""
     return any(holding.key in keys for holding in replica.holdings)
 
 
--- a/packages/gateway/src/gradelug_gateway/loading.py
+++ b/packages/gateway/src/gradelug_gateway/loading.py
@@ -1,4 +1,7 @@
-"""Carries out a planner's decisions: orders to engines, and what their answers mean."""
+"""Carries out the loads that a planner decides: sends orders and handles their outcomes.
+
+It also reads the reports of engines and follows loads and unloads until they are complete.
+"""
 
 from __future__ import annotations
 
@@ -19,61 +22,61 @@
 
 log = logbook.Logger("planner")
 SPARE_STORE_FRACTION = 0.5
-"""What nobody waits for leaves this part of the weight store's loads at once to what is waited for
-next: a load that finds them all taken waits for a whole one."""
+"""Loads that no request waits for start only below this fraction of the weight store's concurrent
+loads, so that a requested load need not wait for another to complete."""
 MIN_LOAD_EXTENSION_S = 0.06
-"""A load that was not through when expected is awaited so much longer at least."""
+"""Minimum extra wait for a load that was not complete at the expected time."""
 REPORT_RETRY_DELAY_S = 0.3
-"""Pause before an engine that gives no report is asked again."""
+"""Delay before an engine that gave no report is queried again."""
 LOAD_GRACE_S = 1.5
-"""An engine that lacks an adapter this soon after its load has not finished it."""
+"""An adapter that an engine lacks within this time after its load is taken as still loading."""
 DEFAULT_VERSION = 1
-"""Version of adapters for which none was named."""
+"""Version of adapters for which none is set."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlannedLoad:
-    """A load that was decided, and what makes way for it.
+    """A load that was decided, and the adapter that is evicted for it.
 
     Parameters
     ----------
     term : Term
-        Under which it was decided.
+        Term under which it was decided.
     engine : Engine
-        Where.
+        Engine that loads the adapter.
     key : AdapterKey
-        What is loaded.
-    place : Place
-        Booked for it.
+        Adapter to load.
+    slot : WeightSlot
+        Slot of the adapter, already set on the engine.
     victim : AdapterKey or None
-        What is unloaded before; None where there is a free place.
+        Adapter to unload first; None if a slot is free.
     cached : bool
-        Whether the engine's host memory has it.
+        Whether the engine's host memory holds the adapter.
     """
 
     term: Term
     engine: Engine
     key: AdapterKey
-    place: Place
+    slot: Place
     victim: AdapterKey | None
     cached: bool
 
 
 class Loader:
-    """Loads and unloads on the engines of one planner.
+    """Loads and unloads adapters on the engines of one planner.
 
     Parameters
     ----------
     planner : Planner
-        Whose decisions are carried out; it is told when places change.
+        Planner whose decisions are carried out, and which decides again when weights change.
     owner : str
         Name of this instance.
     transport : OrderTransport
-        Gives orders.
+        Delivers orders to engines.
     clock : callable
         The runtime's clock.
-    first_at_once : float
-        Loads at once that the weight store is known to bear; 0 if nothing is known.
+    initial_concurrency : float
+        Number of concurrent loads that the weight store sustains; 0 if unknown.
     """
 
     __slots__ = ("_clock", "_owner", "_planner", "_store_loads", "_transport", "pace")
@@ -94,63 +97,67 @@
         self.pace = StorePace(clock(), initial_concurrency)
 
     def costs(self, uses: float) -> LoadCosts:
-        """Return what a load costs each of the requests that it is for."""
+        """Return the cost of a load to each of the requests that use it."""
         return LoadCosts(self.pace.cached_s, self.pace.load_s, STORE_COST_S / uses)
 
     def may_use_store(self) -> bool:
-        """Tell whether another load from the weight store may begin."""
+        """Tell whether another load from the weight store may start."""
         return self._store_loads < self.pace.at_once
 
     def has_spare_store_capacity(self) -> bool:
-        """Tell whether a load from the weight store that nobody waits for may begin."""
+        """Tell whether a load that no request waits for may start from the weight store."""
         return self._store_loads < SPARE_STORE_FRACTION * self.pace.at_once
 
     def begin(self, planned: PlannedLoad) -> None:
-        """Begin to load an adapter into a place that was booked, after unloading its victim."""
-        place = planned.place
+        """Start a planned load in the background, after unloading its victim."""
+        slot = planned.slot
         if not planned.cached:
             self._store_loads += 1
-            place.store_loads_at_start = self._store_loads
-            place.was_store_saturated = self._store_loads >= self.pace.at_once
+            slot.store_loads_at_start = self._store_loads
+            slot.was_store_saturated = self._store_loads >= self.pace.at_once
         self._planner.start(self._run_load(planned))
 
     def handle_missing(self, replica: str, key: AdapterKey) -> None:
-        """Note that a replica said it lacks weights that it was thought to hold."""
+        """Handle a replica's answer that it lacks weights which it was thought to hold."""
         engine = self._planner.engines.get(replica)
-        place = engine.places.get(key) if engine is not None else None
-        if engine is None or place is None or place.phase is not Phase.READY:
+        slot = engine.places.get(key) if engine is not None else None
+        if engine is None or slot is None or slot.phase is not Phase.READY:
             return
-        if self._clock() - place.ready_at < LOAD_GRACE_S:
-            self.extend_load(engine, key, place)
+        if self._clock() - slot.ready_at < LOAD_GRACE_S:
+            self.extend_load(engine, key, slot)
         else:
-            log.info("holdings in doubt", replica=replica, weights=key.text)
+            log.info(
+                "replica lacks expected weights; requesting a new report",
+                replica=replica,
+                weights=key.text,
+            )
             del engine.places[key]
             engine.synced = False
         self._planner.followers.mark(replica)
 
-    def extend_load(self, engine: Engine, key: AdapterKey, place: Place) -> None:
-        """Await a load longer: the engine says that the adapter is not there yet."""
+    def extend_load(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+        """Wait longer for a load: the engine answered that the adapter is missing."""
         now = self._clock()
-        if place.store_loads_at_start:
-            self.pace.note_late(place.store_loads_at_start, now - place.acknowledged_at, now)
-        place.phase = Phase.LOADING
-        place.ready_at = max(now + MIN_LOAD_EXTENSION_S, place.acknowledged_at + self.pace.load_s)
-        self._planner.start(self._make_ready(engine, key, place))
+        if slot.store_loads_at_start:
+            self.pace.note_late(slot.store_loads_at_start, now - slot.acknowledged_at, now)
+        slot.phase = Phase.LOADING
+        slot.ready_at = max(now + MIN_LOAD_EXTENSION_S, slot.acknowledged_at + self.pace.load_s)
+        self._planner.start(self._make_ready(engine, key, slot))
 
     def track_unload(self, engine: Engine, key: AdapterKey, outcome: OrderOutcome) -> None:
-        """Keep the place of an adapter that was not unloaded at once."""
+        """Keep the slot of an adapter that the engine did not unload at once."""
         if outcome is not OrderOutcome.TAKEN or key in engine.places:
-            # In doubt, or asked for again and booked meanwhile: the report tells what is there.
+            # Unknown outcome, or a new load was planned meanwhile: wait for the engine's report.
             engine.synced = False
             return
-        # It is in use, as a gateway has yet to tell, and goes when its requests have ended.
-        place = engine.places[key] = Place(0, Phase.UNLOADING, self._clock())
-        self._planner.start(self._await_unload(engine, key, place))
+        # In use by a request not reported yet; the engine unloads it when its requests end.
+        slot = engine.places[key] = Place(0, Phase.UNLOADING, self._clock())
+        self._planner.start(self._await_unload(engine, key, slot))
 
     async def order(
         self, term: Term, engine: Engine, load: bool, key: AdapterKey, version: int
     ) -> OrderOutcome:
-        """Give an order decided in a term; the engine's lock must be held."""
+        """Send an order decided in a term; the engine's lock must be held."""
         planner = self._planner
         expected = engine.orders
         outcome = await engine.give(self._transport, load, key, version, self._owner, term)
@@ -161,13 +168,13 @@
         return outcome
 
     async def sync(self, engine: Engine) -> None:
-        """Take over what an engine reports, once nothing is on its way there."""
+        """Query an engine and apply its report, while no order is in flight to it."""
         if engine.syncing:
             return
         engine.syncing = True
         try:
             async with engine.lock:
-                # What was ordered last must show in the report.
+                # Wait until the last order shows in the report.
                 await asyncio.sleep(REPORT_LAG_S if engine.orders else 0.0)
                 report = await self._transport.report(engine.replica)
                 if report is None:
@@ -199,59 +206,59 @@
             self._planner.schedule_decision()
 
     async def _execute(self, planned: PlannedLoad) -> None:
-        term, engine, key, place = planned.term, planned.engine, planned.key, planned.place
+        term, engine, key, slot = planned.term, planned.engine, planned.key, planned.slot
         async with engine.lock:
-            if term.is_over or engine.places.get(key) is not place:
-                # Its victim is out of the account and still there.
-                engine.discard(key, place)
+            if term.is_over or engine.places.get(key) is not slot:
+                # The victim is no longer recorded but still on the engine.
+                engine.discard(key, slot)
                 engine.synced = False
                 return
             if planned.victim is not None:
                 outcome = await self.order(term, engine, False, planned.victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
-                    engine.discard(key, place)
+                    engine.discard(key, slot)
                     self.track_unload(engine, planned.victim, outcome)
                     return
             newest = self._planner.state.versions.get(key, 0)
-            place.version = newest or DEFAULT_VERSION
+            slot.version = newest or DEFAULT_VERSION
             outcome = await self.order(term, engine, True, key, newest)
         if outcome is OrderOutcome.HOLDS:
-            self._set_ready(engine, key, place)
+            self._set_ready(engine, key, slot)
             return
         if outcome is not OrderOutcome.TAKEN:
-            engine.discard(key, place)
+            engine.discard(key, slot)
             return
-        # Counted from the answer: before it the order may have been given more than once.
-        place.acknowledged_at = self._clock()
+        # Counted from the answer: the order may have been resent before it.
+        slot.acknowledged_at = self._clock()
         load_s = self.pace.cached_s if planned.cached else self.pace.load_s
-        place.ready_at = place.acknowledged_at + load_s
-        await self._make_ready(engine, key, place)
-        if place.store_loads_at_start:
+        slot.ready_at = slot.acknowledged_at + load_s
+        await self._make_ready(engine, key, slot)
+        if slot.store_loads_at_start:
             self.pace.note_in_time(
-                place.store_loads_at_start, place.was_store_saturated, self._clock()
+                slot.store_loads_at_start, slot.was_store_saturated, self._clock()
             )
 
-    async def _await_unload(self, engine: Engine, key: AdapterKey, place: Place) -> None:
-        """Free a place when the engine reports that its adapter is gone."""
+    async def _await_unload(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+        """Free the slot of an adapter once the engine reports that it is unloaded."""
         engines, name = self._planner.engines, engine.replica.name
-        while engines.get(name) is engine and engine.places.get(key) is place:
+        while engines.get(name) is engine and engine.places.get(key) is slot:
             await asyncio.sleep(REPORT_LAG_S)
             if engine.request_count(key):
                 continue
             report = await self._transport.report(engine.replica)
             if report is not None and key not in {held.key for held in report.holdings}:
-                engine.discard(key, place)
+                engine.discard(key, slot)
                 self._planner.schedule_decision()
 
-    async def _make_ready(self, engine: Engine, key: AdapterKey, place: Place) -> None:
-        await asyncio.sleep(max(0.0, place.ready_at - self._clock()))
-        self._set_ready(engine, key, place)
+    async def _make_ready(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+        await asyncio.sleep(max(0.0, slot.ready_at - self._clock()))
+        self._set_ready(engine, key, slot)
 
-    def _set_ready(self, engine: Engine, key: AdapterKey, place: Place) -> None:
-        if engine.places.get(key) is not place:
+    def _set_ready(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+        if engine.places.get(key) is not slot:
             return
-        place.phase = Phase.READY
-        place.ready_at = place.used_at = self._clock()
-        engine.remember(Holding(key, place.version))
+        slot.phase = Phase.READY
+        slot.ready_at = slot.used_at = self._clock()
+        engine.remember(Holding(key, slot.version))
         self._planner.followers.mark(engine.replica.name)
         self._planner.decide()
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -1,4 +1,7 @@
-"""Which engines can take an adapter in, and what would make way there."""
+"""Finds engines that can load an adapter, and the adapters that they could evict for it.
+
+The planner creates a new set of targets for each decision and inspects each engine on first access.
+"""
 
 from __future__ import annotations
 
@@ -15,25 +18,25 @@
 from .model import AdapterKey, Holding, Replica
 
 MAX_UNSAMPLED_ENGINES = 64
-"""Up to so many engines all are looked at for each load: it takes half a millisecond."""
+"""Up to this many engines are all considered for each load, which takes 0.5 ms."""
 CANDIDATES = 32
-"""Of more engines so many with room are looked for: what is best among them is nearly the best."""
+"""Of more engines, this many that can load it are considered: their best is nearly the best of all."""
 KEEPERS = 16
-"""And so many of those that keep the adapter in host memory."""
+"""Additional candidates that hold the adapter in host memory."""
 
 
 @dataclass(slots=True, frozen=True)
 class LoadTarget:
-    """Room on an engine for one more adapter.
+    """An engine that can load one more adapter.
 
     Parameters
     ----------
     engine : Engine
-        Where.
-    free : int
-        Empty places.
+        The engine.
+    free_slots : int
+        Number of free adapter slots.
     victims : tuple of Victim
-        What could make way where there is none.
+        Adapters that can be evicted, if no slot is free.
     """
 
     engine: Engine
@@ -42,7 +45,7 @@
 
 
 def count_copies(index: EngineIndex, key: AdapterKey) -> int:
-    """Return on how many engines an adapter is or will be."""
+    """Return on how many engines an adapter is ready or loading."""
     return sum(
         engine.places[key].phase in (Phase.LOADING, Phase.READY)
         for engine in index.with_key(key).values()
@@ -50,22 +53,22 @@
 
 
 class Openings:
-    """The engines with room at one moment; each is looked at when it is asked for first.
+    """The engines that can load an adapter at one moment, inspected on first access.
 
     Parameters
     ----------
     engines : mapping of str to Engine
-        By name.
+        Engines by name.
     index : EngineIndex
-        Finds them by what they hold and keep.
+        Looks up engines by the weights that they hold or cache.
     cells : Cells
-        In which order they are looked at for an adapter.
+        Order in which engines are considered for an adapter.
     popularity : Popularity
-        How often adapters are asked for.
+        Request rates by adapter.
     may_order : callable
-        Tells whether orders can be given to a replica.
+        Takes a replica, returns whether orders can be sent to it.
     now : float
-        By the runtime's clock.
+        Current time by the runtime's clock.
     """
 
     __slots__ = ("_cells", "_engines", "_targets", "_index", "_may_order", "_now", "_popularity")
@@ -90,16 +93,16 @@
     def candidates(
         self, key: AdapterKey, version: int, may_use: t.Callable[[str], bool]
     ) -> list[tuple[str, LoadTarget]]:
-        """Return engines that lack an adapter and have room for it.
+        """Return engines that lack an adapter and can load it, with their names.
 
         Parameters
         ----------
         key : AdapterKey
-            What is to be loaded.
+            Adapter to load.
         version : int
-            Which one of it host memory may keep.
+            Its version, by which engines that cache it in host memory are found.
         may_use : callable
-            Tells whether an engine may be chosen, by its name.
+            Takes an engine's name, returns whether it may be chosen.
         """
         if len(self._engines) <= MAX_UNSAMPLED_ENGINES:
             return list(self._available(self._engines, key, may_use))
@@ -110,14 +113,14 @@
         return list(found.items())
 
     def has_slot_for(self, name: str, rate: float) -> bool:
-        """Tell whether nothing would make way on an engine that is asked for as often.
+        """Tell whether an engine has a free slot, or one with an adapter in less demand.
 
         Parameters
         ----------
         name : str
-            Which engine.
+            Name of the engine.
         rate : float
-            Requests a second for what is to be loaded.
+            Request rate of the adapter to load, in requests per second.
         """
         target = self._target(name)
         if target is None:
@@ -125,7 +128,7 @@
         return target.free_slots > 0 or any(victim.rate < rate for victim in target.victims)
 
     def invalidate(self, engine: Engine) -> None:
-        """Look again at an engine whose places have changed."""
+        """Drop what is known of an engine whose weights have changed."""
         self._targets.pop(engine.replica.name, None)
 
     def _available(
@@ -147,7 +150,7 @@
         free_slots = engine.free_adapter_slots()
         if free_slots > 0:
             return LoadTarget(engine, free_slots, ())
-        # Each copy of an adapter is missed for its share of the requests.
+        # An evicted copy costs its share of the adapter's requests.
         victims = tuple(
             Victim(
                 key.text,
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -1,4 +1,8 @@
-"""Places adapters on the engines of one service, on behalf of every instance."""
+"""Assigns adapters and requests to the engines of one service, for all gateway instances.
+
+One instance per service runs the planner. It receives the requests and loads that gateways
+report, decides which engine runs each request, and orders engines to load and unload weights.
+"""
 
 from __future__ import annotations
 
@@ -45,72 +49,75 @@
 
 log = logbook.Logger("planner")
 DEMAND_HALF_LIFE_S = 4.0
-"""Demand moves within seconds."""
+"""Half-life of request rates by adapter: demand changes within seconds."""
 TICK_S = 0.1
+"""Interval of periodic planning."""
 DECISION_DELAY_S = 0.008
-"""What comes within this time is decided together."""
+"""Messages that arrive within this time share one decision."""
 MAX_FAILED_LOADS_PER_DECISION = 16
-"""After so many that cannot be loaded now, those of less gain are not tried in the same decision:
-each takes 0.7 ms with 45 engines."""
+"""After this many weights that cannot be loaded now, the rest of the queue, which gains less, is
+not tried in the same decision: each try takes 0.7 ms with 45 engines."""
 IDLE_TO_DECISION_RATIO = 4.0
-"""The planner rests so many times as long as its last decision took: owners and gateways wait for
-it to read what they say."""
+"""Idle time after a decision, as a multiple of its duration: engine owners and gateways need the
+event loop in between to have their messages processed."""
 MAX_REDIRECT_WAIT_S = 0.5
-"""A request waits no longer than this for another engine than the one that could run it: a load
-takes 0.25 s from the weight store."""
+"""A request that an engine could run waits no longer than this for a better engine: a load takes
+0.25 s from the weight store."""
 MIN_REDIRECT_GAIN_S = 0.1
-"""The other engine must be better by this: that it takes a place there costs others."""
+"""Another engine must be faster by at least this: its slot is then missing for other adapters."""
 CROSS_HALL_COST_S = 0.03
-"""A nearer engine wins among equals only: bytes between halls have a price."""
+"""Cost of using an engine in another hall: traffic between halls is charged, so that the engine in
+the caller's hall is preferred when both are about equally fast."""
 MAX_UNSAMPLED_HOLDERS = 64
+"""Up to this many engines are all compared for a request."""
 HOLDER_SAMPLE_SIZE = 32
-"""Of more engines that hold the same weights, as of a base model, so many are drawn for a request:
-the best of them is nearly the best of all."""
+"""Where more engines hold the same weights, as for a base model, this many are sampled for a
+request: the best of the sample is nearly the best of all."""
 SYNCS_AT_ONCE = 64
 SYNCS_WAITING = 128
-"""Engines are asked for their state so many at a time, those in use first, and so many are chosen
-for it: a new planner would open connections to all at once, and requests would wait behind the
-reports of engines that none uses. Until then more engines than are asked at once are taken to hold
-what they tell in the platform's store: their reports take seconds."""
+"""Limits on state synchronisation: engines queried at a time, and engines selected to be queried,
+those in use first. A new planner would otherwise connect to all engines at once, and requests would
+wait behind the reports of unused ones. If there are more engines than may be queried at a time,
+their entries in the platform's store are trusted until they report, which takes seconds."""
 REDIRECT_RETRY_S = 0.05
-"""Another engine for requests that are held for room is looked for this often: each look takes
-0.7 ms with 45 engines, and they are looked at with each message."""
+"""Minimum interval between searches for another engine for the same weights: a search takes 0.7 ms
+with 45 engines, and held requests are checked after each message."""
 
 
 class Planner:
-    """Decides what is loaded where, gives the orders, answers the instances.
+    """Decides which engine holds which weights, issues orders and answers the gateways' requests.
 
     Parameters
     ----------
     service : str
-        Whose engines.
+        Name of the service whose engines are planned.
     owner : str
         Name of this instance.
     spec : EngineSpec
-        What the engines are like.
+        Capacity of the service's engines.
     state : FleetState
-        What the platform has told.
+        Replicas, versions and configuration, as last read from the platform.
     transport : OrderTransport
-        Gives orders; an `OrderRelay` where engines have owners among the instances.
+        Delivers orders to engines; an `OrderRelay` where instances own engines.
     window : LoadWindow
-        The weight store's limit on loads of base models.
+        Rate limit of the weight store for loads of base models.
     clock : callable
         The runtime's clock.
     speeds : ReadingSpeeds or None
-        How fast engines read; None to know nothing of it.
+        Prefill speeds by service; None to start with default speeds.
     store : StoreTeller or None
-        Tells gateways what this instance sees in the platform's store.
+        Publishes this instance's view of the platform's store to gateways.
     expected : int
-        Gateways that its predecessor knew, 0 if none is known.
+        Number of gateways that the previous planner had, 0 if unknown.
     features : frozenset of Feature
-        Those that are switched on.
+        Enabled features.
     room : EngineRoom or None
-        What is known of engines at work; None not to reckon with their slots, their memory and
-        their own speed.
+        Estimates engine capacity and speed; None to ignore batch slots, memory and the speed of
+        single engines.
     poison : PoisonDesk or None
-        Finds the requests that end replicas, if given.
+        Detects requests that crash replicas, if given.
     departures : DepartureDesk or None
-        Passes on which replicas leave by their own word, if given.
+        Distributes which replicas have announced that they are leaving, if given.
     """
 
     def __init__(
@@ -132,24 +139,24 @@
     ) -> None:
         self.service = service
         self.term: Term | None = None
-        """Under which orders are given; None while none may be."""
+        """Current term, under which orders are issued; None while no orders may be issued."""
         self.is_outranked = False
-        """Whether an engine has seen a greater token than this planner's."""
+        """Whether an engine has seen a greater fencing token than this planner's."""
         self.engines: dict[str, Engine] = {}
         self._prefix_cache = Kept(clock)
         self.index = EngineIndex(self._prefix_cache.parts)
-        """Finds engines by what they hold."""
+        """Looks up engines by the weights that they hold."""
         self._cells = Cells()
         self._rng = random.Random(0)
         health = HealthDesk(service, state, self.engines, lambda: self.followers.pacing.flush_s)
         self._health = health if Feature.SHARED_HEALTH in features else None
         quotas = QuotaHome(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
         self.limits = LimitDesk(service, state, clock, lambda: self.term is not None)
-        """Grants room at replicas that take only so many requests a second."""
+        """Grants capacity of replicas with a limit on requests per second."""
         speeds = speeds or ReadingSpeeds()
         is_fair = Feature.FAIR_SHARES in features and room is not None
         self.fair_queue = FairQueue(state, lambda: self.followers.pacing.flush_s, is_fair)
-        """Whose question is answered first where engines are full."""
+        """Orders requests by fair share while engines are full."""
         self.parts: tuple[PlannerPart, ...] = (
             QuotaDesk(quotas, state, lambda: self.term is not None),
             self.fair_queue,
@@ -158,7 +165,7 @@
             *((self.limits,) if Feature.REPLICA_LIMITS in features else ()),
             *((departures,) if departures is not None else ()),
         )
-        """What else gateways tell this instance, and are told."""
+        """Components that exchange further messages with the gateways."""
         if room is not None:
             self.parts += (SpeedDesk(service, room.paces, speeds, self._is_reading),)
         self.followers = Followers(
@@ -172,39 +179,39 @@
         )
         self.popularity = Popularity(DEMAND_HALF_LIFE_S)
         self.tokens = Popularity(DEMAND_HALF_LIFE_S)
-        """Tokens of prompts a second, by adapter."""
+        """Rate of prompt tokens by adapter, in tokens per second."""
         self.hot: set[AdapterKey] = set()
-        """Adapters of which a single copy may not be enough."""
+        """Adapters for which a single copy may not suffice."""
         self._speeds = speeds
         self.state = state
         self._transport = transport
         self._relay = transport if isinstance(transport, OrderRelay) else None
         self._clock = clock
         self.loading = Loader(self, owner, transport, clock, spec.loads_at_once)
-        """Carries out what is decided here."""
+        """Carries out the loads that are decided here."""
         self._line = WaitingLine(self.popularity, clock(), self.loading.pace.rate)
         self._upkeep = Maintenance(self, spec, window, clock)
         self._spec = spec
         self._sync_semaphore = asyncio.Semaphore(SYNCS_AT_ONCE)
         self._syncing: set[str] = set()
-        """Engines that are being asked for their state, or are about to be."""
+        """Names of engines whose state is being queried, or is about to be."""
         self._engine_estimator = room
         self._terms = terms(spec)
         self._redirect_tried_at: dict[AdapterKey, float] = {}
-        """When it was looked for another engine for requests that have a holder."""
+        """Time of the last search for another engine, by weights whose requests have a holder."""
         self.look_from = -math.inf
-        """No such look begins before."""
+        """Time before which no such search begins, by the runtime's clock."""
         self.copies = Copies(self, self._terms, room) if room is not None else None
-        """Looks whether adapters need another engine; None without knowledge of engines' room."""
+        """Adds copies of adapters in demand; None without an `EngineRoom`."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
         self._decision_timer: asyncio.TimerHandle | None = None
         self.has_queue = False
-        """Whether requests wait for loads that cannot begin yet."""
+        """Whether requests wait for loads that cannot start yet."""
         self._last_decision_s = 0.0
-        """How long the last decision took, in seconds."""
+        """Duration of the last decision, in seconds."""
 
-    # Life.
+    # Lifecycle.
 
     async def run(self) -> None:
         """Plan until cancelled."""
@@ -215,8 +222,8 @@
                 self.decide()
                 self.refill.start_loads(self._clock())
                 if publishing.done():
-                    # A planner that tells nothing any more is lost to its gateways, and kept them
-                    # from finding another: they followed it again and again.
+                    # Raise the publisher's error: gateways would otherwise keep reconnecting to
+                    # a planner that sends no updates, and not look for another one.
                     publishing.result()
                 await asyncio.sleep(TICK_S)
         finally:
@@ -228,27 +235,27 @@
                 task.cancel()
 
     def begin_term(self, fence: int) -> None:
-        """Give orders from now on, under a token."""
+        """Issue orders from now on, under a fencing token."""
         self.end_term()
         self.term = Term(fence)
 
     def end_term(self) -> None:
-        """Give no orders, nor those that were decided before."""
+        """Issue no further orders, including those that are decided but not yet sent."""
         if self.term is not None:
             self.term.is_over = True
         self.term = None
 
     def refresh(self) -> None:
-        """Follow the replicas that the platform tells of."""
+        """Apply the platform's current list of replicas, then run periodic work."""
         reported = {
             rep.name: rep
             for rep in self.state.replicas.values()
             if rep.service == self.service and not rep.leaving
         }
         for name in [name for name in self.engines if name not in reported]:
-            gone = self.engines.pop(name)
-            self.index.drop(gone)
-            self.refill.note_lost(gone, name in self.state.replicas, self._clock())
+            departed = self.engines.pop(name)
+            self.index.drop(departed)
+            self.refill.note_lost(departed, name in self.state.replicas, self._clock())
             self._cells.remove(name)
             self.followers.mark(name)
             for part in self.parts:
@@ -263,7 +270,8 @@
                     engine.assume_registered_holdings(self._clock())
                     self.followers.mark(name)
             elif engine.replica is not rep or len(reported) <= SYNCS_AT_ONCE:
-                # Of few engines what they tell counts again each time, also if it was forgotten.
+                # With few engines the reported host cache is applied each time, so that entries
+                # that were dropped here come back.
                 if engine.update_replica(rep):
                     engine = self.begin_life(engine, rep.born)
                 self._add_reported_cache(engine)
@@ -277,13 +285,13 @@
             self._upkeep.run_due(self.term)
 
     def begin_life(self, engine: Engine, born: int) -> Engine:
-        """Forget all that is known of an engine that has started again under its name."""
+        """Replace the state of an engine whose process restarted; `born` names the new one."""
         name, now = engine.replica.name, self._clock()
         strays = engine.unacknowledged_loads(now)
         self.index.drop(engine)
         self.refill.note_lost(engine, True, now)
         engine.is_replaced = True
-        log.info("engine began again", replica=name, born=born, strays=len(strays))
+        log.info("engine restarted", replica=name, born=born, strays=len(strays))
         replacement = self.engines[name] = Engine(
             engine.replica, self._spec, self.index, strays, born
         )
@@ -299,11 +307,11 @@
 
     @property
     def unknown_engines(self) -> int:
-        """Engines that have not given their state."""
+        """Number of engines whose state is not known yet."""
         return sum(not engine.synced for engine in self.engines.values())
 
     def _sync_engines(self) -> None:
-        """Ask engines for their state, those in use first."""
+        """Query engines for their state, engines in use first."""
         unknown = [
             engine
             for name, engine in self.engines.items()
@@ -314,7 +322,7 @@
             awaited_keys = {waiter.key for waiter in self._line.waiters}
             unknown.sort(
                 key=lambda engine: (
-                    # One that gives no report keeps no other one waiting.
+                    # An engine that does not report must not delay the others.
                     engine.sync_started_at,
                     not engine.is_in_use(),
                     not reports_any(engine.replica, awaited_keys),
@@ -333,7 +341,7 @@
             self._syncing.discard(engine.replica.name)
 
     def outranked(self) -> None:
-        """Give no further orders: another planner has a greater token."""
+        """End the term: another planner has a greater fencing token."""
         log.info("outranked", service=self.service, fence=self.term.fence if self.term else 0)
         self.end_term()
         self.is_outranked = True
@@ -341,15 +349,19 @@
     # Gateways.
 
     def join(self, instance: str, address: str) -> Follower:
-        """Take a gateway on; its earlier stream, if it had one, has fallen silent."""
+        """Register a gateway's stream; an earlier stream of the same gateway is dropped."""
         earlier = self.followers.find(instance, address)
         if earlier is not None:
-            log.info("gateway is back on another stream", instance=instance, address=address)
+            log.info(
+                "gateway reconnected; dropping its earlier stream",
+                instance=instance,
+                address=address,
+            )
             self.leave(earlier)
         return self.followers.join(instance, address)
 
     def leave(self, follower: Follower) -> None:
-        """Forget a gateway; what it ran ends with its connections."""
+        """Drop a gateway and its requests, which end with its connections."""
         if not self.followers.leave(follower):
             return
         if self._relay is not None:
@@ -361,7 +373,7 @@
             engine.forget_gateway(follower.number)
 
     def take(self, follower: Follower, message: pb.FromGateway) -> None:
-        """Take a gateway's message."""
+        """Process a message from a gateway."""
         now = self._clock()
         follower.heard_at = now
         follower.echo = pb.Echo(sent_ms=message.sent_ms, received_ms=math.ceil(now * 1000))
@@ -415,9 +427,9 @@
         if self.tokens.rate(key.text, now) > MAX_PREFILL_FRACTION_PER_COPY * self.speed:
             self.hot.add(key)
         engine.take_use(follower.number, key, use.active)
-        place = engine.places.get(key)
-        if place is not None:
-            place.used_at = now
+        slot = engine.places.get(key)
+        if slot is not None:
+            slot.used_at = now
 
     async def _publish_updates(self) -> None:
         while True:
@@ -427,14 +439,14 @@
     # Deciding.
 
     def schedule_decision(self) -> None:
-        """Decide in a moment, together with what else comes until then."""
+        """Schedule a decision that also covers messages that arrive until then."""
         if self._decision_timer is None:
             loop = asyncio.get_running_loop()
             idle_s = IDLE_TO_DECISION_RATIO * self._last_decision_s
             self._decision_timer = loop.call_later(max(DECISION_DELAY_S, idle_s), self.decide)
 
     def decide(self) -> None:
-        """Answer who can be answered, load what is waited for most, refuse what is hopeless."""
+        """Answer waiting requests, start the most valuable loads, refuse requests out of time."""
         if self._decision_timer is not None:
             self._decision_timer.cancel()
             self._decision_timer = None
@@ -460,7 +472,7 @@
         self._last_decision_s = self._clock() - now
 
     def _start_loads(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
-        """Begin to load what is waited for; return what cannot be begun yet, in its order."""
+        """Start loads for waiting requests; return the weights that cannot be loaded yet."""
         openings = self.openings()
         queued: list[AdapterKey] = []
         for waiter in ordered:
@@ -481,41 +493,42 @@
         waiter.is_held = False
         holders, newest = self._holders(waiter), self.state.versions.get(waiter.key, 0)
         ready_names = (
-            name for name, one in holders if one.holds(waiter.key) and waiter.may_use(name)
+            name for name, engine in holders if engine.holds(waiter.key) and waiter.may_use(name)
         )
-        # Gateways with fresh news send a chain to its home by themselves.
+        # With recent updates, gateways send requests with a shared prefix to the preferred engine
+        # of its prefix chain themselves.
         is_fresh = self.followers.pacing.news_s <= FRESH_S
         home = self._prefix_cache.home(waiter.work, ready_names) if is_fresh else ""
         for name, engine in holders:
-            place = engine.places.get(waiter.key)
-            if place is None or place.phase is not Phase.READY or not waiter.may_use(name):
+            slot = engine.places.get(waiter.key)
+            if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
                 continue
             work = self._prefix_cache.at_least(name, waiter.work, home, self.speed)
             cost = self._cost_s(engine, waiter, work) - held_up_s(work.kept_tokens, self.speed)
             max_cached_tokens = max(max_cached_tokens, work.kept_tokens if name != home else 0)
-            if place.version >= newest and cost < min_cost:
+            if slot.version >= newest and cost < min_cost:
                 best, min_cost = engine, cost
         if best is None:
             return False
         work = self._prefix_cache.at(best.replica.name, waiter.work)
         if self._should_wait(waiter, best, self._cost_s(best, waiter, work), now):
             return False
-        place = best.places[waiter.key]
-        # Until its gateway tells that it is there.
-        place.used_at = now + self.followers.pacing.flush_s
+        slot = best.places[waiter.key]
+        # Keep the slot in use until the gateway reports the request.
+        slot.used_at = now + self.followers.pacing.flush_s
         best.reserve(waiter.follower.number, work)
         name = best.replica.name
         self._prefix_cache.parts.note_credit(work.chain, work.kept_tokens, max_cached_tokens)
         self._prefix_cache.parts.note(name, work.chain, now)
         load, standing = encode_load(name, best), self.fair_queue.standing(waiter, now)
         has_room = self.limits.try_take(name, waiter.follower.instance, now)
-        waiter.answer(name, place.version, load, work.kept_tokens, standing, has_room)
+        waiter.answer(name, slot.version, load, work.kept_tokens, standing, has_room)
         return True
 
     def _holders(self, waiter: Waiter) -> t.Collection[tuple[str, Engine]]:
-        """Return engines that may have a request's weights in a place, a few of very many."""
+        """Return engines that may hold a request's weights, a sample if there are many."""
         if len(self.engines) <= MAX_UNSAMPLED_HOLDERS:
-            # In their own order: of equals the first one runs most, and others stay free.
+            # In a fixed order: among equals the first is filled first, and others stay free.
             return self.engines.items()
         holders = self.index.with_key(waiter.key)
         if len(holders) <= MAX_UNSAMPLED_HOLDERS:
@@ -527,7 +540,7 @@
         )
 
     def _cost_s(self, engine: Engine, waiter: Waiter, work: Work) -> float:
-        """Return what a request costs on an engine that has the adapter, in seconds."""
+        """Return the cost of a request on an engine that holds its weights, in seconds."""
         name = engine.replica.name
         cost = self.wait_s(engine, work) + self._health_penalty_s(name, waiter)
         cost += self.limits.delay_s(name, self._clock())
@@ -541,11 +554,11 @@
         return DOUBTED_S if replica in waiter.ask.doubted else 0.0
 
     def _should_wait(self, waiter: Waiter, best: Engine, min_cost_s: float, now: float) -> bool:
-        """Tell whether a request waits for another engine, or for room on the best holder.
+        """Tell whether a request waits for another engine, or for capacity of the best holder.
 
-        So does one that would be late there, that would wait for a slot or displace another.
+        It does if it would miss its target there, wait for a batch slot or displace another.
         """
-        # A stream that was begun waits for its next event.
+        # A resumed stream has a client that waits for the next event.
         is_full = not waiter.ask.begun and not self._has_room(best, waiter, now)
         if now > waiter.asked_at + (
             self.fair_queue.max_hold_s(waiter) if is_full else MAX_REDIRECT_WAIT_S
@@ -559,7 +572,7 @@
         if self._engine_estimator is not None and not self._may_try_redirect(waiter.key, now):
             return is_full
         max_cost_s = min_cost_s - MIN_REDIRECT_GAIN_S
-        # Where there is no room at its holders, a copy serves those who come as well.
+        # Where all holders are full, another copy also serves requests that come later.
         is_shared = is_full and not self.has_queue
         uses = self.uses(waiter.key, now) if is_shared else 1.0
         begun = self.load(
@@ -569,11 +582,11 @@
         return begun or is_full
 
     def rest_from(self, began: float) -> None:
-        """Look for no further engine for a while after a look that began at a moment."""
+        """Postpone the next engine search in proportion to one that started at `began`."""
         self.look_from = began + IDLE_TO_DECISION_RATIO * (self._clock() - began)
 
     def _may_try_redirect(self, key: AdapterKey, now: float) -> bool:
-        """Tell whether it is time to look for another engine for a request that has a holder."""
+        """Tell whether another engine may be searched now for weights that have a holder."""
         if (
             now < self.look_from
             or now < self._redirect_tried_at.get(key, -math.inf) + REDIRECT_RETRY_S
@@ -584,23 +597,23 @@
 
     @property
     def speed(self) -> float:
-        """Tokens of prompts that an engine reads a second."""
+        """Prefill speed of an engine, in prompt tokens per second."""
         return self._speeds.speed(self.service)
 
     def wait_s(self, engine: Engine, work: Work) -> float:
-        """Return the time to a first event on an engine that has the adapter, in seconds."""
+        """Return the expected time to the first event on an engine with the weights, in seconds."""
         if self._engine_estimator is None:
             return first_event_s(engine.busyness(), work, self.speed)
         pace = self._engine_estimator.pace(self.service, engine.replica.name, self._clock())
         return expected_s(engine.busyness(), work, self._terms, pace)
 
     def _is_reading(self, replica: str) -> bool:
-        """Tell whether an engine has prompts to read."""
+        """Tell whether an engine has prompts to prefill; true for unknown engines."""
         engine = self.engines.get(replica)
         return engine is None or engine.starting > 0
 
     def _has_room(self, engine: Engine, waiter: Waiter, now: float) -> bool:
-        """Tell whether a request neither waits for a slot or memory there nor displaces another."""
+        """Tell whether a request fits without waiting for a batch slot or memory or displacing."""
         if self.limits.delay_s(engine.replica.name, now) > 0:
             return False
         if self._engine_estimator is None:
@@ -611,7 +624,7 @@
         return has_room(engine.busyness(), waiter.work, self._terms, pace, lead_s)
 
     def uses(self, key: AdapterKey, now: float) -> float:
-        """Return how many requests will use a further copy of an adapter, 1 at least."""
+        """Return the expected number of requests for a further copy of an adapter, at least 1."""
         return max(1.0, COPY_USE_S * self.popularity.rate(key.text, now))
 
     def _ejection_penalty_s(self, replica: str) -> float:
@@ -619,21 +632,21 @@
 
     def _is_loading(self, waiter: Waiter) -> bool:
         for name, engine in self._holders(waiter):
-            place = engine.places.get(waiter.key)
-            if place is not None and place.phase is Phase.LOADING and waiter.may_use(name):
+            slot = engine.places.get(waiter.key)
+            if slot is not None and slot.phase is Phase.LOADING and waiter.may_use(name):
                 return True
         return False
 
     def requested_models(self) -> set[str]:
-        """Return the base models of all that is waited for."""
+        """Return the base models of all waiting requests."""
         return {waiter.key.model for waiter in self._line.waiters}
 
     def held(self) -> int:
-        """Return how many requests are held until an engine has room."""
+        """Return how many requests are held until an engine has capacity."""
         return sum(waiter.is_held for waiter in self._line.waiters)
 
     def openings(self) -> Openings:
-        """Return the engines that can take an adapter in now."""
+        """Return the engines that can load an adapter now."""
         return Openings(
             self.engines,
             self.index,
@@ -653,29 +666,29 @@
         work: Work = Work(),  # noqa: B008
         uses: float = 1.0,
     ) -> bool:
-        """Begin to load an adapter where it can be used soonest; False if nowhere.
+        """Start to load an adapter on the engine that can use it soonest; False if there is none.
 
         Parameters
         ----------
         key : AdapterKey
-            What.
+            Adapter to load.
         now : float
-            By the runtime's clock.
-        openings : Openings
-            Engines with room; brought up to date.
+            Current time by the runtime's clock.
+        openings : LoadTargets
+            Engines that can load an adapter; the chosen engine's entry is invalidated.
         may_use : callable
-            Tells whether an engine may be chosen, by its name.
-        most_s : float
-            What the load may cost at most, in seconds (see `choose_home`).
+            Takes an engine's name, returns whether it may be chosen.
+        max_cost_s : float
+            Maximum cost of the load, in seconds (see `choose_home`).
         work : Work
-            What its requests ask of an engine.
+            Tokens and urgency of the request that waits for it.
         uses : float
-            Requests that share the price of a load from the weight store.
+            Expected requests over which the cost of the weight store is spread.
         """
         if not key.adapter or self.term is None:
             return False
         version = self.state.versions.get(key, 0) or DEFAULT_VERSION
-        views = [
+        candidates = [
             EnginePlaces(
                 name,
                 target.free_slots,
@@ -688,7 +701,7 @@
             for name, target in openings.candidates(key, version, may_use)
         ]
         choice = choose_home(
-            views,
+            candidates,
             key.text,
             self.loading.costs(uses),
             self.loading.may_use_store(),
@@ -698,17 +711,17 @@
             return False
         engine = self.engines[choice.engine]
         victim = engine.take_out(choice.victim) if choice.victim is not None else None
-        place = engine.places[key] = Place(version, Phase.LOADING, now)
+        slot = engine.places[key] = Place(version, Phase.LOADING, now)
         self._line.throughput.note_load()
         self.followers.mark(choice.engine)
         openings.invalidate(engine)
-        self.loading.begin(PlannedLoad(self.term, engine, key, place, victim, choice.cached))
+        self.loading.begin(PlannedLoad(self.term, engine, key, slot, victim, choice.cached))
         return True
 
     # Tasks.
 
     def start(self, coro: t.Coroutine[t.Any, t.Any, None]) -> None:
-        """Run something beside; it ends with the planner."""
+        """Run a coroutine in the background; it is cancelled when the planner ends."""
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -716,4 +729,4 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("a planner's task failed", why=repr(task.exception()))
+            log.error("background task of the planner failed", why=repr(task.exception()))
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -1,4 +1,8 @@
-"""Adapters that were lost with their engine, brought elsewhere before they are asked for."""
+"""Reloads adapters whose only holder was lost, before requests for them arrive.
+
+The planner records them when an engine leaves, disappears or restarts, and starts the loads
+periodically while no request waits for a load.
+"""
 
 from __future__ import annotations
 
@@ -18,25 +22,26 @@
 
 log = logbook.Logger("planner")
 MAX_LOST_ADAPTERS = 256
-"""Lost adapters that are remembered, those of most gain: looking at them takes some 2 ms."""
+"""Maximum number of recorded adapters, those of most gain: each pass over them takes 2 ms."""
 MAX_LOADS_PER_PASS = 8
-"""Begun each time, those of most gain; the others come a tenth of a second later."""
+"""Loads started in each pass, those of most gain; passes are 0.1 s apart."""
 MAX_ATTEMPTS_PER_PASS = 16
-"""Where there is no place for so many of most gain there is hardly one for the others."""
+"""Adapters tried in each pass: where these fit nowhere, the ones of less gain hardly would."""
 LOSS_CONFIRMATION_S = 0.5
-"""An engine whose entry goes without a word may be back after the next news of the store."""
+"""Delay for engines whose entry disappears unannounced: the next update from the platform's store
+may contain it again."""
 
 
 @dataclass(slots=True, frozen=True)
 class _LostAdapter:
-    """An adapter that its only holder took along.
+    """An adapter whose only holder was lost.
 
     Parameters
     ----------
     due_at : float
-        From when it is brought elsewhere, by the runtime's clock.
+        Time from which it may be reloaded, by the runtime's clock.
     gain_s : float
-        What that was expected to save when it was lost, in seconds.
+        Time that a reload was expected to save when it was lost, in seconds.
     """
 
     due_at: float
@@ -44,16 +49,16 @@
 
 
 class Refill:
-    """Remembers what engines held alone when they were lost, and brings it elsewhere.
+    """Records adapters whose only holder was lost, and loads them on other engines.
 
-    Nothing of it outlives the planner: its successor has seen no demand by which to choose.
+    A new planner starts without these records: it has no request rates by which to choose.
 
     Parameters
     ----------
     planner : Planner
-        Whose engines.
+        Planner of the engines.
     is_on : bool
-        Whether anything is brought ahead of demand.
+        Whether adapters are reloaded ahead of demand.
     """
 
     __slots__ = ("_is_on", "_lost", "_planner")
@@ -64,22 +69,22 @@
         self._lost: dict[AdapterKey, _LostAdapter] = {}
 
     def note_lost(self, engine: Engine, is_announced: bool, now: float) -> None:
-        """Note that an engine is gone, about to go or empty; it is not in the index any more.
+        """Record the adapters of an engine that left or restarted and is no longer in the index.
 
         Parameters
         ----------
         engine : Engine
-            Which.
-        is_told : bool
-            Whether it said so; else it may be back soon.
+            The lost engine.
+        is_announced : bool
+            Whether it announced this; otherwise it may be back soon.
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock.
         """
         if not self._is_on:
             return
         due_at = now if is_announced else now + LOSS_CONFIRMATION_S
-        for key, place in engine.places.items():
-            if not key.adapter or place.phase is Phase.UNLOADING:
+        for key, slot in engine.places.items():
+            if not key.adapter or slot.phase is Phase.UNLOADING:
                 continue
             gain_s = self._gain_s(key, now)
             if gain_s > 0 and not count_copies(self._planner.index, key):
@@ -89,7 +94,7 @@
             self._lost = dict(by_gain[:MAX_LOST_ADAPTERS])
 
     def start_loads(self, now: float) -> None:
-        """Bring those that save most, as long as nothing waits for the weight store."""
+        """Start the loads that save most, unless requests wait for the weight store."""
         planner = self._planner
         if not self._lost or planner.term is None:
             return
@@ -104,7 +109,11 @@
                 break
             if self._load(key, openings, now):
                 started += 1
-                log.info("brought ahead", weights=key.text, gain_s=round(gains[key], 2))
+                log.info(
+                    "reloading lost adapter ahead of demand",
+                    weights=key.text,
+                    gain_s=round(gains[key], 2),
+                )
 
     def _load(self, key: AdapterKey, openings: Openings, now: float) -> bool:
         rate = self._planner.popularity.rate(key.text, now)
@@ -114,13 +123,13 @@
         )
 
     def _expire(self, now: float) -> None:
-        """Forget what nobody has asked for: demand is not foreseen for longer."""
+        """Drop adapters that were not reloaded within the horizon of the demand forecast."""
         self._lost = {
             key: lost for key, lost in self._lost.items() if now <= lost.due_at + COPY_USE_S
         }
 
     def _gains(self, now: float) -> dict[AdapterKey, float]:
-        """Return what each that is due and on no engine would save, in seconds."""
+        """Return the time saved by each adapter that is due and on no engine, in seconds."""
         index = self._planner.index
         due = [
             key
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -1,4 +1,4 @@
-"""Newer versions of weights take the place of older ones on a planner's engines."""
+"""Rolling update of weights: replaces older versions by newer ones on a planner's engines."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Renewal:
-    """Unloads older versions when no run uses them; what is asked for is then loaded newest.
+    """Unloads older versions that no run uses; requests then load the newest version.
 
     An engine that is ordered to unload waits for its runs, rejects all other requests until then,
-    and drops the weights as soon as a run is stopped, whose memory has no use then. So the order
-    is given when no run is left, and requests go elsewhere before.
+    and drops the weights as soon as a run is stopped, which makes the run's memory useless. So the
+    weights first take no new requests, and the order is sent when no run is left.
 
     Parameters
     ----------
     planner : Planner
-        Whose engines.
+        Planner of the engines.
     clock : callable
         The runtime's clock.
     """
@@ -35,12 +35,12 @@
         self._clock = clock
         self._seen_versions: dict[AdapterKey, int] = {}
         self._outdated: set[AdapterKey] = set()
-        """Weights of which some engine may hold a version that is not the newest."""
+        """Weights of which some engine may hold an older version."""
         self._renewals: dict[tuple[str, AdapterKey], float] = {}
-        """Engines and base models that are being renewed there, and since when."""
+        """Start time of each renewal in progress, by engine name and base model."""
 
     def run_due(self, term: Term) -> None:
-        """Do what is due in the planner's term."""
+        """Start and continue renewals, in the planner's term."""
         self._find_outdated()
         self._forget_finished()
         versions, index = self._planner.state.versions, self._planner.index
@@ -59,7 +59,7 @@
                 self._renew_model(term, held, key)
 
     def _find_outdated(self) -> None:
-        """Find weights of which a version was named, or that came into a place, since last time."""
+        """Find weights with a new version, or that were added to an engine, since the last call."""
         versions, index = self._planner.state.versions, self._planner.index
         added, index.added_keys = index.added_keys, set()
         self._outdated.update(key for key in added if key in versions)
@@ -70,27 +70,27 @@
             self._seen_versions = dict(versions)
 
     def _renew_adapter(self, term: Term, name: str, engine: Engine, key: AdapterKey) -> None:
-        place = engine.places[key]
-        if place.phase in (Phase.LOADING, Phase.UNLOADING):
+        slot = engine.places[key]
+        if slot.phase in (Phase.LOADING, Phase.UNLOADING):
             return
-        if place.phase is Phase.READY:
-            place.phase = Phase.LEAVING
+        if slot.phase is Phase.READY:
+            slot.phase = Phase.LEAVING
             self._planner.followers.mark(name)
         if engine.synced and not engine.request_count(key):
-            self._planner.start(self._unload(term, engine, key, place))
+            self._planner.start(self._unload(term, engine, key, slot))
 
     def _renew_model(self, term: Term, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Renew a base model engine by engine, those with the fewest runs first."""
         draining = [engine for engine in held.values() if engine.places[key].phase is Phase.LEAVING]
         self._drain_some(held, key)
         for engine in draining:
-            # Adapters may have been loaded since.
+            # Adapters may have been loaded since the model was closed.
             engine.drain_model(key)
             if engine.synced and not engine.uses_model(key.model):
                 self._planner.start(self._unload(term, engine, key, engine.places[key]))
 
     def _drain_some(self, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
-        """Close engines for the renewal of their base model; gateways have yet to be told."""
+        """Close engines for the renewal of their base model; gateways learn of it later."""
         now, engines = self._clock(), self._planner.engines
         allowed = renewals_left(self._renewals.values(), len(engines), now)
         if not allowed:
@@ -106,22 +106,22 @@
             self._planner.followers.mark(name)
 
     def _forget_finished(self) -> None:
-        """Forget engines that have a base model again, or are gone."""
+        """Drop renewals whose engine holds a base model again or is gone."""
         for name, key in list(self._renewals):
             engine = self._planner.engines.get(name)
             if engine is None or engine.holds(key):
                 del self._renewals[name, key]
             elif key not in engine.places and engine.has_any_model():
-                # Another base model came in its place.
+                # The engine holds another base model instead.
                 del self._renewals[name, key]
 
-    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, place: Place) -> None:
+    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, slot: Place) -> None:
         async with engine.lock:
-            held = engine.places.get(key) is place
+            held = engine.places.get(key) is slot
             if term.is_over or not engine.synced or not held:
                 return
             outcome = await self._planner.loading.order(term, engine, False, key, 0)
-            engine.discard(key, place)
+            engine.discard(key, slot)
             if outcome is not OrderOutcome.HOLDS:
                 self._planner.loading.track_unload(engine, key, outcome)
             elif not key.adapter:
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -1,4 +1,4 @@
-"""What a planner does without being asked: base models, new versions, further copies."""
+"""Periodic maintenance of a planner's engines: base models, new versions and further copies."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 log = logbook.Logger("upkeep")
 MODEL_REPORT_DELAY_S = 1.5
-"""A base model shows in an engine's report this long after its load at the latest."""
+"""Maximum time from the end of a base model's load until the engine's report shows it."""
 MAX_PREFILL_FRACTION_PER_COPY = 0.7
-"""Part of an engine's time that reading the prompts for one adapter may take before it gets another
-engine: beside the other adapters there it waits for itself then."""
+"""Fraction of an engine's time that prefill for one adapter may take before it gets another copy:
+above it, next to the engine's other adapters, its requests queue behind each other."""
 
 
 class Maintenance:
-    """Keeps engines fit for what is asked of them.
+    """Loads base models and further copies and renews versions, as demand requires.
 
     Parameters
     ----------
     planner : Planner
-        Whose engines.
+        Planner of the engines.
     spec : EngineSpec
-        What the engines are like.
+        Capacity of the engines and the base models of the service.
     window : LoadWindow
-        The weight store's limit on loads of base models.
+        Rate limit of the weight store for loads of base models.
     clock : callable
         The runtime's clock.
     """
@@ -61,11 +61,11 @@
         self._window = window
         self._clock = clock
         self._loading_until: dict[str, float] = {}
-        """Until when a base model is on its way, by its name."""
+        """Time until which a base model is expected to load, by its name."""
         self._renewal = Renewal(planner, clock)
 
     def run_due(self, term: Term) -> None:
-        """Do what is due in the planner's term."""
+        """Run the maintenance that is due, in the planner's term."""
         self._renewal.run_due(term)
         self._ensure_models(term)
         self._place_requested_models(term)
@@ -76,15 +76,15 @@
             if engine.synced and not engine.places.bases and self._spec.models:
                 model = self._least_replicated_model()
                 key = AdapterKey(model.name)
-                place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
-                self._planner.start(self._load_model(term, engine, key, place, model.load_s))
+                slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+                self._planner.start(self._load_model(term, engine, key, slot, model.load_s))
 
     def _least_replicated_model(self) -> BaseModel:
         index = self._planner.index
         return min(self._spec.models, key=lambda model: len(index.with_key(AdapterKey(model.name))))
 
     def _place_requested_models(self, term: Term) -> None:
-        """Bring in models that requests wait for and no engine holds."""
+        """Load models that requests wait for and no engine holds."""
         now, index = self._clock(), self._planner.index
         self._loading_until = {
             name: until for name, until in self._loading_until.items() if until > now
@@ -106,18 +106,18 @@
                 self._planner.followers.mark(engine.replica.name)
             self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
-            place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
-            self._planner.start(self._load_model(term, engine, key, place, model.load_s, victim))
+            slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+            self._planner.start(self._load_model(term, engine, key, slot, model.load_s, victim))
 
     def _count_models(self) -> Counter[str]:
-        """Return on how many engines each base model is or will be."""
+        """Return on how many engines each base model is held or loading."""
         index = self._planner.index
         return Counter(
             {key.model: len(index.with_key(key)) for key in index.keys if not key.adapter}
         )
 
     def _choose_engine(self, model: BaseModel, copies_by_model: Counter[str]) -> Engine | None:
-        """Return an engine with room, else the unused one whose models are held most elsewhere."""
+        """Return an idle engine with memory for a model, else the one with the commonest models."""
         idle_engines = [
             engine
             for engine in self._planner.engines.values()
@@ -149,41 +149,41 @@
         term: Term,
         engine: Engine,
         key: AdapterKey,
-        place: Place,
+        slot: Place,
         load_s: float,
         victim: AdapterKey | None = None,
     ) -> None:
         async with engine.lock:
-            if engine.places.get(key) is not place:
+            if engine.places.get(key) is not slot:
                 return
             in_use = victim is not None and engine.uses_model(victim.model)
             if in_use or not self._window.allows(self._clock()):
-                self._abandon_load(engine, key, place, victim)
+                self._abandon_load(engine, key, slot, victim)
                 return
             if victim is not None:
                 outcome = await self._planner.loading.order(term, engine, False, victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
-                    self._abandon_load(engine, key, place, victim)
+                    self._abandon_load(engine, key, slot, victim)
                     return
                 engine.drop_model(victim)
                 self._planner.followers.mark(engine.replica.name)
             self._window.note(self._clock())
             outcome = await self._planner.loading.order(term, engine, True, key, 0)
             if outcome in (OrderOutcome.TAKEN, OrderOutcome.HOLDS):
-                # Another order for this engine may only come when it is through.
+                # The engine takes its next order only after the load.
                 await asyncio.sleep(load_s)
-            # The report tells when it is there.
-            engine.discard(key, place)
+            # The engine's report shows when the model is ready.
+            engine.discard(key, slot)
             engine.synced = False
 
     def _abandon_load(
-        self, engine: Engine, key: AdapterKey, place: Place, victim: AdapterKey | None
+        self, engine: Engine, key: AdapterKey, slot: Place, victim: AdapterKey | None
     ) -> None:
-        """Leave an engine with the base model that it has."""
-        engine.discard(key, place)
+        """Abandon the load of a base model; the engine keeps the one that it has."""
+        engine.discard(key, slot)
         self._loading_until.pop(key.model, None)
         if victim is not None:
-            # It was closed for this; the report tells what can be used.
+            # The victim was closed to new requests; the report shows what can be used.
             engine.synced = False
 
     def _add_copies(self) -> None:
