--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -135,7 +135,7 @@
         "lock",
         "is_replaced",
         "orders",
-        "slots",
+        "places",
         "replica",
         "spec",
         "synced",
@@ -162,7 +162,7 @@
         self.spec = spec
         self._index = index if index is not None else EngineIndex()
         self.orders = 0
-        self.slots = WeightSlots(self, self._index)
+        self.places = WeightSlots(self, self._index)
         self.cached: dict[Holding, None] = {}
         """Adapters in the host memory, least recently added first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
@@ -256,18 +256,20 @@
 
     def has_any_model(self) -> bool:
         """Tell whether any base model is ready for requests."""
-        return any(slot.phase is Phase.READY for key, slot in self.slots.items() if not key.adapter)
+        return any(
+            slot.phase is Phase.READY for key, slot in self.places.items() if not key.adapter
+        )
 
     def drain_model(self, base: AdapterKey) -> None:
         """Accept no new requests for a base model and its adapters."""
-        for key, slot in self.slots.items():
+        for key, slot in self.places.items():
             if key.model == base.model and slot.phase is Phase.READY:
                 slot.phase = Phase.LEAVING
 
     def drop_model(self, base: AdapterKey) -> None:
         """Remove a base model that was unloaded, with its adapters."""
-        for key in [key for key in self.slots if key.model == base.model]:
-            del self.slots[key]
+        for key in [key for key in self.places if key.model == base.model]:
+            del self.places[key]
 
     def is_in_use(self) -> bool:
         """Tell whether the engine has any requests."""
@@ -275,7 +277,7 @@
 
     def holds(self, key: AdapterKey) -> bool:
         """Tell whether some weights are ready for requests."""
-        slot = self.slots.get(key)
+        slot = self.places.get(key)
         return slot is not None and slot.phase is Phase.READY
 
     def has_model(self, model: str) -> bool:
@@ -284,12 +286,16 @@
 
     def adapters(self) -> t.Iterator[tuple[AdapterKey, Place]]:
         """Yield the adapters on the engine, in any phase."""
-        return ((key, slot) for key, slot in self.slots.items() if key.adapter)
+        return ((key, slot) for key, slot in self.places.items() if key.adapter)
 
     def free_adapter_slots(self) -> int:
         """Return the number of free adapter slots, less those reserved for inherited loads."""
         inherited_loads = sum(stray.expected >= self.orders for stray in self._inherited_loads)
-        return self.spec.adapter_slots - inherited_loads - (len(self.slots) - self.slots.bases)
+        return (
+            self.spec.adapter_slots
+            - inherited_loads
+            - (len(self.places) - self.places.base_model_count)
+        )
 
     def update_replica(self, rep: Replica) -> bool:
         """Set the platform's entry; tell whether it names another incarnation."""
@@ -367,18 +373,18 @@
 
     def is_missing(self, key: AdapterKey) -> bool:
         """Tell whether an adapter is missing while its base model is ready."""
-        return key not in self.slots and self.has_model(key.model)
+        return key not in self.places and self.has_model(key.model)
 
     def take_out(self, text: str) -> AdapterKey:
         """Remove an adapter, given by its text, so that another can be loaded; return its key."""
-        key = next(candidate for candidate in self.slots if candidate.text == text)
-        del self.slots[key]
+        key = next(candidate for candidate in self.places if candidate.text == text)
+        del self.places[key]
         return key
 
     def discard(self, key: AdapterKey, slot: Place) -> None:
         """Remove weights after a failed load, unless another slot has replaced the given one."""
-        if self.slots.get(key) is slot:
-            del self.slots[key]
+        if self.places.get(key) is slot:
+            del self.places[key]
 
     def forget_gateway(self, gateway: int) -> None:
         """Remove all requests of a gateway."""
@@ -394,7 +400,7 @@
         replica rejects as missing are dropped.
         """
         for holding in self.replica.holdings:
-            slot = self.slots[holding.key] = Place(holding.version, Phase.READY, now)
+            slot = self.places[holding.key] = Place(holding.version, Phase.READY, now)
             slot.ready_at = -math.inf
 
     def take_report(self, report: EngineReport, now: float) -> None:
@@ -402,7 +408,7 @@
         self.orders = report.orders
         slots: dict[AdapterKey, Place] = {}
         for holding in report.holdings:
-            old = self.slots.get(holding.key)
+            old = self.places.get(holding.key)
             if old is not None and old.phase is Phase.UNLOADING:
                 slots[holding.key] = old
                 continue
@@ -412,7 +418,7 @@
             slots[holding.key] = slot
         for holding in report.loading:
             slots[holding.key] = Place(holding.version, Phase.LOADING, now)
-        self.slots.replace(slots)
+        self.places.replace(slots)
         for holding in report.cached:
             self.remember(holding)
         self.synced = not report.busy and not report.loading
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -184,7 +184,7 @@
         return True
 
     def can_skip(self, waiter: Waiter, now: float) -> bool:
-        """Tell whether a request need not be tried: it goes after others that found holders full."""
+        """Tell whether a request may be skipped: it goes after others, and all holders are full."""
         if waiter.key not in self._saturated or now >= waiter.target_at or not self.yields(waiter):
             return False
         # Held requests are not counted as waiting for a load.
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -81,7 +81,7 @@
 
     def drop(self, engine: Engine) -> None:
         """Remove an engine from the index."""
-        for key in engine.slots:
+        for key in engine.places:
             self.note_removed(engine, key)
         for holding in engine.cached:
             self.note_cached(engine, holding, False)
@@ -100,19 +100,19 @@
         Index to update.
     """
 
-    __slots__ = ("_engine", "_index", "bases")
+    __slots__ = ("_engine", "_index", "base_model_count")
 
     def __init__(self, engine: Engine, index: EngineIndex) -> None:
         super().__init__()
         self._engine = engine
         self._index = index
-        self.bases = 0
+        self.base_model_count = 0
         """Number of base models among the weights."""
 
     def __setitem__(self, key: AdapterKey, slot: Place) -> None:
         previous = self.get(key)
         if previous is None:
-            self.bases += not key.adapter
+            self.base_model_count += not key.adapter
         elif previous.version != slot.version:
             self._index.kept.forget_weights(self._engine.replica.name, key.text)
         super().__setitem__(key, slot)
@@ -120,7 +120,7 @@
 
     def __delitem__(self, key: AdapterKey) -> None:
         super().__delitem__(key)
-        self.bases -= not key.adapter
+        self.base_model_count -= not key.adapter
         self._index.note_removed(self._engine, key)
 
     def replace(self, slots: t.Mapping[AdapterKey, Place]) -> None:
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -20,7 +20,7 @@
 MAX_UNSAMPLED_ENGINES = 64
 """Up to this many engines are all considered for each load, which takes 0.5 ms."""
 CANDIDATES = 32
-"""Of more engines, this many that can load it are considered: their best is nearly the best of all."""
+"""Of more engines, this many are considered: their best is nearly the best of all."""
 KEEPERS = 16
 """Additional candidates that hold the adapter in host memory."""
 
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -498,14 +498,18 @@
         # With recent updates, gateways send requests with a shared prefix to the preferred engine
         # of its prefix chain themselves.
         is_fresh = self.followers.pacing.news_s <= FRESH_S
-        home = self._prefix_cache.home(waiter.work, ready_names) if is_fresh else ""
+        preferred_name = (
+            self._prefix_cache.preferred_name(waiter.work, ready_names) if is_fresh else ""
+        )
         for name, engine in holders:
             slot = engine.places.get(waiter.key)
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
                 continue
-            work = self._prefix_cache.at_least(name, waiter.work, home, self.speed)
+            work = self._prefix_cache.at_least(name, waiter.work, preferred_name, self.speed)
             cost = self._cost_s(engine, waiter, work) - held_up_s(work.kept_tokens, self.speed)
-            max_cached_tokens = max(max_cached_tokens, work.kept_tokens if name != home else 0)
+            max_cached_tokens = max(
+                max_cached_tokens, work.kept_tokens if name != preferred_name else 0
+            )
             if slot.version >= newest and cost < min_cost:
                 best, min_cost = engine, cost
         if best is None:
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -73,7 +73,7 @@
 
     def _ensure_models(self, term: Term) -> None:
         for engine in self._planner.engines.values():
-            if engine.synced and not engine.places.bases and self._spec.models:
+            if engine.synced and not engine.places.base_model_count and self._spec.models:
                 model = self._least_replicated_model()
                 key = AdapterKey(model.name)
                 slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
