--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -498,9 +498,7 @@
         # With recent updates, gateways send requests with a shared prefix to the preferred engine
         # of its prefix chain themselves.
         is_fresh = self.followers.pacing.news_s <= FRESH_S
-        preferred_name = (
-            self._prefix_cache.preferred_name(waiter.work, ready_names) if is_fresh else ""
-        )
+        preferred_name = self._prefix_cache.home(waiter.work, ready_names) if is_fresh else ""
         for name, engine in holders:
             slot = engine.places.get(waiter.key)
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
