--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -141,10 +141,10 @@
 
     def _target(self, name: str) -> LoadTarget | None:
         if name not in self._targets:
-            self._targets[name] = self._inspect(self._engines[name])
+            self._targets[name] = self._find(self._engines[name])
         return self._targets[name]
 
-    def _inspect(self, engine: Engine) -> LoadTarget | None:
+    def _find(self, engine: Engine) -> LoadTarget | None:
         if not engine.can_load() or not self._may_order(engine.replica):
             return None
         free_slots = engine.free_adapter_slots()
--- a/tests/engine_model.py
+++ b/tests/engine_model.py
@@ -1,4 +1,4 @@
-"""An engine's places, its count of orders, fences, and reports that lag."""
+"""Simulated engine with weight slots, an order sequence, fencing tokens and delayed reports."""
 
 from gradelug_gateway.model import AdapterKey, EngineReport, Holding, OrderOutcome
 
@@ -8,7 +8,7 @@
 
 
 class ModelEngine:
-    """An engine: places, a count of orders, fences, reports that lag."""
+    """An engine that checks the order sequence and fencing tokens and crashes if overfilled."""
 
     def __init__(self, clock, versions, checks_tokens=True):
         self.checks_tokens = checks_tokens
@@ -20,7 +20,7 @@
         self.fence = 0
         self.fell = False
         self.had = set()
-        """Adapters that its host memory keeps, at their versions: they load ten times as fast."""
+        """Adapters and versions in host memory, which load ten times as fast."""
         self.users = {}
         self.leaving = set()
         self.past = []
@@ -37,7 +37,7 @@
         return outcome
 
     def use(self, key, count):
-        """Set how many requests use an adapter; one that is to leave goes with the last."""
+        """Set how many requests use an adapter; a pending unload completes with the last one."""
         self.users[key] = count
         for leaving in [one for one in self.leaving if not self._is_used(one)]:
             self.leaving.discard(leaving)
@@ -49,7 +49,7 @@
         return all(one in self.held and self.ready_at[one] <= self.clock() for one in needed)
 
     def _is_used(self, key):
-        """Tell whether requests use weights; those for adapters use their model's, too."""
+        """Tell whether requests use some weights; requests for adapters also use the model."""
         return any(
             count and used is not None and key in (used, AdapterKey(used.model))
             for used, count in self.users.items()
@@ -90,7 +90,7 @@
         return OrderOutcome.HOLDS
 
     def _drop(self, dropped):
-        """Drop weights; a model's adapters go with it."""
+        """Drop weights, and with a model all its adapters."""
         self.held.pop(dropped, None)
         if not dropped.adapter:
             self.held = {key: at for key, at in self.held.items() if key.model != dropped.model}
--- a/tests/test_fair_line.py
+++ b/tests/test_fair_line.py
@@ -1,4 +1,4 @@
-"""Questions of a planner whose engines are full, by shares of what was used."""
+"""Tests of fair sharing among requests that wait for full engines, and of usage reports."""
 
 import asyncio
 
@@ -22,79 +22,79 @@
 SMALL = {"organisation": "small", "kind": "k", **ASK}
 
 
-class ShareBench(RoomBench):
-    """Engines on which one organisation used nearly all."""
+class FairShareBench(RoomBench):
+    """Engines on which one organisation used nearly all capacity."""
 
-    def used(self, owner, tokens, requests=1, kind="k"):
+    def report_usage(self, owner, tokens, requests=1, kind="k"):
         use = pb.PartyUse(owner=owner, kind=kind, tokens=tokens, requests=requests)
         self.planner.take(self.gateway, pb.FromGateway(party_uses=[use]))
 
-    async def flooded(self, turns=100):
-        """Bring an adapter to an engine, which is full; return its name."""
-        home = await self.place("a")
-        self.used("flood", 900_000, turns)
-        self.used("small", 10_000)
-        self.used("other", 10_000)
+    async def start_flooded(self, turns=100):
+        """Load an adapter, then report all engines as full; return the adapter's engine."""
+        holder = await self.place("a")
+        self.report_usage("flood", 900_000, turns)
+        self.report_usage("small", 10_000)
+        self.report_usage("other", 10_000)
         await asyncio.sleep(FIRST_TURNS_S)
-        self.tell_all(BATCH)
-        return home
+        self.report_all_loads(BATCH)
+        return holder
 
     async def answer(self, ticket, after_s):
         await asyncio.sleep(after_s)
         return self.collect().get(ticket)
 
 
-class TestWarmRequests:
-    def test_the_slot_that_gets_free_goes_to_who_used_less(self):
+class TestRequestsForLoadedWeights:
+    def test_free_slot_goes_to_the_owner_that_used_less(self):
         async def scenario():
-            bench = ShareBench()
-            home = await bench.flooded()
+            bench = FairShareBench()
+            holder = await bench.start_flooded()
             first = bench.ask("a", target_s=3.0, **FLOOD)
             second = bench.ask("a", target_s=3.0, **SMALL)
             await asyncio.sleep(0.1)
-            bench.tell(home, BATCH - 1)
-            assert (await bench.answer(second, 0.05)).replica == home
+            bench.report_load(holder, BATCH - 1)
+            assert (await bench.answer(second, 0.05)).replica == holder
             assert await bench.answer(first, 0.0) is None
-            bench.tell(home, BATCH - 1)
-            assert (await bench.answer(first, 0.15)).replica == home
+            bench.report_load(holder, BATCH - 1)
+            assert (await bench.answer(first, 0.15)).replica == holder
             await bench.stop()
 
         run(scenario)
 
-    def test_without_the_feature_it_goes_to_who_came_first(self):
+    def test_without_the_feature_the_first_request_gets_the_slot(self):
         async def scenario():
-            bench = ShareBench()
+            bench = FairShareBench()
             bench.planner.fair_queue._is_on = False
-            home = await bench.flooded()
+            holder = await bench.start_flooded()
             first = bench.ask("a", **FLOOD)
             second = bench.ask("a", **SMALL)
             await asyncio.sleep(0.1)
-            bench.tell(home, BATCH - 1)
+            bench.report_load(holder, BATCH - 1)
             answer = await bench.answer(first, 0.05)
-            assert answer.replica == home
+            assert answer.replica == holder
             assert not answer.HasField("standing")
             assert await bench.answer(second, 0.0) is None
             await bench.stop()
 
         run(scenario)
 
-    def test_who_floods_does_not_fill_the_engines_queue(self):
+    def test_flooding_owner_does_not_fill_the_engine_queue(self):
         async def scenario():
-            bench = ShareBench()
-            await bench.flooded()
+            bench = FairShareBench()
+            await bench.start_flooded()
             flood = bench.ask("a", target_s=2.0, **FLOOD)
             small = bench.ask("a", target_s=2.0, **SMALL)
-            # As before, who is within its part queues at an engine after a while.
+            # An owner within its share is sent to an engine's queue after the maximum hold time.
             assert (await bench.answer(small, HOLD_S + 0.15)).replica
             assert await bench.answer(flood, 0.0) is None
             await bench.stop()
 
         run(scenario)
 
-    def test_what_would_not_have_its_turn_in_time_is_refused_at_once(self):
+    def test_request_that_cannot_be_served_in_time_is_refused_at_once(self):
         async def scenario():
-            bench = ShareBench()
-            await bench.flooded(turns=2)
+            bench = FairShareBench()
+            await bench.start_flooded(turns=2)
             small = bench.ask("a", target_s=2.0, **SMALL)
             await asyncio.sleep(0.02)
             floods = [bench.ask("a", target_s=2.0, **FLOOD) for _ in range(20)]
@@ -114,53 +114,53 @@
 
         run(scenario)
 
-    def test_a_stream_that_was_begun_yields_to_nobody(self):
+    def test_resumed_stream_yields_to_no_request(self):
         async def scenario():
-            bench = ShareBench()
-            home = await bench.flooded()
+            bench = FairShareBench()
+            holder = await bench.start_flooded()
             bench.ask("a", **SMALL)
             await asyncio.sleep(0.05)
             begun = bench.ask("a", begun=True, **FLOOD)
-            assert (await bench.answer(begun, 0.02)).replica == home
+            assert (await bench.answer(begun, 0.02)).replica == holder
             await bench.stop()
 
         run(scenario)
 
-    def test_where_engines_have_room_nothing_waits(self):
+    def test_requests_do_not_wait_while_engines_have_capacity(self):
         async def scenario():
-            bench = ShareBench()
-            home = await bench.flooded()
-            bench.tell_all(0)
+            bench = FairShareBench()
+            holder = await bench.start_flooded()
+            bench.report_all_loads(0)
             for ask in (FLOOD, SMALL):
                 answer = await bench.answer(bench.ask("a", **ask), 0.0)
-                assert answer.replica == home
+                assert answer.replica == holder
                 assert not answer.HasField("standing")
             await bench.stop()
 
         run(scenario)
 
-    def test_a_successor_begins_with_equal_owners(self):
+    def test_new_planner_starts_with_equal_shares(self):
         async def scenario():
-            bench = ShareBench()
-            home = await bench.place("a")
-            bench.tell_all(BATCH)
+            bench = FairShareBench()
+            holder = await bench.place("a")
+            bench.report_all_loads(BATCH)
             first = bench.ask("a", target_s=3.0, **FLOOD)
             second = bench.ask("a", target_s=3.0, **SMALL)
             await asyncio.sleep(0.1)
-            bench.tell(home, BATCH - 1)
-            assert (await bench.answer(first, 0.05)).replica == home
+            bench.report_load(holder, BATCH - 1)
+            assert (await bench.answer(first, 0.05)).replica == holder
             assert await bench.answer(second, 0.0) is None
             await bench.stop()
 
         run(scenario)
 
 
-class TestColdRequests:
-    def test_who_loaded_beyond_its_share_comes_after_the_others(self):
+class TestRequestsForMissingWeights:
+    def test_owner_over_its_share_of_loads_goes_last(self):
         async def scenario():
-            bench = ShareBench()
+            bench = FairShareBench()
             fair = bench.planner.fair_queue
-            waiters = [_Waiting(owner) for owner in ("flood", "flood", "small", "other")]
+            waiters = [_WaitingRequest(owner) for owner in ("flood", "flood", "small", "other")]
             now = bench.clock()
             assert fair.put_over_share_last(list(waiters), now) == waiters
             for _ in range(40):
@@ -173,7 +173,7 @@
 
 
 class TestWeights:
-    def test_quotas_are_weights_and_who_has_none_has_their_mean(self):
+    def test_weights_are_quotas_with_the_mean_as_default(self):
         members = [
             (Organisation("a", quota=Quota(100.0, 10.0)), ["x"]),
             (Organisation("b", quota=Quota(300.0, 10.0)), ["y"]),
@@ -183,10 +183,10 @@
         weights = QuotaWeights(Organisations(members))
         assert [weights.weight(name) for name in "abcd"] == [100.0, 300.0, 200.0, 200.0]
 
-    def test_the_configuration_in_force_tells(self):
+    def test_weights_follow_the_configuration_in_force(self):
         async def scenario():
-            bench = ShareBench()
-            await bench.flooded()
+            bench = FairShareBench()
+            await bench.start_flooded()
             bench.planner.state.snapshot = Snapshot(
                 1, (), {}, None, Organisations([(Organisation("flood", quota=Quota(1e9, 1.0)), [])])
             )
@@ -196,7 +196,7 @@
         run(scenario)
 
 
-class _Waiting:
+class _WaitingRequest:
     def __init__(self, owner):
         self.ask = pb.Ask(organisation=owner)
 
@@ -207,7 +207,7 @@
 
 
 class _Job:
-    """What a tally asks of a request."""
+    """The attributes of a request that the tally reads."""
 
     def __init__(self, owner="o", prompt=100, answer=10, engine=True):
         self.principal = Principal(Organisation(owner), b"") if owner else None
@@ -225,39 +225,39 @@
     def tally(self):
         return ShareTally(lambda: 1.0, Meters(), lambda: True)
 
-    def told(self, tally):
+    def reported(self, tally):
         message = pb.FromGateway()
         ShareTeller("llm", tally, lambda: 1.5).fill(message)
         return [(use.owner, use.kind, use.tokens, use.requests) for use in message.party_uses]
 
-    def test_what_was_sent_is_told_once(self, tally):
+    def test_usage_is_reported_once(self, tally):
         tally.begin(_Job())
         tally.begin(_Job())
         tally.end(_Job(), Outcome.DONE)
-        assert self.told(tally) == [("o", "r", 400, 2)]
-        assert self.told(tally) == []
+        assert self.reported(tally) == [("o", "r", 400, 2)]
+        assert self.reported(tally) == []
 
-    def test_what_did_not_run_is_taken_back(self, tally):
+    def test_usage_of_a_request_that_did_not_run_is_reversed(self, tally):
         tally.begin(_Job())
-        assert self.told(tally) == [("o", "r", 200, 1)]
+        assert self.reported(tally) == [("o", "r", 200, 1)]
         tally.end(_Job(), Outcome.FULL)
-        assert self.told(tally) == [("o", "r", -200, -1)]
+        assert self.reported(tally) == [("o", "r", -200, -1)]
 
     def test_services_without_engines_do_not_count(self, tally):
         tally.begin(_Job(engine=False))
         tally.end(_Job(engine=False), Outcome.FULL)
-        assert self.told(tally) == []
+        assert self.reported(tally) == []
 
-    def test_what_is_untold_is_bounded(self, tally):
+    def test_unreported_usage_is_bounded(self, tally):
         for at in range(MOST_UNTOLD + 10):
             tally.begin(_Job(f"o{at}"))
-        assert len(self.told(tally)) == MOST_UNTOLD
+        assert len(self.reported(tally)) == MOST_UNTOLD
 
-    def test_without_organisations_an_adapter_is_the_owner(self):
+    def test_adapter_is_the_owner_without_organisations(self):
         assert party_of(_Job(""), False) == Party("m/a", "r")
         assert party_of(_Job(""), True) == Party(NOBODY, "r")
 
-    def test_the_figures_name_organisations_alone(self, tally):
+    def test_metrics_are_labelled_by_organisation_only(self, tally):
         tally.begin(_Job())
         tally.begin(_Job(""))
         text = tally._meters.text().decode()
@@ -265,18 +265,24 @@
         assert 'gradelug_engine_tokens_total{organisation=""} 200.0' in text
         assert 'gradelug_engine_wait_seconds_count{organisation="o"} 1.0' in text
 
-    def test_on_another_stream_what_was_not_told_is_forgotten(self, tally):
+    def test_unreported_usage_is_dropped_on_a_new_stream(self, tally):
         tally.begin(_Job())
         ShareTeller("llm", tally, lambda: 1.5).begin_stream()
-        assert self.told(tally) == []
+        assert self.reported(tally) == []
 
 
-def test_a_line_tells_by_what_a_request_was_judged():
+def test_log_line_shows_the_shares_of_a_request():
     standing = pb.Standing(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
     with logbook.TestHandler() as handler:
         tell_standing("q1", Party("o", "k"), 2, pb.Answer(standing=standing))
     (record,) = handler.records
     assert record.message == "share"
     assert record.kwargs["id"] == "q1"
-    told = {name: record.kwargs[name] for name in ("owner", "part", "fair", "age_s", "outcome")}
-    assert told == {"owner": "o", "part": 0.61, "fair": 0.4, "age_s": 0.12, "outcome": "refused"}
+    reported = {name: record.kwargs[name] for name in ("owner", "part", "fair", "age_s", "outcome")}
+    assert reported == {
+        "owner": "o",
+        "part": 0.61,
+        "fair": 0.4,
+        "age_s": 0.12,
+        "outcome": "refused",
+    }
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under their name, and entries that other writers left."""
+"""Tests of replicas that restart under their name, and of invalid replica entries in the store."""
 
 import asyncio
 import json
@@ -38,13 +38,13 @@
     def __init__(self):
         super().__init__(None, "", None)
 
-    def show(self, entries):
+    def publish(self, entries):
         self.entries = entries
         self._notify()
 
 
-class Writers:
-    """Entries under the keys of replicas, by replicas and by others."""
+class StoreWriters:
+    """Writes valid and invalid entries under the keys of replicas."""
 
     def __init__(self):
         self.mirror = StubMirror()
@@ -56,14 +56,14 @@
         self.revision += 1
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         entry = KvEntry(f"servers/{name}", raw, self.revision)
-        self.mirror.show({**self.mirror.entries, entry.key: entry})
+        self.mirror.publish({**self.mirror.entries, entry.key: entry})
 
 
 def without(field):
     return {name: value for name, value in ENTRY.items() if name != field}
 
 
-OTHERS = [
+INVALID_ENTRIES = [
     b"",
     b"\xff\xfe",
     b"{",
@@ -87,10 +87,12 @@
 ]
 
 
-class TestEntriesOfOtherWriters:
-    @pytest.mark.parametrize("value", [*OTHERS, without("born")], ids=range(len(OTHERS) + 1))
-    def test_such_an_entry_names_no_replica_whatever_was_there_before(self, value):
-        writers = Writers()
+class TestInvalidEntries:
+    @pytest.mark.parametrize(
+        "value", [*INVALID_ENTRIES, without("born")], ids=range(len(INVALID_ENTRIES) + 1)
+    )
+    def test_invalid_entry_removes_the_replica(self, value):
+        writers = StoreWriters()
         writers.write("i-1", ENTRY)
         writers.write("i-2", {**ENTRY, "Address": "10.0.0.2:80"})
         writers.write("i-1", value)
@@ -98,15 +100,15 @@
         writers.write("i-1", ENTRY)
         assert set(writers.state.replicas) == {"i-1", "i-2"}
 
-    def test_a_service_that_is_not_known_harms_no_other(self):
-        writers = Writers()
+    def test_unknown_service_does_not_affect_others(self):
+        writers = StoreWriters()
         writers.write("i-1", ENTRY)
         writers.write("i-2", {**ENTRY, "Backend": "nobody's"})
         fleet = Fleet(writers.state, "z", lambda: 0.0)
         assert [rep.name for rep in fleet.usable("llm")] == ["i-1"]
 
-    def test_what_a_peer_saw_before_does_not_bring_the_replica_back(self):
-        writers = Writers()
+    def test_older_peer_update_does_not_restore_the_replica(self):
+        writers = StoreWriters()
         writers.revision = 7
         writers.write("i-1", b"{")
         writers.feed.take_told("i-1", 7, Replica("i-1", "llm", "10.0.0.1:80", "z"))
@@ -119,7 +121,7 @@
                 st.sampled_from(["i-1", "i-2", "i-3"]),
                 st.one_of(
                     st.just(ENTRY),
-                    st.sampled_from(OTHERS),
+                    st.sampled_from(INVALID_ENTRIES),
                     st.binary(max_size=30),
                     st.fixed_dictionaries(
                         {},
@@ -139,32 +141,32 @@
             max_size=12,
         )
     )
-    def test_the_others_hold_whatever_is_written(self, writes):
-        writers = Writers()
-        good = set()
+    def test_valid_entries_survive_any_other_writes(self, writes):
+        writers = StoreWriters()
+        readable = set()
         for name, value in writes:
             writers.write(name, value)
             if value == ENTRY:
-                good.add(name)
-            elif value in OTHERS:
-                good.discard(name)
+                readable.add(name)
+            elif value in INVALID_ENTRIES:
+                readable.discard(name)
             else:
-                # Some of these can be read.
-                good = (good - {name}) | ({name} & writers.state.replicas.keys())
-            assert writers.state.replicas.keys() == good
+                # Some of the generated entries are valid.
+                readable = (readable - {name}) | ({name} & writers.state.replicas.keys())
+            assert writers.state.replicas.keys() == readable
             for rep in writers.state.replicas.values():
                 assert isinstance(rep.born, int)
                 assert rep.address.count(":") == 1
 
     @pytest.mark.parametrize("name", ["", "a b", "a\r\nX: y", "\u00e9", "x" * 201])
-    def test_a_name_that_no_header_can_carry_names_no_replica(self, name):
-        writers = Writers()
+    def test_name_that_is_invalid_in_a_header_is_rejected(self, name):
+        writers = StoreWriters()
         writers.write(name, ENTRY)
         assert not writers.state.replicas
 
 
-class TestAnotherLife:
-    def test_an_instance_forgets_what_it_knew_of_the_earlier_one(self):
+class TestIncarnations:
+    def test_gateway_resets_state_of_a_restarted_replica(self):
         state = FleetState()
         fleet = Fleet(state, "z", lambda: 0.0)
         state.replicas["i-1"] = Replica("i-1", "llm", "10.0.0.1:80", "z", born=1)
@@ -179,7 +181,7 @@
         assert fleet.load("i-1").others == ToldLoad()
         assert fleet.note_lives() == []
 
-    def test_it_goes_round_with_the_news_and_takes_no_holdings_along(self):
+    def test_update_of_a_new_incarnation_carries_no_holdings(self):
         state = FleetState()
         old = Replica("i-1", "llm", "10.0.0.1:80", "z", orders=9, born=1)
         state.replicas["i-1"] = old
@@ -188,19 +190,19 @@
         assert (told.born, told.orders) == (2, 0)
         assert _essence(told) != _essence(old)
 
-    def test_one_that_went_back_in_time_is_another_one_too(self):
+    def test_earlier_start_time_is_a_new_incarnation(self):
         engine = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5), SPEC)
         assert not engine.update_replica(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5))
         assert engine.update_replica(Replica("i-1", "llm", "10.0.0.1:80", "z", born=4))
 
-    def test_a_report_may_tell_of_it_before_the_entry_does(self):
+    def test_report_may_precede_the_entry(self):
         old = Replica("i-1", "llm", "10.0.0.1:80", "z", born=5)
         engine = Engine(old, SPEC)
         assert engine.update_incarnation(6)
-        fresh = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=6), SPEC)
-        assert not fresh.update_incarnation(6)
+        replacement = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=6), SPEC)
+        assert not replacement.update_incarnation(6)
 
-    def test_no_order_of_the_earlier_one_is_given(self):
+    def test_orders_for_the_earlier_incarnation_are_not_sent(self):
         async def scenario():
             bench = Bench(1)
             bench.state.replicas["e0"] = born("e0", 1)
@@ -223,7 +225,7 @@
 
         run(scenario)
 
-    def test_a_planner_believes_the_report_before_the_entry(self):
+    def test_planner_trusts_the_report_over_the_entry(self):
         async def scenario():
             bench = Bench(1)
             bench.state.replicas["e0"] = born("e0", 1)
@@ -238,24 +240,26 @@
             bench.transport.report = report_of_another_life
             engine.synced = False
             await asyncio.sleep(1.0)
-            fresh = bench.planner.engines["e0"]
-            assert fresh is not engine
-            assert not fresh.cached
+            replacement = bench.planner.engines["e0"]
+            assert replacement is not engine
+            assert not replacement.cached
             bench.state.replicas["e0"] = born("e0", 2)
             await asyncio.sleep(0.3)
-            assert bench.planner.engines["e0"] is fresh
+            assert bench.planner.engines["e0"] is replacement
             await bench.stop()
 
         run(scenario)
 
-    def test_a_place_is_kept_for_a_load_that_may_still_reach_it(self):
+    def test_slot_is_reserved_for_an_unacknowledged_load(self):
         engine = Engine(Replica("e0", "llm", "10.0.0.1:80", "z", born=1), SPEC)
         engine.note_unacknowledged_load(2, 10.0)
-        fresh = Engine(engine.replica, SPEC, inherited_loads=engine.unacknowledged_loads(11.0))
-        assert fresh.free_adapter_slots() == SLOTS - 1
-        fresh.take_report(EngineReport(3, (), (), frozenset(), False), 12.0)
+        replacement = Engine(
+            engine.replica, SPEC, inherited_loads=engine.unacknowledged_loads(11.0)
+        )
+        assert replacement.free_adapter_slots() == SLOTS - 1
+        replacement.take_report(EngineReport(3, (), (), frozenset(), False), 12.0)
         # It has taken more orders than that one expects.
-        assert fresh.free_adapter_slots() == SLOTS
+        assert replacement.free_adapter_slots() == SLOTS
         late = Engine(
             engine.replica,
             SPEC,
@@ -265,17 +269,17 @@
         late.places[A1] = Place(1, Phase.READY, 0.0)
         assert late.free_adapter_slots() == SLOTS - 1
 
-    def test_what_ends_late_of_the_earlier_one_hides_nothing_of_the_later_one(self):
+    def test_late_cleanup_of_the_earlier_incarnation_keeps_the_new_one_indexed(self):
         index = EngineIndex()
         rep = Replica("e0", "llm", "10.0.0.1:80", "z", born=1)
         old = Engine(rep, SPEC, index)
         old.places[A1] = Place(1, Phase.READY, 0.0)
         index.drop(old)
         old.is_replaced = True
-        fresh = Engine(rep, SPEC, index, (), 2)
-        fresh.places[A1] = Place(1, Phase.READY, 0.0)
+        replacement = Engine(rep, SPEC, index, (), 2)
+        replacement.places[A1] = Place(1, Phase.READY, 0.0)
         old.discard(A1, old.places[A1])
-        assert index.with_key(A1) == {"e0": fresh}
+        assert index.with_key(A1) == {"e0": replacement}
 
 
 def born(name, number):
@@ -304,23 +308,23 @@
             max_size=50,
         ),
     )
-    def test_no_life_is_overfilled_and_what_is_asked_for_is_served(self, lost, late, seed, steps):
+    def test_no_incarnation_is_overfilled_and_requests_are_served(self, lost, late, seed, steps):
         async def scenario():
             bench = Bench(3, seed, lost, late)
             for name in bench.state.replicas:
                 bench.state.replicas[name] = born(name, 1)
-            lives = list(bench.transport.engines.values())
+            incarnations = list(bench.transport.engines.values())
             await asyncio.sleep(0.5)
-            for at, (number, pause_s, what) in enumerate(steps):
+            for at, (number, pause_s, action) in enumerate(steps):
                 await asyncio.sleep(pause_s)
-                if what == "s":
+                if action == "s":
                     restart(bench, f"e{number % 3}", 2 + at)
-                    lives.append(bench.transport.engines[f"e{number % 3}"])
+                    incarnations.append(bench.transport.engines[f"e{number % 3}"])
                 else:
-                    step(bench, number, what)
-                assert not any(engine.fell for engine in lives)
+                    step(bench, number, action)
+                assert not any(engine.fell for engine in incarnations)
             await asyncio.sleep(5.0)
-            assert not any(engine.fell for engine in lives)
+            assert not any(engine.fell for engine in incarnations)
             bench.transport.lost = bench.transport.late = 0.0
             release_all(bench)
             await asyncio.sleep(6.0)
--- a/tests/test_model_renewal.py
+++ b/tests/test_model_renewal.py
@@ -1,4 +1,4 @@
-"""A new version of a base model: runs end first, and part of the engines go on meanwhile."""
+"""Tests of the rolling update of a base model: runs end first, and other engines stay available."""
 
 import asyncio
 
@@ -15,21 +15,21 @@
     return [name for name, order in bench.transport.given if not order.load and order.key == MODEL]
 
 
-async def hold(bench, adapter="a1"):
-    """Have an adapter loaded and return the engine that holds it."""
+async def load_adapter(bench, adapter="a1"):
+    """Load an adapter; return the name of the engine that holds it."""
     ticket = bench.ask(adapter)
     await asyncio.sleep(0.6)
     return bench.collect()[ticket].replica
 
 
 class TestRenewal:
-    def test_waits_for_the_runs_of_its_adapters(self):
-        """An engine that was told to unload at once rejected all requests until its runs ended."""
+    def test_unload_waits_for_runs_of_its_adapters(self):
+        """An engine that is ordered to unload rejects all requests until its runs end."""
 
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
-            name = await hold(bench)
+            name = await load_adapter(bench)
             bench.use(name, "a1", 1)
             bench.state.versions[MODEL] = 2
             await asyncio.sleep(1.0)
@@ -42,11 +42,11 @@
 
         run(scenario)
 
-    def test_sends_no_new_request_to_an_engine_that_waits_for_it(self):
+    def test_engine_waiting_for_renewal_gets_no_new_requests(self):
         async def scenario():
             bench = Bench(engines=2)
             await asyncio.sleep(0.5)
-            name = await hold(bench)
+            name = await load_adapter(bench)
             bench.use(name, "a1", 1)
             bench.state.versions[MODEL] = 2
             # The other engine is renewed first.
@@ -60,27 +60,27 @@
         run(scenario)
 
     @pytest.mark.parametrize("engines", [2, 5])
-    def test_leaves_half_of_the_engines_at_work(self, engines):
+    def test_half_of_the_engines_stay_available(self, engines):
         async def scenario():
             bench = Bench(engines=engines)
             await asyncio.sleep(0.5)
             bench.state.versions[MODEL] = 2
             for _ in range(200):
                 await asyncio.sleep(0.05)
-                able = [one for one in bench.transport.engines.values() if one.can_run(MODEL)]
-                assert len(able) >= engines / 2
+                ready = [one for one in bench.transport.engines.values() if one.can_run(MODEL)]
+                assert len(ready) >= engines / 2
             assert all(one.held[MODEL] == 2 for one in bench.transport.engines.values())
             await bench.stop()
 
         run(scenario)
 
-    def test_is_not_held_up_by_runs_that_last(self):
+    def test_long_runs_do_not_delay_renewal_elsewhere(self):
         """A new version has to be in use within some seconds."""
 
         async def scenario():
             bench = Bench(engines=2)
             await asyncio.sleep(0.5)
-            name = await hold(bench)
+            name = await load_adapter(bench)
             bench.use(name, "a1", 1)
             bench.state.versions[MODEL] = 2
             await asyncio.sleep(4.5)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner over engines that lose, delay and refuse orders as the platform's may."""
+"""Tests of the planner with engines that lose, delay and refuse orders."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 
 class ModelTransport:
-    """Carries orders to engines, and loses or delays some."""
+    """Delivers orders to simulated engines, and loses or delays some."""
 
     def __init__(self, rng, lost=0.0, late=0.0):
         self.engines = {}
@@ -130,8 +130,8 @@
         await asyncio.gather(self.task, return_exceptions=True)
 
 
-class TestPlacing:
-    def test_an_adapter_is_loaded_and_its_waiters_answered_when_it_can_run(self):
+class TestPlacement:
+    def test_adapter_is_loaded_and_waiting_requests_are_answered_when_it_is_ready(self):
         async def scenario():
             bench = Bench()
             await asyncio.sleep(0.5)
@@ -146,7 +146,7 @@
 
         run(scenario)
 
-    def test_used_adapters_stay_and_the_rest_wait(self):
+    def test_adapters_in_use_are_not_evicted(self):
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
@@ -167,8 +167,8 @@
 
         run(scenario)
 
-    def test_what_cannot_be_served_before_its_caller_leaves_is_refused_at_once(self):
-        """77 requests of Tenger's scale-1 were held to the end of their callers' patience."""
+    def test_request_that_cannot_be_served_before_its_timeout_is_refused_at_once(self):
+        """Guards against holding requests until their callers time out, as 77 requests once were."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -196,8 +196,8 @@
 
         run(scenario)
 
-    def test_what_would_be_late_and_can_be_served_is_not_refused(self):
-        """A caller that was refused is late at best when it comes back."""
+    def test_late_request_that_can_still_be_served_is_not_refused(self):
+        """A refused caller that retries is late at best, so that refusing it gains nothing."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -217,7 +217,7 @@
 
         run(scenario)
 
-    def test_an_engine_that_comes_back_empty_gets_its_base_model(self):
+    def test_engine_that_returns_empty_loads_its_base_model(self):
         async def scenario():
             bench = Bench(engines=1)
             engine = bench.transport.engines["e0"]
@@ -230,7 +230,7 @@
 
         run(scenario)
 
-    def test_a_renewed_version_replaces_the_old_one_when_nobody_uses_it(self):
+    def test_new_version_replaces_old_one_when_unused(self):
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
@@ -252,7 +252,7 @@
 
         run(scenario)
 
-    def test_a_model_that_nobody_holds_takes_the_place_of_one_that_many_hold(self):
+    def test_missing_model_replaces_a_widely_held_one(self):
         async def scenario():
             bench = Bench(engines=2, spec=TWO_MODELS)
             await asyncio.sleep(0.5)
@@ -266,8 +266,8 @@
 
         run(scenario)
 
-    def test_a_load_is_awaited_from_the_order_that_was_answered(self):
-        """On days with lost orders every load was taken for late, and few were begun at once."""
+    def test_load_time_counts_from_the_acknowledged_order(self):
+        """With lost orders, loads timed from the first send count as late and lower the limit."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -286,8 +286,8 @@
 
         run(scenario)
 
-    def test_an_unload_that_waits_for_requests_does_not_hold_up_the_engine(self):
-        """On the grown sites a third of the unloads met requests the planner did not know of."""
+    def test_unload_that_waits_for_requests_does_not_block_the_engine(self):
+        """Unloads often meet requests that are not reported to the planner yet."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -315,9 +315,10 @@
 
         run(scenario)
 
-    def test_an_adapter_asked_for_again_while_its_unload_waits_leaves_no_place_uncounted(self):
-        """LIMIT was broken on Tenger's trouble-2 (seed 153366674): the load of what was asked for
-        again was given up with its victim taken out of the account and still on the engine."""
+    def test_adapter_requested_again_during_its_unload_keeps_its_slot_counted(self):
+        """Guards against an overfilled engine: the load of an adapter that was requested again was
+        abandoned after its victim had been removed from the record, but not from the engine
+        (seen with seed 153366674)."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -343,7 +344,7 @@
 
         run(scenario)
 
-    def test_nothing_is_awaited_of_an_engine_that_is_gone(self):
+    def test_tasks_end_when_their_engine_is_removed(self):
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
@@ -362,8 +363,8 @@
 
         run(scenario)
 
-    def test_a_request_that_would_be_late_is_taken_elsewhere(self):
-        """On check-in's trouble-1 a demand that jumped waited in one engine's queue for 1 s."""
+    def test_request_that_would_be_late_uses_another_engine(self):
+        """Guards against requests that wait 1 s in one engine's queue after a jump in demand."""
 
         async def scenario():
             bench = Bench(engines=2)
@@ -390,7 +391,7 @@
 
         run(scenario)
 
-    def test_an_outranked_planner_gives_no_further_orders(self):
+    def test_outranked_planner_sends_no_further_orders(self):
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
@@ -407,30 +408,34 @@
 
         run(scenario)
 
-    def test_the_store_is_away_only_while_no_gateway_reaches_it(self):
+    def test_store_counts_as_unreachable_only_while_no_gateway_reaches_it(self):
         async def scenario():
             bench = Bench()
             followers = bench.planner.followers
             others = [bench.gateway, followers.join("h", "")]
-            for away, expected in (((True, False), 0), ((True, True), 2), ((False, False), 0)):
-                for follower, store_away in zip(others, away, strict=True):
-                    said = pb.FromGateway(store_away=store_away, knows_store=True)
-                    bench.planner.take(follower, said)
+            for unreachable, expected in (
+                ((True, False), 0),
+                ((True, True), 2),
+                ((False, False), 0),
+            ):
+                for follower, store_away in zip(others, unreachable, strict=True):
+                    reported = pb.FromGateway(store_away=store_away, knows_store=True)
+                    bench.planner.take(follower, reported)
                 assert followers.cut_off() == expected
-            away = pb.FromGateway(store_away=True, knows_store=True)
-            bench.planner.take(bench.gateway, away)
-            # One that does not call the store cannot tell.
+            unreachable = pb.FromGateway(store_away=True, knows_store=True)
+            bench.planner.take(bench.gateway, unreachable)
+            # A gateway that does not call the store does not count.
             bench.planner.take(followers.join("i", ""), pb.FromGateway())
             await asyncio.sleep(0.5)
-            bench.planner.take(others[1], away)
+            bench.planner.take(others[1], unreachable)
             await asyncio.sleep(0.5)
-            # What the first one said has become old.
+            # The first gateway's report has expired.
             assert followers.cut_off() == 1
             await bench.stop()
 
         run(scenario)
 
-    def test_a_weak_planner_has_a_strong_gateway_only_if_it_said_so(self):
+    def test_stronger_gateway_is_known_only_from_its_report(self):
         async def scenario():
             bench = Bench()
             followers = bench.planner.followers
@@ -445,7 +450,7 @@
 
         run(scenario)
 
-    def test_all_gateways_are_told_at_once_that_the_planner_has_resigned(self):
+    def test_resignation_is_sent_to_all_gateways_at_once(self):
         async def scenario():
             bench = Bench()
             other = bench.planner.join("h", "h:1")
@@ -460,8 +465,8 @@
 
         run(scenario)
 
-    def test_what_all_gateways_have_at_an_engine_is_their_sum(self):
-        """Summing it for each decision held up a planner of 75 gateways and 45 engines."""
+    def test_engine_load_is_the_sum_over_gateways(self):
+        """Summing at each decision is too slow for a planner of 75 gateways and 45 engines."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -478,7 +483,7 @@
 
         run(scenario)
 
-    def test_a_gateway_that_leaves_holds_nothing(self):
+    def test_gateway_that_leaves_uses_no_adapter(self):
         async def scenario():
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
@@ -491,8 +496,8 @@
 
         run(scenario)
 
-    def test_what_was_answered_counts_at_the_engine_until_its_gateway_tells(self):
-        """Two gateways that ask at once were sent to the same engine."""
+    def test_assigned_request_counts_until_its_gateway_reports(self):
+        """Guards against sending two gateways' simultaneous requests to the same engine."""
 
         async def scenario():
             bench = Bench(engines=2)
@@ -512,14 +517,14 @@
                     answers.extend(message.answers)
             assert {answer.replica for answer in answers} == {"e0", "e1"}
             assert [list(answer.load.queued) for answer in answers] == [[0, 0, 4000]] * 2
-            told = pb.Load(replica=answers[0].replica)
-            bench.planner.take(bench.gateway, pb.FromGateway(loads=[told]))
+            reported_load = pb.Load(replica=answers[0].replica)
+            bench.planner.take(bench.gateway, pb.FromGateway(loads=[reported_load]))
             assert bench.planner.engines[answers[0].replica].starting == 0
             await bench.stop()
 
         run(scenario)
 
-    def test_an_engine_that_fails_an_asker_is_avoided(self):
+    def test_engine_that_fails_for_a_gateway_is_avoided(self):
         async def scenario():
             bench = Bench(engines=2)
             await asyncio.sleep(0.5)
@@ -534,8 +539,8 @@
 
         run(scenario)
 
-    def test_a_gateway_that_comes_back_on_another_stream_counts_once(self):
-        """A stream that was silenced without a reset stands beside its successor."""
+    def test_reconnected_gateway_counts_once(self):
+        """A stream that fell silent without a reset still exists beside its successor."""
 
         async def scenario():
             bench = Bench(engines=1)
@@ -568,13 +573,13 @@
             max_size=40,
         ),
     )
-    def test_no_engine_is_overfilled_and_no_adapter_is_lost_for_good(self, lost, late, seed, steps):
+    def test_no_engine_is_overfilled_and_adapters_stay_loadable(self, lost, late, seed, steps):
         async def scenario():
             bench = Bench(3, seed, lost, late)
             await asyncio.sleep(0.5)
-            for number, pause_s, what in steps:
+            for number, pause_s, action in steps:
                 await asyncio.sleep(pause_s)
-                step(bench, number, what)
+                step(bench, number, action)
                 assert not any(engine.fell for engine in bench.transport.engines.values())
             await asyncio.sleep(5.0)
             assert not any(engine.fell for engine in bench.transport.engines.values())
@@ -590,25 +595,25 @@
         run(scenario)
 
 
-def step(bench, number, what):
+def step(bench, number, action):
     adapter = f"a{number}"
-    if what in "au":
+    if action in "au":
         bench.ask(adapter)
-    elif what == "v":
+    elif action == "v":
         key = AdapterKey("m", adapter)
         bench.state.versions[key] = bench.state.versions.get(key, 1) + 1
-    elif what == "r":
+    elif action == "r":
         name = f"e{number % 3}"
         if name in bench.state.replicas:
             del bench.state.replicas[name], bench.transport.engines[name]
         else:
             bench.add(name)
-    if what == "h":
-        # Used by a request of which the planner does not know yet.
+    if action == "h":
+        # Used by a request that is not reported to the planner yet.
         for engine in bench.transport.engines.values():
             if engine.can_run(AdapterKey("m", adapter)):
                 engine.use(AdapterKey("m", adapter), number % 2)
-    if what == "u":
+    if action == "u":
         for name, engine in bench.transport.engines.items():
             if engine.can_run(AdapterKey("m", adapter)):
                 bench.use(name, adapter, number % 2)
@@ -616,7 +621,7 @@
 
 def release_all(bench):
     for name, engine in bench.transport.engines.items():
-        for key in list(engine.request_count):
+        for key in list(engine.users):
             bench.use(name, key.adapter, 0)
     for name in ("e0", "e1", "e2"):
         if name not in bench.state.replicas:
@@ -624,30 +629,30 @@
 
 
 class TestDuty:
-    def test_a_planner_that_cannot_tell_its_news_is_replaced_and_the_error_is_logged(self):
-        """Its gateways heard nothing, and followed it again and again: nobody planned."""
+    def test_planner_that_cannot_send_updates_is_replaced_and_the_error_logged(self):
+        """Its gateways would get no updates and reconnect to it forever, without any planning."""
 
-        fails = {"tell_news.side_effect": ZeroDivisionError, "has_stronger.return_value": False}
+        failures = {"tell_news.side_effect": ZeroDivisionError, "has_stronger.return_value": False}
 
         async def scenario():
-            made = []
+            planners = []
 
             def make():
-                made.append(Bench().planner)
-                if len(made) == 1:
-                    made[0].followers = mock.Mock(pacing=mock.Mock(news_s=0.1), **fails)
-                return made[-1]
+                planners.append(Bench().planner)
+                if len(planners) == 1:
+                    planners[0].followers = mock.Mock(pacing=mock.Mock(news_s=0.1), **failures)
+                return planners[-1]
 
             election = mock.Mock(fence=7, run=asyncio.Event().wait)
             election.may_act.return_value = True
             duty = Duty(election, make)
-            with logbook.TestHandler().applicationbound() as caught:
-                running = asyncio.create_task(duty.run())
+            with logbook.TestHandler().applicationbound() as handler:
+                duty_task = asyncio.create_task(duty.run())
                 await asyncio.sleep(2.0)
-            assert len(made) == 2
-            assert duty.planner is made[1]
-            assert any("planner failed" in record.message for record in caught.records)
-            running.cancel()
-            await asyncio.gather(running, return_exceptions=True)
+            assert len(planners) == 2
+            assert duty.planner is planners[1]
+            assert any("planner failed" in record.message for record in handler.records)
+            duty_task.cancel()
+            await asyncio.gather(duty_task, return_exceptions=True)
 
         run(scenario)
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -1,4 +1,4 @@
-"""The planner where the slots, the memory and the own speed of engines are reckoned with."""
+"""Tests of a planner that considers batch slots, memory and speed of single engines."""
 
 import asyncio
 
@@ -19,28 +19,28 @@
 
 
 class RoomBench(Bench):
-    """A planner that reckons with room, unless it is switched off."""
+    """A planner that considers engine capacity, unless the feature is off."""
 
     def __init__(self, engines=2, is_on=True):
         super().__init__(engines, spec=SPEC, room=EngineRoom(ReadingSpeeds()) if is_on else None)
 
     async def place(self, adapter):
-        """Have an adapter brought; return where it is."""
+        """Load an adapter; return the name of its engine."""
         await asyncio.sleep(0.5)
         ticket = self.ask(adapter, **ASK)
         await asyncio.sleep(0.6)
         return self.collect()[ticket].replica
 
-    def tell(self, replica, running, memory=0):
+    def report_load(self, replica, running, memory=0):
         load = pb.Load(replica=replica, running=running, memory_tokens=memory)
         self.planner.take(self.gateway, pb.FromGateway(loads=[load]))
 
-    def tell_all(self, running):
+    def report_all_loads(self, running):
         for name in self.planner.engines:
-            self.tell(name, running)
+            self.report_load(name, running)
 
-    def start(self, adapter, replica, count):
-        """Tell that some requests have begun."""
+    def start_requests(self, adapter, replica, count):
+        """Report that some requests have started."""
         use = pb.Use(replica=replica, model="m", adapter=adapter, active=1, started=count)
         self.planner.take(self.gateway, pb.FromGateway(uses=[use]))
 
@@ -48,133 +48,133 @@
         key = AdapterKey("m", adapter)
         return [name for name, engine in self.planner.engines.items() if engine.holds(key)]
 
-    async def replica(self, ticket, after_s):
+    async def answered_replica(self, ticket, after_s):
         await asyncio.sleep(after_s)
         answer = self.collect().get(ticket)
         return answer.replica if answer is not None else None
 
 
 class TestSlots:
-    def test_a_request_is_held_until_a_run_has_ended(self):
+    def test_request_is_held_until_a_run_ends(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell_all(BATCH)
+            holder = await bench.place("a")
+            bench.report_all_loads(BATCH)
             ticket = bench.ask("a", **ASK)
-            assert await bench.replica(ticket, 0.15) is None
+            assert await bench.answered_replica(ticket, 0.15) is None
             assert bench.planner.held() == 1
-            bench.tell(home, BATCH - 1)
-            assert await bench.replica(ticket, 0.02) == home
+            bench.report_load(holder, BATCH - 1)
+            assert await bench.answered_replica(ticket, 0.02) == holder
             assert bench.planner.held() == 0
             await bench.stop()
 
         run(scenario)
 
-    def test_it_is_not_held_for_long_nor_refused_nor_loaded_at_any_price(self):
+    def test_hold_is_bounded_and_causes_neither_refusal_nor_load(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell_all(BATCH)
+            holder = await bench.place("a")
+            bench.report_all_loads(BATCH)
             ticket = bench.ask("a", **ASK)
-            assert await bench.replica(ticket, HOLD_S + 0.15) == home
-            assert bench.holders("a") == [home]
+            assert await bench.answered_replica(ticket, HOLD_S + 0.15) == holder
+            assert bench.holders("a") == [holder]
             await bench.stop()
 
         run(scenario)
 
-    def test_a_stream_that_was_begun_is_not_held(self):
+    def test_resumed_stream_is_not_held(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell_all(BATCH)
+            holder = await bench.place("a")
+            bench.report_all_loads(BATCH)
             ticket = bench.ask("a", begun=True, **ASK)
-            assert await bench.replica(ticket, 0.02) == home
+            assert await bench.answered_replica(ticket, 0.02) == holder
             await bench.stop()
 
         run(scenario)
 
-    def test_a_much_used_adapter_gets_a_copy_where_slots_are_free(self):
+    def test_adapter_in_demand_is_copied_to_an_engine_with_free_slots(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell(home, BATCH + 1)
+            holder = await bench.place("a")
+            bench.report_load(holder, BATCH + 1)
             bench.planner.popularity.note("m/a", bench.clock(), 40.0)
             ticket = bench.ask("a", **ASK)
-            other = await bench.replica(ticket, 0.45)
-            assert other not in (None, home)
+            other = await bench.answered_replica(ticket, 0.45)
+            assert other not in (None, holder)
             await bench.stop()
 
         run(scenario)
 
-    def test_switched_off_it_goes_to_its_holder_at_once(self):
+    def test_without_the_feature_requests_go_to_the_holder_at_once(self):
         async def scenario():
             bench = RoomBench(is_on=False)
-            home = await bench.place("a")
-            bench.tell(home, BATCH + 3)
+            holder = await bench.place("a")
+            bench.report_load(holder, BATCH + 3)
             bench.planner.popularity.note("m/a", bench.clock(), 40.0)
             ticket = bench.ask("a", **ASK)
-            assert await bench.replica(ticket, 0.02) == home
+            assert await bench.answered_replica(ticket, 0.02) == holder
             await asyncio.sleep(1.0)
-            assert bench.holders("a") == [home]
+            assert bench.holders("a") == [holder]
             assert not any(isinstance(part, SpeedDesk) for part in bench.planner.parts)
             await bench.stop()
 
         run(scenario)
 
-    def test_of_two_holders_the_one_with_a_free_slot_is_taken(self):
+    def test_holder_with_a_free_slot_is_preferred(self):
         async def scenario():
             bench = RoomBench()
             first = await bench.place("a")
-            second = await asyncio.wait_for(bench_copy(bench, first), 2.0)
-            bench.tell(first, BATCH)
-            bench.tell(second, BATCH - 1)
-            assert await bench.replica(bench.ask("a", **ASK), 0.02) == second
-            # The planner counts what it has just sent there.
-            assert await bench.replica(bench.ask("a", **ASK), 0.02) is None
+            second = await asyncio.wait_for(load_second_copy(bench, first), 2.0)
+            bench.report_load(first, BATCH)
+            bench.report_load(second, BATCH - 1)
+            assert await bench.answered_replica(bench.ask("a", **ASK), 0.02) == second
+            # The planner counts the request that it has just assigned.
+            assert await bench.answered_replica(bench.ask("a", **ASK), 0.02) is None
             await bench.stop()
 
         run(scenario)
 
 
-async def bench_copy(bench, home):
-    """Have another copy of an adapter brought."""
-    ticket = bench.ask("a", excluded=[home], **ASK)
-    while not (found := await bench.replica(ticket, 0.05)):
+async def load_second_copy(bench, holder):
+    """Load another copy of an adapter; return the name of its engine."""
+    ticket = bench.ask("a", excluded=[holder], **ASK)
+    while not (found := await bench.answered_replica(ticket, 0.05)):
         pass
     return found
 
 
-class TestCopiesAhead:
+class TestProactiveCopies:
     @pytest.mark.parametrize("is_on", [True, False])
-    def test_a_copy_is_brought_before_the_slots_are_used_up(self, is_on):
+    def test_copy_is_loaded_before_slots_run_out(self, is_on):
         async def scenario():
             bench = RoomBench(is_on=is_on)
-            home = await bench.place("a")
-            bench.tell(home, 2)
+            holder = await bench.place("a")
+            bench.report_load(holder, 2)
             for _ in range(10):
-                bench.start("a", home, 5)
+                bench.start_requests("a", holder, 5)
                 await asyncio.sleep(0.1)
             assert len(bench.holders("a")) == (2 if is_on else 1)
             await bench.stop()
 
         run(scenario)
 
-    def test_what_is_nowhere_yet_is_loaded_first(self):
+    def test_requested_loads_precede_proactive_copies(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell(home, 2)
-            bench.start("a", home, 40)
+            holder = await bench.place("a")
+            bench.report_load(holder, 2)
+            bench.start_requests("a", holder, 40)
             planner, key = bench.planner, AdapterKey("m", "a")
-            for waits, copies in ((True, 1), (False, 2)):
-                planner.has_queue = waits
+            for is_waiting, copies in ((True, 1), (False, 2)):
+                planner.has_queue = is_waiting
                 planner.copies.bring(bench.clock())
                 assert sum(key in engine.places for engine in planner.engines.values()) == copies
             await bench.stop()
 
         run(scenario)
 
-    def test_requests_that_wait_for_loads_are_noted(self):
+    def test_requests_that_wait_for_loads_are_flagged(self):
         async def scenario():
             bench = RoomBench()
             await asyncio.sleep(0.5)
@@ -187,14 +187,14 @@
 
         run(scenario)
 
-    def test_a_rare_adapter_gets_none(self):
+    def test_adapter_with_little_demand_is_not_copied(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell(home, 2)
-            bench.start("a", home, 1)
+            holder = await bench.place("a")
+            bench.report_load(holder, 2)
+            bench.start_requests("a", holder, 1)
             await asyncio.sleep(1.0)
-            assert bench.holders("a") == [home]
+            assert bench.holders("a") == [holder]
             assert all(
                 place.phase is not Phase.LOADING
                 for engine in bench.planner.engines.values()
@@ -206,25 +206,25 @@
 
 
 class TestMemory:
-    def test_what_would_not_fit_waits_although_slots_are_free(self):
+    def test_request_waits_for_memory_although_slots_are_free(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
+            holder = await bench.place("a")
             for name in bench.planner.engines:
-                bench.tell(name, 2, MEMORY - 500)
+                bench.report_load(name, 2, MEMORY - 500)
             ticket = bench.ask("a", **ASK)
-            assert await bench.replica(ticket, 0.15) is None
-            bench.tell(home, 1, MEMORY - 2_000)
-            assert await bench.replica(ticket, 0.02) == home
+            assert await bench.answered_replica(ticket, 0.15) is None
+            bench.report_load(holder, 1, MEMORY - 2_000)
+            assert await bench.answered_replica(ticket, 0.02) == holder
             await bench.stop()
 
         run(scenario)
 
-    def test_memory_is_told_with_the_load_and_counts_the_booked_request(self):
+    def test_answered_load_includes_memory_of_the_assigned_request(self):
         async def scenario():
             bench = RoomBench()
-            home = await bench.place("a")
-            bench.tell(home, 1, 3_000)
+            holder = await bench.place("a")
+            bench.report_load(holder, 1, 3_000)
             ticket = bench.ask("a", **ASK)
             await asyncio.sleep(0.02)
             assert bench.collect()[ticket].load.memory_tokens == 3_000 + 1_100
@@ -234,23 +234,23 @@
 
 
 class TestSpeeds:
-    def test_a_slow_engine_is_left_for_another_holder(self):
+    def test_slow_engine_is_avoided_for_another_holder(self):
         async def scenario():
             bench = RoomBench(engines=4)
             first = await bench.place("a")
-            second = await asyncio.wait_for(bench_copy(bench, first), 2.0)
-            bench.tell(first, 0)
-            bench.tell(second, 1)
-            assert await bench.replica(bench.ask("a", **ASK), 0.02) == first
-            bench.tell(first, 0)
+            second = await asyncio.wait_for(load_second_copy(bench, first), 2.0)
+            bench.report_load(first, 0)
+            bench.report_load(second, 1)
+            assert await bench.answered_replica(bench.ask("a", **ASK), 0.02) == first
+            bench.report_load(first, 0)
             for _ in range(5):
-                seen = [
+                speeds = [
                     pb.EngineSpeed(replica=name, step_ms=200 if name == first else 45, samples=10)
                     for name in bench.planner.engines
                 ]
-                bench.planner.take(bench.gateway, pb.FromGateway(speeds=seen))
+                bench.planner.take(bench.gateway, pb.FromGateway(speeds=speeds))
                 await asyncio.sleep(0.15)
-            assert await bench.replica(bench.ask("a", **ASK), 0.02) == second
+            assert await bench.answered_replica(bench.ask("a", **ASK), 0.02) == second
             await bench.stop()
 
         run(scenario)
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -1,4 +1,4 @@
-"""Adapters that were lost with their engine, and what bringing them ahead saves."""
+"""Tests of reloading adapters that were lost with their engine, and of its expected gain."""
 
 import asyncio
 import math
@@ -25,31 +25,29 @@
 from hypothesis import strategies as st
 from test_planner import SPEC, Bench, run
 
-USE_S = 4.0
+DEMAND_HORIZON_S = 4.0
 rates = st.floats(0.0, 50.0)
 times = st.floats(0.01, 5.0)
 
 
 class TestGain:
     @given(rate=rates, load_s=times, more=st.floats(0.01, 10.0))
-    def test_it_grows_with_demand_and_is_never_more_than_all_that_would_wait(
-        self, rate, load_s, more
-    ):
-        gain_s = refill_gain_s(rate, load_s, USE_S)
-        assert gain_s <= refill_gain_s(rate + more, load_s, USE_S)
+    def test_gain_grows_with_demand_and_is_bounded_by_the_total_wait(self, rate, load_s, more):
+        gain_s = refill_gain_s(rate, load_s, DEMAND_HORIZON_S)
+        assert gain_s <= refill_gain_s(rate + more, load_s, DEMAND_HORIZON_S)
         assert -STORE_COST_S <= gain_s <= load_s * (1 + rate * load_s)
 
-    def test_what_is_seldom_asked_for_is_left_to_demand(self):
-        assert refill_gain_s(0.1, 0.3, USE_S) < 0
-        assert refill_gain_s(1.0, 0.3, USE_S) > 0
+    def test_rarely_requested_adapter_has_no_gain(self):
+        assert refill_gain_s(0.1, 0.3, DEMAND_HORIZON_S) < 0
+        assert refill_gain_s(1.0, 0.3, DEMAND_HORIZON_S) > 0
 
     @given(load_s=times)
-    def test_without_demand_a_load_is_only_a_price(self, load_s):
-        assert math.isclose(refill_gain_s(0.0, load_s, USE_S), -STORE_COST_S)
+    def test_gain_without_demand_is_the_negative_load_cost(self, load_s):
+        assert math.isclose(refill_gain_s(0.0, load_s, DEMAND_HORIZON_S), -STORE_COST_S)
 
 
 class RefillBench(Bench):
-    """Engines of which one alone holds what is asked for."""
+    """Engines of which a single one holds each requested adapter."""
 
     def __init__(self, engines=3, is_on=True):
         super().__init__(engines)
@@ -61,13 +59,13 @@
         await asyncio.sleep(FIRST_LOAD_S + 0.15)
         return self.collect()[ticket].replica
 
-    def asked_for(self, replica, adapter, count):
-        """Tell that some requests have begun and ended."""
+    def report_requests(self, replica, adapter, count):
+        """Report that some requests have started and ended."""
         use = pb.Use(replica=replica, model="m", adapter=adapter, active=0, started=count)
         self.planner.take(self.gateway, pb.FromGateway(uses=[use]))
 
-    def lose(self, replica):
-        """Have an engine say that it is leaving."""
+    def announce_departure(self, replica):
+        """Mark an engine's entry as leaving."""
         self.state.replicas[replica] = replace(self.state.replicas[replica], leaving=True)
 
     def holders(self, adapter):
@@ -78,7 +76,7 @@
         key = AdapterKey("m", adapter)
         return any(self.transport.engines[name].can_run(key) for name in self.planner.engines)
 
-    def loads(self):
+    def load_count(self):
         return sum(order.load for _, order in self.transport.given)
 
 
@@ -88,15 +86,15 @@
     return any(place is not None and place.phase is Phase.LOADING for place in places)
 
 
-def lost_alone(is_on=True, count=8):
-    """Lose the only holder of an adapter for which so many requests came; return new holders."""
+def holders_after_departure(is_on=True, count=8):
+    """Remove the only holder of an adapter with `count` requests; return its new holders."""
 
     async def scenario():
         bench = RefillBench(is_on=is_on)
         await asyncio.sleep(0.5)
-        home = await bench.place("a")
-        bench.asked_for(home, "a", count)
-        bench.lose(home)
+        holder = await bench.place("a")
+        bench.report_requests(holder, "a", count)
+        bench.announce_departure(holder)
         await asyncio.sleep(FIRST_LOAD_S + 0.2)
         found = bench.holders("a")
         await bench.stop()
@@ -106,54 +104,54 @@
 
 
 class TestLostEngines:
-    def test_what_it_held_alone_and_is_asked_for_is_brought_elsewhere_at_once(self):
-        assert len(lost_alone()) == 1
+    def test_sole_copy_in_demand_is_reloaded_at_once(self):
+        assert len(holders_after_departure()) == 1
 
-    def test_switched_off_it_is_brought_on_demand_alone(self):
-        assert lost_alone(is_on=False) == []
+    def test_without_the_feature_nothing_is_reloaded_ahead_of_demand(self):
+        assert holders_after_departure(is_on=False) == []
 
-    def test_what_is_seldom_asked_for_waits_for_a_request(self):
-        assert lost_alone(count=0) == []
+    def test_rarely_requested_adapter_waits_for_a_request(self):
+        assert holders_after_departure(count=0) == []
 
-    def test_an_engine_whose_entry_goes_without_a_word_may_be_back(self):
+    def test_unannounced_loss_is_confirmed_before_reloading(self):
         async def scenario():
             bench = RefillBench()
             await asyncio.sleep(0.5)
-            home = await bench.place("a")
-            bench.asked_for(home, "a", 8)
-            entry, before = bench.state.replicas.pop(home), bench.loads()
+            holder = await bench.place("a")
+            bench.report_requests(holder, "a", 8)
+            entry, before = bench.state.replicas.pop(holder), bench.load_count()
             await asyncio.sleep(0.3)
-            bench.state.replicas[home] = entry
+            bench.state.replicas[holder] = entry
             await asyncio.sleep(1.0)
-            assert (bench.holders("a"), bench.loads()) == ([home], before)
-            del bench.state.replicas[home]
+            assert (bench.holders("a"), bench.load_count()) == ([holder], before)
+            del bench.state.replicas[holder]
             await asyncio.sleep(LOSS_CONFIRMATION_S + FIRST_LOAD_S + 0.2)
             assert len(bench.holders("a")) == 1
-            assert bench.loads() == before + 1
+            assert bench.load_count() == before + 1
             await bench.stop()
 
         run(scenario)
 
-    def test_the_last_engine_of_all_may_go(self):
+    def test_planner_survives_the_loss_of_its_last_engine(self):
         async def scenario():
             bench = RefillBench(engines=1)
             await asyncio.sleep(0.5)
             await bench.place("a")
-            bench.asked_for("e0", "a", 8)
-            bench.lose("e0")
+            bench.report_requests("e0", "a", 8)
+            bench.announce_departure("e0")
             await asyncio.sleep(0.5)
             assert not bench.task.done()
             await bench.stop()
 
         run(scenario)
 
-    def test_what_requests_wait_for_goes_first(self):
+    def test_requested_loads_precede_reloads(self):
         async def scenario():
             bench = RefillBench()
             await asyncio.sleep(0.5)
-            home = await bench.place("a")
-            bench.asked_for(home, "a", 8)
-            bench.lose(home)
+            holder = await bench.place("a")
+            bench.report_requests(holder, "a", 8)
+            bench.announce_departure(holder)
             bench.planner.refresh()
             bench.planner.has_queue = True
             bench.planner.refill.start_loads(bench.clock())
@@ -165,28 +163,28 @@
 
         run(scenario)
 
-    def test_half_of_the_weight_stores_loads_are_left_to_demand(self):
+    def test_half_of_the_store_capacity_is_left_to_requested_loads(self):
         async def scenario():
             bench = RefillBench(engines=16)
             await asyncio.sleep(0.5)
             adapters = [f"a{n}" for n in range(24)]
             for at, adapter in enumerate(adapters):
                 await bench.place(adapter, only=f"e{at // 3}")
-                bench.asked_for(f"e{at // 3}", adapter, 40)
-            most = math.ceil(SPARE_STORE_FRACTION * bench.planner.loading.pace.at_once)
-            assert 1 < most < MAX_LOADS_PER_PASS
+                bench.report_requests(f"e{at // 3}", adapter, 40)
+            max_loads = math.ceil(SPARE_STORE_FRACTION * bench.planner.loading.pace.at_once)
+            assert 1 < max_loads < MAX_LOADS_PER_PASS
             for name in [f"e{at}" for at in range(8)]:
-                bench.lose(name)
+                bench.announce_departure(name)
             bench.planner.refresh()
             for _ in range(2):
                 bench.planner.refill.start_loads(bench.clock())
-                assert sum(is_coming(bench, adapter) for adapter in adapters) == most
+                assert sum(is_coming(bench, adapter) for adapter in adapters) == max_loads
             assert bench.planner.loading.may_use_store()
             await bench.stop()
 
         run(scenario)
 
-    def test_what_is_remembered_is_bounded_and_of_most_gain(self):
+    def test_recorded_adapters_are_bounded_to_those_of_most_gain(self):
         async def scenario():
             bench = RefillBench(engines=1)
             await asyncio.sleep(0.5)
@@ -204,33 +202,33 @@
 
         run(scenario)
 
-    def test_what_another_engine_holds_is_not_brought(self):
+    def test_adapter_with_another_holder_is_not_reloaded(self):
         async def scenario():
             bench = RefillBench()
             await asyncio.sleep(0.5)
             first = await bench.place("a", only="e0")
             second = await bench.place("a", only="e1")
             assert (first, second) == ("e0", "e1")
-            bench.asked_for("e0", "a", 8)
-            before = bench.loads()
-            bench.lose("e0")
+            bench.report_requests("e0", "a", 8)
+            before = bench.load_count()
+            bench.announce_departure("e0")
             await asyncio.sleep(0.5)
-            assert (bench.holders("a"), bench.loads()) == (["e1"], before)
+            assert (bench.holders("a"), bench.load_count()) == (["e1"], before)
             await bench.stop()
 
         run(scenario)
 
-    def test_nothing_makes_way_that_is_asked_for_more_often(self):
+    def test_reload_evicts_no_adapter_in_more_demand(self):
         async def scenario():
             bench = RefillBench(engines=2)
             await asyncio.sleep(0.5)
-            home = await bench.place("a")
-            other = next(name for name in bench.planner.engines if name != home)
+            holder = await bench.place("a")
+            other = next(name for name in bench.planner.engines if name != holder)
             for adapter in ("b", "c", "d"):
                 assert await bench.place(adapter, only=other) == other
-                bench.asked_for(other, adapter, 40)
-            bench.asked_for(home, "a", 6)
-            bench.lose(home)
+                bench.report_requests(other, adapter, 40)
+            bench.report_requests(holder, "a", 6)
+            bench.announce_departure(holder)
             await asyncio.sleep(0.5)
             assert bench.holders("a") == []
             assert [bench.holders(adapter) for adapter in "bcd"] == [[other]] * 3
@@ -238,13 +236,13 @@
 
         run(scenario)
 
-    def test_an_engine_that_starts_again_empty_gets_its_adapters_back(self):
+    def test_restarted_engine_reloads_its_adapters(self):
         async def scenario():
             bench = RefillBench(engines=1)
             bench.state.replicas["e0"] = Replica("e0", "llm", "e0:1", "hall", born=4_000)
             await asyncio.sleep(0.5)
             await bench.place("a")
-            bench.asked_for("e0", "a", 8)
+            bench.report_requests("e0", "a", 8)
             bench.transport.engines["e0"] = ModelEngine(bench.clock, bench.state.versions)
             bench.state.replicas["e0"] = Replica("e0", "llm", "e0:1", "hall", born=5_000)
             await asyncio.sleep(1.0)
@@ -254,30 +252,30 @@
 
         run(scenario)
 
-    def test_nothing_is_brought_without_a_term_and_what_was_lost_then_is_forgotten(self):
+    def test_nothing_is_reloaded_without_a_term_and_old_losses_expire(self):
         async def scenario():
             bench = RefillBench()
             await asyncio.sleep(0.5)
-            home = await bench.place("a")
-            bench.asked_for(home, "a", 8)
+            holder = await bench.place("a")
+            bench.report_requests(holder, "a", 8)
             bench.planner.end_term()
-            bench.lose(home)
+            bench.announce_departure(holder)
             await asyncio.sleep(0.3)
             assert bench.holders("a") == []
-            # The term comes back too late for what was lost meanwhile.
-            await asyncio.sleep(USE_S)
-            before = bench.loads()
+            # The next term starts after the loss has expired.
+            await asyncio.sleep(DEMAND_HORIZON_S)
+            before = bench.load_count()
             bench.planner.begin_term(8)
             await asyncio.sleep(0.5)
-            assert bench.loads() == before
+            assert bench.load_count() == before
             await bench.stop()
 
         run(scenario)
 
 
-@pytest.mark.parametrize(("is_on", "least", "most"), [(False, 9, 9), (True, 0, 0)])
-def test_adapters_that_are_nowhere_half_a_second_after_their_engine_has_gone(is_on, least, most):
-    """Nine adapters, some four requests a second each; an engine with three goes, thrice."""
+@pytest.mark.parametrize(("is_on", "min_missing", "max_missing"), [(False, 9, 9), (True, 0, 0)])
+def test_missing_adapters_half_a_second_after_engine_loss(is_on, min_missing, max_missing):
+    """Three engines leave in turn, each with three adapters of about four requests per second."""
 
     async def scenario():
         bench = RefillBench(engines=6, is_on=is_on)
@@ -285,24 +283,24 @@
         adapters = [f"a{n}" for n in range(9)]
         for at, adapter in enumerate(adapters):
             await bench.place(adapter, only=f"e{at // 3}")
-        nowhere = 0
+        missing = 0
         for name in ("e0", "e1", "e2"):
             for adapter in adapters:
-                bench.asked_for(name, adapter, 8)
-            bench.lose(name)
+                bench.report_requests(name, adapter, 8)
+            bench.announce_departure(name)
             await asyncio.sleep(0.5)
-            nowhere += sum(not bench.can_run(adapter) for adapter in adapters)
+            missing += sum(not bench.can_run(adapter) for adapter in adapters)
             for adapter in adapters:
                 bench.ask(adapter)
             await asyncio.sleep(1.5)
         await bench.stop()
-        return nowhere
+        return missing
 
-    assert least <= run(scenario) <= most
+    assert min_missing <= run(scenario) <= max_missing
 
 
 @pytest.mark.parametrize("is_on", [True, False])
-def test_the_switch(is_on):
+def test_feature_flag(is_on):
     async def scenario():
         features = frozenset(Feature) if is_on else frozenset(Feature) - {Feature.REFILL}
         clock = asyncio.get_running_loop().time
--- a/tests/test_serving_room.py
+++ b/tests/test_serving_room.py
@@ -1,4 +1,4 @@
-"""A gateway that reckons with the slots, the memory and the own speed of engines."""
+"""Tests of a gateway that considers batch slots, memory and speed of single engines."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 from test_planner_room import SPEC as FEW_SLOTS
 from test_serving import ADAPTER, END, HELD, SPEC, STREAM, Bench, event, route, run, status
 
-ASKED = Work(1_000, 1, 200)
+WORK = Work(1_000, 1, 200)
 PROMPT = b"X-Gradelug-Token-Usage: %d,50\r\n"
 
 
@@ -38,40 +38,38 @@
 
 class TestFleet:
     @pytest.mark.parametrize(("has_room", "chosen"), [(True, "e1"), (False, "e0")])
-    def test_an_engine_with_a_free_slot_is_chosen_although_it_has_more_to_read(
-        self, has_room, chosen
-    ):
+    def test_engine_with_a_free_slot_is_chosen_despite_longer_prefill(self, has_room, chosen):
         fleet = new_fleet(has_room)
         fleet.load("e0").others = ToldLoad(0, BATCH + 2, ())
         fleet.load("e1").others = ToldLoad(2, 0, (0, 2_000))
-        found = fleet.choose(fleet.usable("llm"), work=ASKED)
+        found = fleet.choose(fleet.usable("llm"), work=WORK)
         assert found.name == chosen
 
     @pytest.mark.parametrize("load", [ToldLoad(0, BATCH), ToldLoad(0, 1, (), MEMORY - 1_000)])
-    def test_where_there_is_no_room_the_planner_had_better_be_asked(self, load):
+    def test_full_engine_counts_as_late(self, load):
         for has_room in (True, False):
             fleet = new_fleet(has_room)
             replica = fleet.state.replicas["e0"]
             fleet.load("e0").others = load
-            assert fleet.is_late(replica, ASKED, 100.0) is has_room
-            assert fleet.is_full(replica, ASKED) is has_room
+            assert fleet.is_late(replica, WORK, 100.0) is has_room
+            assert fleet.is_full(replica, WORK) is has_room
 
-    def test_a_slow_engine_is_left_for_another(self):
+    def test_slow_engine_is_avoided(self):
         fleet = new_fleet()
         replicas = fleet.usable("llm")
         fleet.load("e1").others = ToldLoad(2, 0, (0, 3_000))
-        assert fleet.choose(replicas, work=ASKED).name == "e0"
+        assert fleet.choose(replicas, work=WORK).name == "e0"
         fleet.room.paces.take("e0", 5.0, 5.0)
-        assert fleet.choose(replicas, work=ASKED).name == "e1"
+        assert fleet.choose(replicas, work=WORK).name == "e1"
 
     @pytest.mark.parametrize(("news_s", "chosen"), [(0.05, {"e0"}), (0.5, {"e0", "e1"})])
-    def test_equal_engines_are_taken_by_turns_where_news_are_old(self, news_s, chosen):
+    def test_equal_engines_alternate_while_updates_are_old(self, news_s, chosen):
         fleet = new_fleet()
         fleet.news_s = news_s
         replicas = fleet.usable("llm")
-        assert {fleet.choose(replicas, work=ASKED).name for _ in range(20)} == chosen
+        assert {fleet.choose(replicas, work=WORK).name for _ in range(20)} == chosen
 
-    def test_how_old_news_may_be_is_told(self):
+    def test_maximum_update_age_is_reported(self):
         async def scenario():
             fleet = new_fleet()
             link = PlannerLink("llm", "me", "", fleet, asyncio.get_running_loop().time)
@@ -80,12 +78,12 @@
 
         run(scenario)
 
-    def test_all_are_equally_urgent_where_slots_are_short(self):
-        assert new_fleet().equalled("llm", ASKED).urgency == EQUAL
-        assert new_fleet(False).equalled("llm", ASKED) == ASKED
-        assert new_fleet().equalled("plain", ASKED) == ASKED
+    def test_urgency_is_equal_where_slots_are_the_bottleneck(self):
+        assert new_fleet().equalled("llm", WORK).urgency == EQUAL
+        assert new_fleet(False).equalled("llm", WORK) == WORK
+        assert new_fleet().equalled("plain", WORK) == WORK
 
-    def test_the_planner_and_its_own_gateway_learn_the_same_times_and_not_the_paces(self):
+    def test_planner_and_its_gateway_share_run_times_but_not_slowness(self):
         room = EngineRoom(ReadingSpeeds())
         own = room.with_own_paces()
         own.note_run("llm", 9.0)
@@ -95,7 +93,7 @@
 
 
 class TestLink:
-    def test_memory_is_told_and_what_is_its_own_is_not_counted_twice(self):
+    def test_memory_is_reported_and_own_requests_are_not_counted_twice(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             fleet = new_fleet(clock=clock)
@@ -104,8 +102,8 @@
             load.running, load.memory = 2, 2_400
             (told,) = link._message(False).loads
             assert told.memory_tokens == 2_400
-            everyone = pb.Load(replica="e0", running=5, memory_tokens=6_400)
-            link._take(pb.FromPlanner(loads=[everyone]))
+            total_load = pb.Load(replica="e0", running=5, memory_tokens=6_400)
+            link._take(pb.FromPlanner(loads=[total_load]))
             assert load.others.memory == 4_000
             assert load.busyness().memory_tokens == 6_400
 
@@ -113,7 +111,7 @@
 
 
 class TestStreams:
-    def test_a_prompt_that_no_engine_has_memory_for_is_refused_and_not_run(self):
+    def test_prompt_beyond_engine_memory_is_refused(self):
         async def scenario():
             for tokens, has_room, sent in (
                 (SPEC.kv_tokens, True, True),
@@ -128,14 +126,14 @@
 
         run(scenario)
 
-    def test_one_that_would_take_the_slot_of_a_run_waits_for_those_that_would_not(self):
+    def test_request_that_would_displace_a_run_gets_low_urgency(self):
         async def scenario():
             for running, urgency in ((3, 0), (SPEC.batch, LATE)):
                 bench = new_bench([[[STREAM + event(1) + END]]])
-                # Reading is what is short: 96 prompts of such a length take 3.8 s.
+                # Prefill is the bottleneck: 96 prompts of this length take 3.8 s.
                 room = bench.fleet.room
                 for _ in range(200):
-                    bench.fleet.speeds.note("llm", bench.fleet.load("x").busyness(), ASKED, 1.0)
+                    bench.fleet.speeds.note("llm", bench.fleet.load("x").busyness(), WORK, 1.0)
                 bench.fleet.speeds._speeds["llm"].tokens_per_s = 20_000.0
                 for _ in range(100):
                     room.note_run("llm", 1.0)
@@ -147,7 +145,7 @@
 
         run(scenario)
 
-    def test_pauses_beyond_the_bound_are_logged_and_pauses_are_told(self):
+    def test_long_pauses_are_logged_and_pauses_are_reported(self):
         async def scenario():
             bench = new_bench([[[STREAM + event(1)]]])
             bench.client(8000, ADAPTER + PROMPT % 400)
@@ -169,7 +167,7 @@
         assert line.kwargs["pauses"] == 1
         assert line.kwargs["longest_s"] == pytest.approx(0.6, abs=0.01)
 
-    def test_memory_and_slots_are_free_again_when_it_has_ended(self):
+    def test_memory_and_slots_are_released_at_the_end(self):
         async def scenario():
             bench = new_bench([[[STREAM + event(1)]]])
             bench.client(8000, ADAPTER + PROMPT % 400)
