--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -41,7 +41,7 @@
 MAX_CONCURRENT_LOADS = 4
 """Adapters that may be loading on one engine."""
 MAX_ORDER_ATTEMPTS = 3
-"""Sends of one order that gets no answer."""
+"""Maximum number of sends of an order that gets no answer."""
 EMPTY_LOAD = ToldLoad()
 MIN_IDLE_BEFORE_EVICTION_S = 0.06
 """Time without use before an adapter may be evicted: uses are reported with a delay."""
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -258,7 +258,7 @@
         )
         assert replacement.free_adapter_slots() == SLOTS - 1
         replacement.take_report(EngineReport(3, (), (), frozenset(), False), 12.0)
-        # It has taken more orders than that one expects.
+        # The engine has accepted more orders than the unacknowledged load expects.
         assert replacement.free_adapter_slots() == SLOTS
         late = Engine(
             engine.replica,
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -168,7 +168,7 @@
         run(scenario)
 
     def test_request_that_cannot_be_served_before_its_timeout_is_refused_at_once(self):
-        """Guards against holding requests until their callers time out, as 77 requests once were."""
+        """Guards against holding requests that cannot be served until their callers time out."""
 
         async def scenario():
             bench = Bench(engines=1)
