--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -290,7 +290,9 @@
 
     def free_adapter_slots(self) -> int:
         """Return the number of free adapter slots, less those reserved for inherited loads."""
-        inherited_loads = sum(stray.expected >= self.orders for stray in self._inherited_loads)
+        inherited_loads = sum(
+            inherited.expected >= self.orders for inherited in self._inherited_loads
+        )
         return (
             self.spec.adapter_slots
             - inherited_loads
@@ -325,18 +327,18 @@
         self.drop_expired_loads(now)
         return (
             *self._inherited_loads,
-            *(lost for lost in self._unacknowledged_loads if lost.until > now),
+            *(pending for pending in self._unacknowledged_loads if pending.until > now),
         )
 
     def drop_expired_loads(self, now: float) -> None:
         """Remove loads that cannot take effect any more."""
         if self._inherited_loads:
             self._inherited_loads = tuple(
-                stray for stray in self._inherited_loads if stray.until > now
+                inherited for inherited in self._inherited_loads if inherited.until > now
             )
         if self._unacknowledged_loads and self._unacknowledged_loads[0].until <= now:
             self._unacknowledged_loads = [
-                lost for lost in self._unacknowledged_loads if lost.until > now
+                pending for pending in self._unacknowledged_loads if pending.until > now
             ]
 
     def loading_count(self) -> int:
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -167,7 +167,7 @@
         )
         """Components that exchange further messages with the gateways."""
         if room is not None:
-            self.parts += (SpeedDesk(service, room.paces, speeds, self._is_reading),)
+            self.parts += (SpeedDesk(service, room.paces, speeds, self._is_prefilling),)
         self.followers = Followers(
             self.engines,
             clock,
@@ -196,12 +196,12 @@
         self._syncing: set[str] = set()
         """Names of engines whose state is being queried, or is about to be."""
         self._engine_estimator = room
-        self._terms = terms(spec)
+        self._capacity = terms(spec)
         self._redirect_tried_at: dict[AdapterKey, float] = {}
         """Time of the last search for another engine, by weights whose requests have a holder."""
         self.look_from = -math.inf
         """Time before which no such search begins, by the runtime's clock."""
-        self.copies = Copies(self, self._terms, room) if room is not None else None
+        self.copies = Copies(self, self._capacity, room) if room is not None else None
         """Adds copies of adapters in demand; None without an `EngineRoom`."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -287,13 +287,13 @@
     def begin_life(self, engine: Engine, born: int) -> Engine:
         """Replace the state of an engine whose process restarted; `born` names the new one."""
         name, now = engine.replica.name, self._clock()
-        strays = engine.unacknowledged_loads(now)
+        unacknowledged_loads = engine.unacknowledged_loads(now)
         self.index.drop(engine)
         self.refill.note_lost(engine, True, now)
         engine.is_replaced = True
-        log.info("engine restarted", replica=name, born=born, strays=len(strays))
+        log.info("engine restarted", replica=name, born=born, strays=len(unacknowledged_loads))
         replacement = self.engines[name] = Engine(
-            engine.replica, self._spec, self.index, strays, born
+            engine.replica, self._spec, self.index, unacknowledged_loads, born
         )
         self.followers.mark(name)
         for part in self.parts:
@@ -422,7 +422,7 @@
             return
         self.tokens.note(key.text, now, use.started_tokens)
         self._prefix_cache.parts.note_sent(
-            use.replica, use.started_tokens, self._terms.memory_tokens
+            use.replica, use.started_tokens, self._capacity.memory_tokens
         )
         if self.tokens.rate(key.text, now) > MAX_PREFILL_FRACTION_PER_COPY * self.speed:
             self.hot.add(key)
@@ -473,14 +473,14 @@
 
     def _start_loads(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
         """Start loads for waiting requests; return the weights that cannot be loaded yet."""
-        openings = self.openings()
+        targets = self.openings()
         queued: list[AdapterKey] = []
         for waiter in ordered:
             if self._is_loading(waiter):
                 continue
             tried = len(queued) < MAX_FAILED_LOADS_PER_DECISION
             if not tried or not self.load(
-                waiter.key, now, openings, waiter.may_use, work=waiter.work
+                waiter.key, now, targets, waiter.may_use, work=waiter.work
             ):
                 queued.append(waiter.key)
             else:
@@ -497,8 +497,10 @@
         )
         # With recent updates, gateways send requests with a shared prefix to the preferred engine
         # of its prefix chain themselves.
-        is_fresh = self.followers.pacing.news_s <= FRESH_S
-        preferred_name = self._prefix_cache.home(waiter.work, ready_names) if is_fresh else ""
+        has_recent_updates = self.followers.pacing.news_s <= FRESH_S
+        preferred_name = (
+            self._prefix_cache.home(waiter.work, ready_names) if has_recent_updates else ""
+        )
         for name, engine in holders:
             slot = engine.places.get(waiter.key)
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
@@ -561,7 +563,7 @@
         It does if it would miss its target there, wait for a batch slot or displace another.
         """
         # A resumed stream has a client that waits for the next event.
-        is_full = not waiter.ask.begun and not self._has_room(best, waiter, now)
+        is_full = not waiter.ask.is_started and not self._has_capacity(best, waiter, now)
         if now > waiter.asked_at + (
             self.fair_queue.max_hold_s(waiter) if is_full else MAX_REDIRECT_WAIT_S
         ):
@@ -577,15 +579,15 @@
         # Where all holders are full, another copy also serves requests that come later.
         is_shared = is_full and not self.has_queue
         uses = self.uses(waiter.key, now) if is_shared else 1.0
-        begun = self.load(
+        is_started = self.load(
             waiter.key, now, self.openings(), waiter.may_use, max_cost_s, waiter.work, uses
         )
         self.rest_from(now)
-        return begun or is_full
+        return is_started or is_full
 
-    def rest_from(self, began: float) -> None:
-        """Postpone the next engine search in proportion to one that started at `began`."""
-        self.look_from = began + IDLE_TO_DECISION_RATIO * (self._clock() - began)
+    def rest_from(self, started_at: float) -> None:
+        """Postpone the next engine search in proportion to one that began at `started_at`."""
+        self.look_from = started_at + IDLE_TO_DECISION_RATIO * (self._clock() - started_at)
 
     def _may_try_redirect(self, key: AdapterKey, now: float) -> bool:
         """Tell whether another engine may be searched now for weights that have a holder."""
@@ -607,23 +609,23 @@
         if self._engine_estimator is None:
             return first_event_s(engine.busyness(), work, self.speed)
         pace = self._engine_estimator.pace(self.service, engine.replica.name, self._clock())
-        return expected_s(engine.busyness(), work, self._terms, pace)
+        return expected_s(engine.busyness(), work, self._capacity, pace)
 
-    def _is_reading(self, replica: str) -> bool:
+    def _is_prefilling(self, replica: str) -> bool:
         """Tell whether an engine has prompts to prefill; true for unknown engines."""
         engine = self.engines.get(replica)
         return engine is None or engine.starting > 0
 
-    def _has_room(self, engine: Engine, waiter: Waiter, now: float) -> bool:
+    def _has_capacity(self, engine: Engine, waiter: Waiter, now: float) -> bool:
         """Tell whether a request fits without waiting for a batch slot or memory or displacing."""
         if self.limits.delay_s(engine.replica.name, now) > 0:
             return False
         if self._engine_estimator is None:
             return True
         pace = self._engine_estimator.pace(self.service, engine.replica.name, now)
-        completion_interval_s = pace.hold_s / max(1, self._terms.slots)
+        completion_interval_s = pace.hold_s / max(1, self._capacity.slots)
         lead_s = self.fair_queue.dispatch_lead_s(waiter, engine, completion_interval_s, now)
-        return has_room(engine.busyness(), waiter.work, self._terms, pace, lead_s)
+        return has_room(engine.busyness(), waiter.work, self._capacity, pace, lead_s)
 
     def uses(self, key: AdapterKey, now: float) -> float:
         """Return the expected number of requests for a further copy of an adapter, at least 1."""
@@ -662,7 +664,7 @@
         self,
         key: AdapterKey,
         now: float,
-        openings: Openings,
+        targets: Openings,
         may_use: t.Callable[[str], bool],
         max_cost_s: float = math.inf,
         work: Work = Work(),  # noqa: B008
@@ -676,7 +678,7 @@
             Adapter to load.
         now : float
             Current time by the runtime's clock.
-        openings : LoadTargets
+        targets : LoadTargets
             Engines that can load an adapter; the chosen engine's entry is invalidated.
         may_use : callable
             Takes an engine's name, returns whether it may be chosen.
@@ -700,7 +702,7 @@
                 + self._ejection_penalty_s(name)
                 + self.limits.home_s(name),
             )
-            for name, target in openings.candidates(key, version, may_use)
+            for name, target in targets.candidates(key, version, may_use)
         ]
         choice = choose_home(
             candidates,
@@ -716,7 +718,7 @@
         slot = engine.places[key] = Place(version, Phase.LOADING, now)
         self._line.throughput.note_load()
         self.followers.mark(choice.engine)
-        openings.invalidate(engine)
+        targets.invalidate(engine)
         self.loading.begin(PlannedLoad(self.term, engine, key, slot, victim, choice.cached))
         return True
 
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -102,12 +102,12 @@
         if planner.has_queue:
             return
         gains = self._gains(now)
-        openings = planner.openings()
+        targets = planner.openings()
         started = 0
         for key in sorted(gains, key=lambda key: -gains[key])[:MAX_ATTEMPTS_PER_PASS]:
             if started == MAX_LOADS_PER_PASS or not planner.loading.has_spare_store_capacity():
                 break
-            if self._load(key, openings, now):
+            if self._load(key, targets, now):
                 started += 1
                 log.info(
                     "reloading lost adapter ahead of demand",
@@ -115,11 +115,11 @@
                     gain_s=round(gains[key], 2),
                 )
 
-    def _load(self, key: AdapterKey, openings: Openings, now: float) -> bool:
+    def _load(self, key: AdapterKey, targets: Openings, now: float) -> bool:
         rate = self._planner.popularity.rate(key.text, now)
         uses = self._planner.uses(key, now)
         return self._planner.load(
-            key, now, openings, lambda name: openings.has_slot_for(name, rate), uses=uses
+            key, now, targets, lambda name: targets.has_slot_for(name, rate), uses=uses
         )
 
     def _expire(self, now: float) -> None:
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -200,6 +200,6 @@
         ]
         if not overloaded:
             return
-        openings = planner.openings()
+        targets = planner.openings()
         for key in overloaded:
-            planner.load(key, now, openings, lambda name: True)
+            planner.load(key, now, targets, lambda name: True)
--- a/tests/engine_model.py
+++ b/tests/engine_model.py
@@ -39,14 +39,17 @@
     def use(self, key, count):
         """Set how many requests use an adapter; a pending unload completes with the last one."""
         self.users[key] = count
-        for leaving in [one for one in self.leaving if not self._is_used(one)]:
+        for leaving in [candidate for candidate in self.leaving if not self._is_used(candidate)]:
             self.leaving.discard(leaving)
             self._drop(leaving)
             self._keep()
 
     def can_run(self, key):
         needed = (key, AdapterKey(key.model)) if key is not None else (key,)
-        return all(one in self.held and self.ready_at[one] <= self.clock() for one in needed)
+        return all(
+            candidate in self.held and self.ready_at[candidate] <= self.clock()
+            for candidate in needed
+        )
 
     def _is_used(self, key):
         """Tell whether requests use some weights; requests for adapters also use the model."""
@@ -57,14 +60,16 @@
 
     def report(self):
         at = self.clock() - REPORT_LAG_S
-        seen = self.past[0]
+        visible = self.past[0]
         for state in self.past:
             if state[0] <= at:
-                seen = state
-        _, orders, held, ready_at = seen
+                visible = state
+        _, orders, held, ready_at = visible
         ready = [Holding(key, held[key]) for key in held if ready_at[key] <= at]
-        coming = [Holding(key, held[key]) for key in held if ready_at[key] > at]
-        return EngineReport(orders, tuple(ready), tuple(coming), frozenset(), MODEL in self.leaving)
+        loading = [Holding(key, held[key]) for key in held if ready_at[key] > at]
+        return EngineReport(
+            orders, tuple(ready), tuple(loading), frozenset(), MODEL in self.leaving
+        )
 
     def _load(self, order):
         version = order.version or self.versions.get(order.key, 1)
--- a/tests/test_fair_line.py
+++ b/tests/test_fair_line.py
@@ -249,8 +249,8 @@
         assert self.reported(tally) == []
 
     def test_unreported_usage_is_bounded(self, tally):
-        for at in range(MOST_UNTOLD + 10):
-            tally.begin(_Job(f"o{at}"))
+        for i in range(MOST_UNTOLD + 10):
+            tally.begin(_Job(f"o{i}"))
         assert len(self.reported(tally)) == MOST_UNTOLD
 
     def test_adapter_is_the_owner_without_organisations(self):
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -186,9 +186,9 @@
         old = Replica("i-1", "llm", "10.0.0.1:80", "z", orders=9, born=1)
         state.replicas["i-1"] = old
         fact = pb.ReplicaFact(replica="i-1", service="llm", address="10.0.0.1:80", hall="z", born=2)
-        told = _decode(fact, state)
-        assert (told.born, told.orders) == (2, 0)
-        assert _essence(told) != _essence(old)
+        update = _decode(fact, state)
+        assert (update.born, update.orders) == (2, 0)
+        assert _essence(update) != _essence(old)
 
     def test_earlier_start_time_is_a_new_incarnation(self):
         engine = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5), SPEC)
@@ -205,7 +205,7 @@
     def test_orders_for_the_earlier_incarnation_are_not_sent(self):
         async def scenario():
             bench = Bench(1)
-            bench.state.replicas["e0"] = born("e0", 1)
+            bench.state.replicas["e0"] = entry_with_start("e0", 1)
             await asyncio.sleep(1.0)
             bench.ask("a2")
             await asyncio.sleep(1.0)
@@ -228,22 +228,22 @@
     def test_planner_trusts_the_report_over_the_entry(self):
         async def scenario():
             bench = Bench(1)
-            bench.state.replicas["e0"] = born("e0", 1)
+            bench.state.replicas["e0"] = entry_with_start("e0", 1)
             await asyncio.sleep(1.0)
             engine = bench.planner.engines["e0"]
             engine.remember(Holding(A1, 1))
             report = bench.transport.report
 
-            async def report_of_another_life(replica):
+            async def report_of_another_incarnation(replica):
                 return replace(await report(replica), born=2)
 
-            bench.transport.report = report_of_another_life
+            bench.transport.report = report_of_another_incarnation
             engine.synced = False
             await asyncio.sleep(1.0)
             replacement = bench.planner.engines["e0"]
             assert replacement is not engine
             assert not replacement.cached
-            bench.state.replicas["e0"] = born("e0", 2)
+            bench.state.replicas["e0"] = entry_with_start("e0", 2)
             await asyncio.sleep(0.3)
             assert bench.planner.engines["e0"] is replacement
             await bench.stop()
@@ -282,7 +282,7 @@
         assert index.with_key(A1) == {"e0": replacement}
 
 
-def born(name, number):
+def entry_with_start(name, number):
     return Replica(name, "llm", f"{name}:1", "hall", born=number)
 
 
@@ -294,7 +294,7 @@
     new.past.clear()
     new._keep()
     old.carry_out = new.carry_out
-    bench.state.replicas[name] = born(name, number)
+    bench.state.replicas[name] = entry_with_start(name, number)
 
 
 @pytest.mark.parametrize(("lost", "late"), [(0.0, 0.0), (0.0, 0.4), (0.2, 0.2)])
@@ -312,13 +312,13 @@
         async def scenario():
             bench = Bench(3, seed, lost, late)
             for name in bench.state.replicas:
-                bench.state.replicas[name] = born(name, 1)
+                bench.state.replicas[name] = entry_with_start(name, 1)
             incarnations = list(bench.transport.engines.values())
             await asyncio.sleep(0.5)
-            for at, (number, pause_s, action) in enumerate(steps):
+            for i, (number, pause_s, action) in enumerate(steps):
                 await asyncio.sleep(pause_s)
                 if action == "s":
-                    restart(bench, f"e{number % 3}", 2 + at)
+                    restart(bench, f"e{number % 3}", 2 + i)
                     incarnations.append(bench.transport.engines[f"e{number % 3}"])
                 else:
                     step(bench, number, action)
--- a/tests/test_model_renewal.py
+++ b/tests/test_model_renewal.py
@@ -67,9 +67,11 @@
             bench.state.versions[MODEL] = 2
             for _ in range(200):
                 await asyncio.sleep(0.05)
-                ready = [one for one in bench.transport.engines.values() if one.can_run(MODEL)]
+                ready = [
+                    engine for engine in bench.transport.engines.values() if engine.can_run(MODEL)
+                ]
                 assert len(ready) >= engines / 2
-            assert all(one.held[MODEL] == 2 for one in bench.transport.engines.values())
+            assert all(engine.held[MODEL] == 2 for engine in bench.transport.engines.values())
             await bench.stop()
 
         run(scenario)
@@ -84,7 +86,11 @@
             bench.use(name, "a1", 1)
             bench.state.versions[MODEL] = 2
             await asyncio.sleep(4.5)
-            (other,) = [one for at, one in bench.transport.engines.items() if at != name]
+            (other,) = [
+                engine
+                for engine_name, engine in bench.transport.engines.items()
+                if engine_name != name
+            ]
             assert other.held[MODEL] == 2
             assert not bench.planner.engines[name].holds(KEY)
             await bench.stop()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -82,8 +82,8 @@
         self.clock = asyncio.get_running_loop().time
         self.state = FleetState()
         self.transport = ModelTransport(random.Random(seed), lost, late)
-        for at in range(engines):
-            self.add(f"e{at}")
+        for i in range(engines):
+            self.add(f"e{i}")
         window = LoadWindow(2.0, 5.0, 1.1, 3)
         self.planner = Planner(
             "llm", "me", spec, self.state, self.transport, window, self.clock, room=room
@@ -182,13 +182,13 @@
             begun = bench.ask("c2", wait_s=3.7, begun=True)
             await asyncio.sleep(0.6)
             assert not {held, begun} & bench.collect().keys()
-            for at in range(40):
-                bench.ask(f"b{at}", wait_s=60.0, value=5.0)
+            for i in range(40):
+                bench.ask(f"b{i}", wait_s=60.0, value=5.0)
             await asyncio.sleep(0.05)
-            fresh = bench.ask("c3", wait_s=3.7)
+            late_request = bench.ask("c3", wait_s=3.7)
             await asyncio.sleep(0.05)
             answers = bench.collect()
-            for ticket in (held, fresh):
+            for ticket in (held, late_request):
                 assert answers[ticket].replica == ""
                 assert 0 < answers[ticket].retry_after_ms <= 3700 / 3
             assert begun not in answers
@@ -400,8 +400,8 @@
             await asyncio.sleep(0.5)
             given = len(bench.transport.given)
             assert bench.planner.is_outranked
-            for at in range(5):
-                bench.ask(f"b{at}")
+            for i in range(5):
+                bench.ask(f"b{i}")
             await asyncio.sleep(2.0)
             assert len(bench.transport.given) == given
             await bench.stop()
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -70,7 +70,7 @@
 
     def holders(self, adapter):
         key = AdapterKey("m", adapter)
-        return sorted(name for name, it in self.planner.engines.items() if it.holds(key))
+        return sorted(name for name, engine in self.planner.engines.items() if engine.holds(key))
 
     def can_run(self, adapter):
         key = AdapterKey("m", adapter)
@@ -82,8 +82,8 @@
 
 def is_coming(bench, adapter):
     key = AdapterKey("m", adapter)
-    places = [engine.places.get(key) for engine in bench.planner.engines.values()]
-    return any(place is not None and place.phase is Phase.LOADING for place in places)
+    slots = [engine.slots.get(key) for engine in bench.planner.engines.values()]
+    return any(place is not None and place.phase is Phase.LOADING for place in slots)
 
 
 def holders_after_departure(is_on=True, count=8):
@@ -167,13 +167,13 @@
         async def scenario():
             bench = RefillBench(engines=16)
             await asyncio.sleep(0.5)
-            adapters = [f"a{n}" for n in range(24)]
-            for at, adapter in enumerate(adapters):
-                await bench.place(adapter, only=f"e{at // 3}")
-                bench.report_requests(f"e{at // 3}", adapter, 40)
+            adapters = [f"a{i}" for i in range(24)]
+            for i, adapter in enumerate(adapters):
+                await bench.place(adapter, only=f"e{i // 3}")
+                bench.report_requests(f"e{i // 3}", adapter, 40)
             max_loads = math.ceil(SPARE_STORE_FRACTION * bench.planner.loading.pace.at_once)
             assert 1 < max_loads < MAX_LOADS_PER_PASS
-            for name in [f"e{at}" for at in range(8)]:
+            for name in [f"e{i}" for i in range(8)]:
                 bench.announce_departure(name)
             bench.planner.refresh()
             for _ in range(2):
@@ -191,7 +191,7 @@
             engine, now = bench.planner.engines["e0"], bench.clock()
             for number in range(MAX_LOST_ADAPTERS + 50):
                 key = AdapterKey("m", f"x{number}")
-                engine.places[key] = Place(1, Phase.READY, now)
+                engine.slots[key] = Place(1, Phase.READY, now)
                 bench.planner.popularity.note(key.text, now, 8.0 + number)
             bench.planner.index.drop(engine)
             bench.planner.refill.note_lost(engine, True, now)
@@ -280,9 +280,9 @@
     async def scenario():
         bench = RefillBench(engines=6, is_on=is_on)
         await asyncio.sleep(0.5)
-        adapters = [f"a{n}" for n in range(9)]
-        for at, adapter in enumerate(adapters):
-            await bench.place(adapter, only=f"e{at // 3}")
+        adapters = [f"a{i}" for i in range(9)]
+        for i, adapter in enumerate(adapters):
+            await bench.place(adapter, only=f"e{i // 3}")
         missing = 0
         for name in ("e0", "e1", "e2"):
             for adapter in adapters:
@@ -307,7 +307,7 @@
         planner = Planner("s", "i", SPEC, FleetState(), None, None, clock, features=features)
         engine = Engine(Replica("e0", "s", "e0:1", "hall"), SPEC)
         key = AdapterKey("m", "a")
-        engine.places[key] = Place(1, Phase.READY, clock())
+        engine.slots[key] = Place(1, Phase.READY, clock())
         planner.popularity.note(key.text, clock(), 8.0)
         planner.refill.note_lost(engine, True, clock())
         return list(planner.refill._lost)
