--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -287,13 +287,13 @@
     def begin_life(self, engine: Engine, born: int) -> Engine:
         """Replace the state of an engine whose process restarted; `born` names the new one."""
         name, now = engine.replica.name, self._clock()
-        unacknowledged_loads = engine.unacknowledged_loads(now)
+        strays = engine.unacknowledged_loads(now)
         self.index.drop(engine)
         self.refill.note_lost(engine, True, now)
         engine.is_replaced = True
-        log.info("engine restarted", replica=name, born=born, strays=len(unacknowledged_loads))
+        log.info("engine restarted", replica=name, born=born, strays=len(strays))
         replacement = self.engines[name] = Engine(
-            engine.replica, self._spec, self.index, unacknowledged_loads, born
+            engine.replica, self._spec, self.index, strays, born
         )
         self.followers.mark(name)
         for part in self.parts:
