--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -563,7 +563,7 @@
         It does if it would miss its target there, wait for a batch slot or displace another.
         """
         # A resumed stream has a client that waits for the next event.
-        is_full = not waiter.ask.is_started and not self._has_capacity(best, waiter, now)
+        is_full = not waiter.ask.begun and not self._has_capacity(best, waiter, now)
         if now > waiter.asked_at + (
             self.fair_queue.max_hold_s(waiter) if is_full else MAX_REDIRECT_WAIT_S
         ):
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -82,7 +82,7 @@
 
 def is_coming(bench, adapter):
     key = AdapterKey("m", adapter)
-    slots = [engine.slots.get(key) for engine in bench.planner.engines.values()]
+    slots = [engine.places.get(key) for engine in bench.planner.engines.values()]
     return any(place is not None and place.phase is Phase.LOADING for place in slots)
 
 
@@ -191,7 +191,7 @@
             engine, now = bench.planner.engines["e0"], bench.clock()
             for number in range(MAX_LOST_ADAPTERS + 50):
                 key = AdapterKey("m", f"x{number}")
-                engine.slots[key] = Place(1, Phase.READY, now)
+                engine.places[key] = Place(1, Phase.READY, now)
                 bench.planner.popularity.note(key.text, now, 8.0 + number)
             bench.planner.index.drop(engine)
             bench.planner.refill.note_lost(engine, True, now)
@@ -307,7 +307,7 @@
         planner = Planner("s", "i", SPEC, FleetState(), None, None, clock, features=features)
         engine = Engine(Replica("e0", "s", "e0:1", "hall"), SPEC)
         key = AdapterKey("m", "a")
-        engine.slots[key] = Place(1, Phase.READY, clock())
+        engine.places[key] = Place(1, Phase.READY, clock())
         planner.popularity.note(key.text, clock(), 8.0)
         planner.refill.note_lost(engine, True, clock())
         return list(planner.refill._lost)
