--- a/tests/engine_model.py
+++ b/tests/engine_model.py
@@ -19,12 +19,12 @@
         self.orders = 0
         self.fence = 0
         self.fell = False
-        self.had = set()
+        self.cached = set()
         """Adapters and versions in host memory, which load ten times as fast."""
         self.users = {}
         self.leaving = set()
-        self.past = []
-        self._keep()
+        self.history = []
+        self._record_state()
 
     def carry_out(self, order):
         if self.checks_tokens and order.fence < self.fence:
@@ -33,7 +33,7 @@
         if order.expected != self.orders:
             return OrderOutcome.CONFLICT
         outcome = self._load(order) if order.load else self._unload(order)
-        self._keep()
+        self._record_state()
         return outcome
 
     def use(self, key, count):
@@ -42,7 +42,7 @@
         for leaving in [candidate for candidate in self.leaving if not self._is_used(candidate)]:
             self.leaving.discard(leaving)
             self._drop(leaving)
-            self._keep()
+            self._record_state()
 
     def can_run(self, key):
         needed = (key, AdapterKey(key.model)) if key is not None else (key,)
@@ -60,8 +60,8 @@
 
     def report(self):
         at = self.clock() - REPORT_LAG_S
-        visible = self.past[0]
-        for state in self.past:
+        visible = self.history[0]
+        for state in self.history:
             if state[0] <= at:
                 visible = state
         _, orders, held, ready_at = visible
@@ -79,8 +79,8 @@
         self.held[order.key] = version
         load_s = 0.6
         if order.key.adapter:
-            load_s = 0.025 if (order.key, version) in self.had else 0.25
-            self.had.add((order.key, version))
+            load_s = 0.025 if (order.key, version) in self.cached else 0.25
+            self.cached.add((order.key, version))
         self.ready_at[order.key] = self.clock() + load_s
         if sum(bool(key.adapter) for key in self.held) > SLOTS:
             self.fell = True
@@ -100,5 +100,5 @@
         if not dropped.adapter:
             self.held = {key: at for key, at in self.held.items() if key.model != dropped.model}
 
-    def _keep(self):
-        self.past.append((self.clock(), self.orders, dict(self.held), dict(self.ready_at)))
+    def _record_state(self):
+        self.history.append((self.clock(), self.orders, dict(self.held), dict(self.ready_at)))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -291,8 +291,8 @@
     old = bench.transport.engines[name]
     new = bench.transport.engines[name] = ModelEngine(bench.clock, bench.state.versions)
     new.held.clear()
-    new.past.clear()
-    new._keep()
+    new.history.clear()
+    new._record_state()
     old.carry_out = new.carry_out
     bench.state.replicas[name] = entry_with_start(name, number)
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -222,8 +222,8 @@
             bench = Bench(engines=1)
             engine = bench.transport.engines["e0"]
             engine.held.clear()
-            engine.past.clear()
-            engine._keep()
+            engine.history.clear()
+            engine._record_state()
             await asyncio.sleep(3.0)
             assert engine.can_run(MODEL)
             await bench.stop()
