--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -1,4 +1,7 @@
-"""One engine as its planner keeps it: places, orders in their sequence, doubts."""
+"""A planner's record of one engine: its weights, requests, order sequence and sync state.
+
+The planner creates an `Engine` for each replica and replaces it when the process restarts.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 import logbook
 from gradelug_policy.reading import Busyness, Work, add_queues, less_queue
 
-from .holders import EngineIndex, Places
+from .holders import EngineIndex, WeightSlots
 from .model import (
     AdapterKey,
     EngineReport,
@@ -27,43 +30,44 @@
 from .ports import OrderTransport
 
 log = logbook.Logger("engine")
-HOST_PER_PLACE = 6
-"""Adapters that an engine's host memory is taken to keep for each place: 36 with 6 places and 54
-with 9 on the users' engines. A load that was wrongly expected from there is awaited longer."""
+CACHED_ADAPTERS_PER_SLOT = 6
+"""Adapters assumed to stay in an engine's host memory, for each adapter slot: engines keep 36 with
+6 slots and 54 with 9. A load that was wrongly expected to come from there is awaited longer."""
 REPORT_LAG_S = 0.35
-"""A report shows the state of some hundred ms ago."""
-STRAY_S = 15.0
-"""An order without an answer may be carried out seconds later, 12 s at the most, and then reach a
-process that has started again under the engine's name."""
-LOADS_AT_ONCE = 4
-"""Adapters that may be on their way to an engine."""
-MAX_TRIES = 3
-NO_LOAD = ToldLoad()
-IDLE_S = 0.06
-"""An adapter makes way when it was unused this long: uses are told with a delay."""
+"""Maximum age of the state in an engine's report, which is some hundred ms old."""
+UNACKNOWLEDGED_LOAD_TTL_S = 15.0
+"""An order without an answer may take effect up to 12 s later, and may then reach a process that
+has restarted under the engine's name."""
+MAX_CONCURRENT_LOADS = 4
+"""Adapters that may be loading on one engine."""
+MAX_ORDER_ATTEMPTS = 3
+"""Maximum number of sends of an order that gets no answer."""
+EMPTY_LOAD = ToldLoad()
+MIN_IDLE_BEFORE_EVICTION_S = 0.06
+"""Time without use before an adapter may be evicted: uses are reported with a delay."""
 
 
 class Phase(Enum):
-    """What may be done with weights in a place."""
+    """Lifecycle state of weights on an engine."""
 
     LOADING = "loading"
     READY = "ready"
     LEAVING = "leaving"
-    """No new requests; it is to be unloaded when its requests have ended."""
+    """No new requests; unloaded when its requests have ended."""
     UNLOADING = "unloading"
-    """Ordered to go; the engine still runs requests that use it."""
+    """Unload ordered; the engine still runs requests that use the weights."""
 
 
 @dataclass(slots=True, frozen=True)
-class StrayLoad:
-    """A load that was ordered in an earlier life of an engine and may still be carried out.
+class UnacknowledgedLoad:
+    """A load order without an answer, which may still take effect, also after a restart.
 
     Parameters
     ----------
     expected : int
-        How many orders the engine must have taken then.
+        Number of orders that the engine must have accepted for it to take effect.
     until : float
-        Until when it may be carried out, by the runtime's clock.
+        Time until which it may take effect, by the runtime's clock.
     """
 
     expected: int
@@ -71,15 +75,15 @@
 
 
 class Place:
-    """A place of an engine with weights in it."""
+    """Weights that an engine holds, loads or unloads, with their phase."""
 
     __slots__ = (
-        "at_limit",
+        "was_store_saturated",
         "began_at",
-        "ordered_at",
+        "acknowledged_at",
         "phase",
         "ready_at",
-        "under_way",
+        "store_loads_at_start",
         "used_at",
         "version",
     )
@@ -88,47 +92,48 @@
         self.version = version
         self.phase = phase
         self.began_at = now
-        self.ordered_at = now
-        """When the engine answered the order to load it."""
+        self.acknowledged_at = now
+        """Time at which the engine accepted the load order."""
         self.ready_at = now
         self.used_at = now
-        self.at_limit = False
-        """Whether as many loads as allowed were under way when its own began."""
-        self.under_way = 0
-        """Loads from the weight store under way when its own began; 0 for other loads."""
+        self.was_store_saturated = False
+        """Whether the weight store was at its limit of concurrent loads when this load started."""
+        self.store_loads_at_start = 0
+        """Concurrent loads from the weight store at its start, itself included; 0 if cached."""
 
 
 class Engine:
-    """State of an engine.
+    """State of one incarnation of an engine, that is, of one process under its name.
 
     Parameters
     ----------
     replica : Replica
-        As it says of itself.
+        The engine's entry in the platform's store.
     spec : EngineSpec
-        What replicas of its service are like.
+        Capacity of the engines of its service.
     index : EngineIndex or None
-        Told of what is in its places and its host memory, and when what runs there has changed.
-    strays : iterable of StrayLoad
-        Loads ordered in its earlier lives: a place is kept free for each as long as the engine
-        may take it, since one place too many ends the engine.
+        Updated when the weights, the host cache or the requests of the engine change.
+    inherited_loads : iterable of UnacknowledgedLoad
+        Loads ordered from earlier incarnations. An adapter slot stays free for each while it may
+        still take effect, since one adapter too many crashes the engine.
     born : int
-        The life that it is in, if its report tells of another one than its entry; 0 if not.
+        Start time that identifies the incarnation, if the engine's report names another one than
+        its entry; 0 to use the entry's.
     """
 
     __slots__ = (
         "active",
-        "asked_at",
+        "sync_started_at",
         "born",
         "cached",
         "_index",
-        "_loads",
-        "_lost_loads",
-        "_strays",
-        "_told_born",
-        "_total",
+        "_loads_by_gateway",
+        "_unacknowledged_loads",
+        "_inherited_loads",
+        "_registered_born",
+        "_total_load",
         "lock",
-        "has_ended",
+        "is_replaced",
         "orders",
         "places",
         "replica",
@@ -142,90 +147,90 @@
         replica: Replica,
         spec: EngineSpec,
         index: EngineIndex | None = None,
-        strays: t.Iterable[StrayLoad] = (),
+        inherited_loads: t.Iterable[UnacknowledgedLoad] = (),
         born: int = 0,
     ) -> None:
         self.replica = replica
         self.born = born or replica.born
-        """Names the life of which all the rest is known."""
-        self._told_born = replica.born
-        """The life that the platform's entry told last: a report may be ahead of it."""
-        self.has_ended = False
-        """Whether that life is over: no order that was decided for it is given."""
-        self._strays = tuple(strays)
-        self._lost_loads: list[StrayLoad] = []
+        """Identifies the incarnation that this object describes; 0 if unknown."""
+        self._registered_born = replica.born
+        """Incarnation in the platform's last entry, which may be older than the report's."""
+        self.is_replaced = False
+        """Whether the process has restarted: orders decided for this incarnation are not sent."""
+        self._inherited_loads = tuple(inherited_loads)
+        self._unacknowledged_loads: list[UnacknowledgedLoad] = []
         self.spec = spec
         self._index = index if index is not None else EngineIndex()
         self.orders = 0
-        self.places = Places(self, self._index)
+        self.places = WeightSlots(self, self._index)
         self.cached: dict[Holding, None] = {}
-        """Adapters that host memory keeps, those of the longest ago first."""
+        """Adapters in the host memory, least recently added first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
-        """Requests by weights and gateway, of those that have any."""
-        self._loads: dict[int, ToldLoad] = {}
-        """What runs there, by gateway, of those that have anything there."""
-        self._total = ToldLoad()
+        """Number of requests by weights and gateway; only entries above 0."""
+        self._loads_by_gateway: dict[int, ToldLoad] = {}
+        """Reported load by gateway; only gateways with requests on the engine."""
+        self._total_load = ToldLoad()
         self.lock = asyncio.Lock()
-        """Held while an order is on its way: each names how many came before it."""
+        """Held while an order is in flight: each order carries the number of orders before it."""
         self.synced = False
-        """Whether places and number of orders are known."""
+        """Whether the weights and the number of orders are known."""
         self.syncing = False
-        self.asked_at = -math.inf
-        """When it was asked for its state last."""
+        self.sync_started_at = -math.inf
+        """Time of the last state query."""
 
     @property
     def starting(self) -> int:
         """Requests before their first event."""
-        return self._total.starting
+        return self._total_load.starting
 
     @property
     def running(self) -> int:
         """Requests after their first event."""
-        return self._total.running
+        return self._total_load.running
 
     def load(self) -> ToldLoad:
-        """Return what runs there, of all gateways."""
-        return self._total
+        """Return the load from all gateways."""
+        return self._total_load
 
     def take_load(self, gateway: int, load: ToldLoad) -> None:
-        """Take over what a gateway has there.
+        """Set the load that one gateway reports.
 
-        The sum is kept and not made anew: it is asked for with each decision about each engine.
+        The total is updated by the difference, since each decision reads it for each engine.
         """
-        before = self._loads.get(gateway, NO_LOAD)
+        previous = self._loads_by_gateway.get(gateway, EMPTY_LOAD)
         if load.starting or load.running or any(load.queued):
-            self._loads[gateway] = load
+            self._loads_by_gateway[gateway] = load
         else:
-            self._loads.pop(gateway, None)
+            self._loads_by_gateway.pop(gateway, None)
         self._index.changed_loads.add(self.replica.name)
-        total = self._total
-        self._total = ToldLoad(
-            total.starting + load.starting - before.starting,
-            total.running + load.running - before.running,
-            less_queue(add_queues((total.queued, load.queued)), before.queued),
-            total.memory + load.memory - before.memory,
+        current = self._total_load
+        self._total_load = ToldLoad(
+            current.starting + load.starting - previous.starting,
+            current.running + load.running - previous.running,
+            less_queue(add_queues((current.queued, load.queued)), previous.queued),
+            current.memory + load.memory - previous.memory,
         )
 
-    def book(self, gateway: int, work: Work) -> None:
-        """Count a request that a gateway was told to send here, until it tells what it has here."""
-        load = self._loads.get(gateway, ToldLoad())
+    def reserve(self, gateway: int, work: Work) -> None:
+        """Add a request assigned to this engine, until its gateway reports its load."""
+        load = self._loads_by_gateway.get(gateway, ToldLoad())
         prompt = (0,) * work.urgency + (work.reading_tokens,)
         queued = add_queues((load.queued, prompt))
         memory = load.memory + work.memory_tokens
         self.take_load(gateway, ToldLoad(load.starting + 1, load.running, queued, memory))
 
     def busyness(self) -> Busyness:
-        """Return what the engine does."""
-        total = self._total
-        return Busyness(total.queued, total.running, total.starting, total.memory)
+        """Return the engine's load in the form that the policies use."""
+        current = self._total_load
+        return Busyness(current.queued, current.running, current.starting, current.memory)
 
     @property
     def gateways(self) -> t.KeysView[int]:
-        """Gateways that have requests there."""
-        return self._loads.keys()
+        """Numbers of the gateways with requests on the engine."""
+        return self._loads_by_gateway.keys()
 
     def take_use(self, gateway: int, key: AdapterKey, active: int) -> None:
-        """Take over how many requests of a gateway use weights."""
+        """Set how many requests of one gateway use some weights."""
         counts = self.active.setdefault(key, Counter())
         if active:
             counts[gateway] = active
@@ -234,12 +239,12 @@
         if not counts:
             del self.active[key]
 
-    def users(self, key: AdapterKey) -> int:
-        """Return how many requests use weights."""
+    def request_count(self, key: AdapterKey) -> int:
+        """Return how many requests use some weights."""
         counts = self.active.get(key)
         return sum(counts.values()) if counts else 0
 
-    def model_users(self, model: str) -> int:
+    def model_request_count(self, model: str) -> int:
         """Return how many requests use a base model, with an adapter or without one."""
         return sum(
             sum(counts.values()) for key, counts in self.active.items() if key.model == model
@@ -249,55 +254,61 @@
         """Tell whether any request uses a base model, with an adapter or without one."""
         return any(key.model == model for key in self.active)
 
-    def has_any_base(self) -> bool:
-        """Tell whether any base model can be used now."""
+    def has_any_model(self) -> bool:
+        """Tell whether any base model is ready for requests."""
         return any(
-            place.phase is Phase.READY for key, place in self.places.items() if not key.adapter
+            slot.phase is Phase.READY for key, slot in self.places.items() if not key.adapter
         )
 
-    def close(self, base: AdapterKey) -> None:
-        """Take no new requests for a base model and its adapters."""
-        for key, place in self.places.items():
-            if key.model == base.model and place.phase is Phase.READY:
-                place.phase = Phase.LEAVING
+    def drain_model(self, base: AdapterKey) -> None:
+        """Accept no new requests for a base model and its adapters."""
+        for key, slot in self.places.items():
+            if key.model == base.model and slot.phase is Phase.READY:
+                slot.phase = Phase.LEAVING
 
     def drop_model(self, base: AdapterKey) -> None:
-        """Forget a base model that was unloaded, and its adapters with it."""
+        """Remove a base model that was unloaded, with its adapters."""
         for key in [key for key in self.places if key.model == base.model]:
             del self.places[key]
 
     def is_in_use(self) -> bool:
-        """Tell whether any request runs there."""
+        """Tell whether the engine has any requests."""
         return bool(self.starting or self.running or self.active)
 
     def holds(self, key: AdapterKey) -> bool:
-        """Tell whether weights can be used now."""
-        place = self.places.get(key)
-        return place is not None and place.phase is Phase.READY
+        """Tell whether some weights are ready for requests."""
+        slot = self.places.get(key)
+        return slot is not None and slot.phase is Phase.READY
 
-    def has_base(self, model: str) -> bool:
-        """Tell whether a base model can be used now."""
+    def has_model(self, model: str) -> bool:
+        """Tell whether a base model is ready for requests."""
         return self.holds(AdapterKey(model))
 
     def adapters(self) -> t.Iterator[tuple[AdapterKey, Place]]:
-        """Yield the adapters in places."""
-        return ((key, place) for key, place in self.places.items() if key.adapter)
+        """Yield the adapters on the engine, in any phase."""
+        return ((key, slot) for key, slot in self.places.items() if key.adapter)
 
-    def free(self) -> int:
-        """Return the number of empty places for adapters."""
-        strays = sum(stray.expected >= self.orders for stray in self._strays)
-        return self.spec.adapter_slots - strays - (len(self.places) - self.places.bases)
+    def free_adapter_slots(self) -> int:
+        """Return the number of free adapter slots, less those reserved for inherited loads."""
+        inherited_loads = sum(
+            inherited.expected >= self.orders for inherited in self._inherited_loads
+        )
+        return (
+            self.spec.adapter_slots
+            - inherited_loads
+            - (len(self.places) - self.places.base_model_count)
+        )
 
-    def begins_again(self, rep: Replica) -> bool:
-        """Take over what the replica says of itself; tell whether it began another life."""
+    def update_replica(self, rep: Replica) -> bool:
+        """Set the platform's entry; tell whether it names another incarnation."""
         self.replica = rep
-        if not rep.born or rep.born == self._told_born:
+        if not rep.born or rep.born == self._registered_born:
             return False
-        self._told_born = rep.born
-        return self.begins_life(rep.born)
+        self._registered_born = rep.born
+        return self.update_incarnation(rep.born)
 
-    def begins_life(self, born: int) -> bool:
-        """Take over which life an engine is in; tell whether it is another one than was known."""
+    def update_incarnation(self, born: int) -> bool:
+        """Set the incarnation if unknown; tell whether it differs from the known one."""
         if not born or born == self.born:
             return False
         if not self.born:
@@ -305,102 +316,111 @@
             return False
         return True
 
-    def note_lost_load(self, expected: int, now: float) -> None:
-        """Note a load without an answer, ordered after so many others."""
-        self._lost_loads.append(StrayLoad(expected, now + STRAY_S))
-
-    def strays(self, now: float) -> tuple[StrayLoad, ...]:
-        """Return the loads of this life and of earlier ones that may reach the next one."""
-        self.drop_strays(now)
-        return (*self._strays, *(lost for lost in self._lost_loads if lost.until > now))
-
-    def drop_strays(self, now: float) -> None:
-        """Forget what cannot be carried out any more."""
-        if self._strays:
-            self._strays = tuple(stray for stray in self._strays if stray.until > now)
-        if self._lost_loads and self._lost_loads[0].until <= now:
-            self._lost_loads = [lost for lost in self._lost_loads if lost.until > now]
+    def note_unacknowledged_load(self, expected: int, now: float) -> None:
+        """Record a load order without an answer that had `expected` orders before it."""
+        self._unacknowledged_loads.append(
+            UnacknowledgedLoad(expected, now + UNACKNOWLEDGED_LOAD_TTL_S)
+        )
 
-    def loading(self) -> int:
-        """Return how many adapters are on their way."""
-        return sum(place.phase is Phase.LOADING for _, place in self.adapters())
+    def unacknowledged_loads(self, now: float) -> tuple[UnacknowledgedLoad, ...]:
+        """Return the loads of this and earlier incarnations that may still take effect."""
+        self.drop_expired_loads(now)
+        return (
+            *self._inherited_loads,
+            *(pending for pending in self._unacknowledged_loads if pending.until > now),
+        )
 
-    def idle(self, now: float) -> list[AdapterKey]:
-        """Return the adapters that can make way."""
+    def drop_expired_loads(self, now: float) -> None:
+        """Remove loads that cannot take effect any more."""
+        if self._inherited_loads:
+            self._inherited_loads = tuple(
+                inherited for inherited in self._inherited_loads if inherited.until > now
+            )
+        if self._unacknowledged_loads and self._unacknowledged_loads[0].until <= now:
+            self._unacknowledged_loads = [
+                pending for pending in self._unacknowledged_loads if pending.until > now
+            ]
+
+    def loading_count(self) -> int:
+        """Return how many adapters are loading."""
+        return sum(slot.phase is Phase.LOADING for _, slot in self.adapters())
+
+    def evictable(self, now: float) -> list[AdapterKey]:
+        """Return the adapters that can be evicted."""
         return [
             key
-            for key, place in self.adapters()
-            if place.phase in (Phase.READY, Phase.LEAVING)
-            and not self.users(key)
-            and now - place.used_at >= IDLE_S
+            for key, slot in self.adapters()
+            if slot.phase in (Phase.READY, Phase.LEAVING)
+            and not self.request_count(key)
+            and now - slot.used_at >= MIN_IDLE_BEFORE_EVICTION_S
         ]
 
     def is_cached(self, key: AdapterKey, version: int) -> bool:
-        """Tell whether host memory keeps an adapter at a version."""
+        """Tell whether the host memory holds an adapter at a version."""
         return Holding(key, version) in self.cached
 
     def remember(self, holding: Holding) -> None:
-        """Note that host memory has a copy now."""
+        """Add an adapter to the host cache, dropping the oldest ones beyond its size."""
         self.cached.pop(holding, None)
         self.cached[holding] = None
         self._index.note_cached(self, holding, True)
-        while len(self.cached) > HOST_PER_PLACE * self.spec.adapter_slots:
+        while len(self.cached) > CACHED_ADAPTERS_PER_SLOT * self.spec.adapter_slots:
             oldest = next(iter(self.cached))
             del self.cached[oldest]
             self._index.note_cached(self, oldest, False)
 
     def can_load(self) -> bool:
-        """Tell whether an order to load an adapter may be given now."""
-        return self.synced and self.loading() < LOADS_AT_ONCE
+        """Tell whether the engine can be ordered to load an adapter now."""
+        return self.synced and self.loading_count() < MAX_CONCURRENT_LOADS
 
-    def lacks(self, key: AdapterKey) -> bool:
-        """Tell whether an adapter is not there although its base model is."""
-        return key not in self.places and self.has_base(key.model)
+    def is_missing(self, key: AdapterKey) -> bool:
+        """Tell whether an adapter is missing while its base model is ready."""
+        return key not in self.places and self.has_model(key.model)
 
     def take_out(self, text: str) -> AdapterKey:
-        """Take an adapter out of its place, which another shares until the first is gone."""
-        key = next(found for found in self.places if found.text == text)
+        """Remove an adapter, given by its text, so that another can be loaded; return its key."""
+        key = next(candidate for candidate in self.places if candidate.text == text)
         del self.places[key]
         return key
 
-    def undo(self, key: AdapterKey, place: Place) -> None:
-        """Take weights out of a place that did not get there."""
-        if self.places.get(key) is place:
+    def discard(self, key: AdapterKey, slot: Place) -> None:
+        """Remove weights after a failed load, unless another slot has replaced the given one."""
+        if self.places.get(key) is slot:
             del self.places[key]
 
-    def forget(self, gateway: int) -> None:
-        """Forget what a gateway ran."""
-        if gateway in self._loads:
-            self.take_load(gateway, NO_LOAD)
+    def forget_gateway(self, gateway: int) -> None:
+        """Remove all requests of a gateway."""
+        if gateway in self._loads_by_gateway:
+            self.take_load(gateway, EMPTY_LOAD)
         for key in [key for key, counts in self.active.items() if gateway in counts]:
             self.take_use(gateway, key, 0)
 
-    def take_told(self, now: float) -> None:
-        """Take what it tells of itself in the platform's store for what it holds.
+    def assume_registered_holdings(self, now: float) -> None:
+        """Assume that the engine holds the weights listed in the platform's store.
 
-        That may be late: it counts until the engine's own report, and an engine that lacks what it
-        told of is taken at its word.
+        The list may be outdated. It is used until the engine's own report, and weights that a
+        replica rejects as missing are dropped.
         """
         for holding in self.replica.holdings:
-            place = self.places[holding.key] = Place(holding.version, Phase.READY, now)
-            place.ready_at = -math.inf
+            slot = self.places[holding.key] = Place(holding.version, Phase.READY, now)
+            slot.ready_at = -math.inf
 
     def take_report(self, report: EngineReport, now: float) -> None:
-        """Take over what the engine reports."""
+        """Apply an engine's report."""
         self.orders = report.orders
-        places: dict[AdapterKey, Place] = {}
+        slots: dict[AdapterKey, Place] = {}
         for holding in report.holdings:
             old = self.places.get(holding.key)
             if old is not None and old.phase is Phase.UNLOADING:
-                places[holding.key] = old
+                slots[holding.key] = old
                 continue
-            place = Place(holding.version, Phase.READY, now)
+            slot = Place(holding.version, Phase.READY, now)
             if old is not None:
-                place.used_at = old.used_at
-            places[holding.key] = place
+                slot.used_at = old.used_at
+            slots[holding.key] = slot
         for holding in report.loading:
-            places[holding.key] = Place(holding.version, Phase.LOADING, now)
-        self.places.replace(places)
+            slots[holding.key] = Place(holding.version, Phase.LOADING, now)
+        self.places.replace(slots)
         for holding in report.cached:
             self.remember(holding)
         self.synced = not report.busy and not report.loading
@@ -414,16 +434,16 @@
         owner: str,
         term: Term,
     ) -> OrderOutcome:
-        """Give an order; the lock must be held. Doubtful outcomes leave it unsynced.
+        """Send an order; the lock must be held. Uncertain outcomes leave the engine unsynced.
 
-        An order without an answer is given again at once: it names how many orders came before
-        it, so that only one of the two can take effect, whichever comes first. Nothing is sent
-        once the term under which it was decided is over.
+        An order without an answer is resent at once: it carries the number of orders before it, so
+        that only one of the two can take effect, whichever arrives first. Nothing is sent once the
+        term under which it was decided is over.
         """
         order = Order(load, key, version, self.orders, owner, term.fence)
         outcome = OrderOutcome.NOT_GIVEN
-        for _ in range(MAX_TRIES):
-            if term.is_over or self.has_ended:
+        for _ in range(MAX_ORDER_ATTEMPTS):
+            if term.is_over or self.is_replaced:
                 break
             outcome = await transport.order(self.replica, order)
             if outcome is not OrderOutcome.LOST:
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -1,4 +1,7 @@
-"""Which engines can take an adapter in, and what would make way there."""
+"""Finds engines that can load an adapter, and the adapters that they could evict for it.
+
+The planner creates a new set of targets for each decision and inspects each engine on first access.
+"""
 
 from __future__ import annotations
 
@@ -14,35 +17,35 @@
 from .holders import EngineIndex
 from .model import AdapterKey, Holding, Replica
 
-ALL_LOOKED_AT = 64
-"""Up to so many engines all are looked at for each load: it takes half a millisecond."""
+MAX_UNSAMPLED_ENGINES = 64
+"""Up to this many engines are all considered for each load, which takes 0.5 ms."""
 CANDIDATES = 32
-"""Of more engines so many with room are looked for: what is best among them is nearly the best."""
+"""Of more engines, this many are considered: their best is nearly the best of all."""
 KEEPERS = 16
-"""And so many of those that keep the adapter in host memory."""
+"""Additional candidates that hold the adapter in host memory."""
 
 
 @dataclass(slots=True, frozen=True)
-class Opening:
-    """Room on an engine for one more adapter.
+class LoadTarget:
+    """An engine that can load one more adapter.
 
     Parameters
     ----------
     engine : Engine
-        Where.
-    free : int
-        Empty places.
+        The engine.
+    free_slots : int
+        Number of free adapter slots.
     victims : tuple of Victim
-        What could make way where there is none.
+        Adapters that can be evicted, if no slot is free.
     """
 
     engine: Engine
-    free: int
+    free_slots: int
     victims: tuple[Victim, ...]
 
 
 def count_copies(index: EngineIndex, key: AdapterKey) -> int:
-    """Return on how many engines an adapter is or will be."""
+    """Return on how many engines an adapter is ready or loading."""
     return sum(
         engine.places[key].phase in (Phase.LOADING, Phase.READY)
         for engine in index.with_key(key).values()
@@ -50,25 +53,25 @@
 
 
 class Openings:
-    """The engines with room at one moment; each is looked at when it is asked for first.
+    """The engines that can load an adapter at one moment, inspected on first access.
 
     Parameters
     ----------
     engines : mapping of str to Engine
-        By name.
+        Engines by name.
     index : EngineIndex
-        Finds them by what they hold and keep.
+        Looks up engines by the weights that they hold or cache.
     cells : Cells
-        In which order they are looked at for an adapter.
+        Order in which engines are considered for an adapter.
     popularity : Popularity
-        How often adapters are asked for.
+        Request rates by adapter.
     may_order : callable
-        Tells whether orders can be given to a replica.
+        Takes a replica, returns whether orders can be sent to it.
     now : float
-        By the runtime's clock.
+        Current time by the runtime's clock.
     """
 
-    __slots__ = ("_cells", "_engines", "_found", "_index", "_may_order", "_now", "_popularity")
+    __slots__ = ("_cells", "_engines", "_targets", "_index", "_may_order", "_now", "_popularity")
 
     def __init__(
         self,
@@ -85,74 +88,74 @@
         self._popularity = popularity
         self._may_order = may_order
         self._now = now
-        self._found: dict[str, Opening | None] = {}
+        self._targets: dict[str, LoadTarget | None] = {}
 
     def candidates(
         self, key: AdapterKey, version: int, may_use: t.Callable[[str], bool]
-    ) -> list[tuple[str, Opening]]:
-        """Return engines that lack an adapter and have room for it.
+    ) -> list[tuple[str, LoadTarget]]:
+        """Return engines that lack an adapter and can load it, with their names.
 
         Parameters
         ----------
         key : AdapterKey
-            What is to be loaded.
+            Adapter to load.
         version : int
-            Which one of it host memory may keep.
+            Its version, by which engines that cache it in host memory are found.
         may_use : callable
-            Tells whether an engine may be chosen, by its name.
+            Takes an engine's name, returns whether it may be chosen.
         """
-        if len(self._engines) <= ALL_LOOKED_AT:
-            return list(self._open(self._engines, key, may_use))
-        keepers = self._index.keeping(Holding(key, version))
-        found = dict(itertools.islice(self._open(keepers, key, may_use), KEEPERS))
-        others = self._open(self._cells.homes(key.text), key, may_use)
+        if len(self._engines) <= MAX_UNSAMPLED_ENGINES:
+            return list(self._available(self._engines, key, may_use))
+        caching = self._index.engines_caching(Holding(key, version))
+        found = dict(itertools.islice(self._available(caching, key, may_use), KEEPERS))
+        others = self._available(self._cells.homes(key.text), key, may_use)
         found.update(itertools.islice(others, CANDIDATES))
         return list(found.items())
 
-    def has_place_for(self, name: str, rate: float) -> bool:
-        """Tell whether nothing would make way on an engine that is asked for as often.
+    def has_slot_for(self, name: str, rate: float) -> bool:
+        """Tell whether an engine has a free slot, or one with an adapter in less demand.
 
         Parameters
         ----------
         name : str
-            Which engine.
+            Name of the engine.
         rate : float
-            Requests a second for what is to be loaded.
+            Request rate of the adapter to load, in requests per second.
         """
-        opening = self._at(name)
-        if opening is None:
+        target = self._target(name)
+        if target is None:
             return False
-        return opening.free > 0 or any(victim.rate < rate for victim in opening.victims)
+        return target.free_slots > 0 or any(victim.rate < rate for victim in target.victims)
 
-    def renew(self, engine: Engine) -> None:
-        """Look again at an engine whose places have changed."""
-        self._found.pop(engine.replica.name, None)
+    def invalidate(self, engine: Engine) -> None:
+        """Drop what is known of an engine whose weights have changed."""
+        self._targets.pop(engine.replica.name, None)
 
-    def _open(
+    def _available(
         self, names: t.Iterable[str], key: AdapterKey, may_use: t.Callable[[str], bool]
-    ) -> t.Iterator[tuple[str, Opening]]:
+    ) -> t.Iterator[tuple[str, LoadTarget]]:
         for name in names:
-            opening = self._at(name)
-            if opening is not None and may_use(name) and opening.engine.lacks(key):
-                yield name, opening
+            target = self._target(name)
+            if target is not None and may_use(name) and target.engine.is_missing(key):
+                yield name, target
 
-    def _at(self, name: str) -> Opening | None:
-        if name not in self._found:
-            self._found[name] = self._find(self._engines[name])
-        return self._found[name]
+    def _target(self, name: str) -> LoadTarget | None:
+        if name not in self._targets:
+            self._targets[name] = self._find(self._engines[name])
+        return self._targets[name]
 
-    def _find(self, engine: Engine) -> Opening | None:
+    def _find(self, engine: Engine) -> LoadTarget | None:
         if not engine.can_load() or not self._may_order(engine.replica):
             return None
-        free = engine.free()
-        if free > 0:
-            return Opening(engine, free, ())
-        # Each copy of an adapter is missed for its share of the requests.
+        free_slots = engine.free_adapter_slots()
+        if free_slots > 0:
+            return LoadTarget(engine, free_slots, ())
+        # An evicted copy costs its share of the adapter's requests.
         victims = tuple(
             Victim(
                 key.text,
                 self._popularity.rate(key.text, self._now) / max(1, count_copies(self._index, key)),
             )
-            for key in engine.idle(self._now)
+            for key in engine.evictable(self._now)
         )
-        return Opening(engine, 0, victims) if victims else None
+        return LoadTarget(engine, 0, victims) if victims else None
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -1,4 +1,4 @@
-"""What a planner does without being asked: base models, new versions, further copies."""
+"""Periodic maintenance of a planner's engines: base models, new versions and further copies."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
     from .planner import Planner
 
 log = logbook.Logger("upkeep")
-MODEL_SLACK_S = 1.5
-"""A base model shows in an engine's report this long after its load at the latest."""
-PART_PER_COPY = 0.7
-"""Part of an engine's time that reading the prompts for one adapter may take before it gets another
-engine: beside the other adapters there it waits for itself then."""
+MODEL_REPORT_DELAY_S = 1.5
+"""Maximum time from the end of a base model's load until the engine's report shows it."""
+MAX_PREFILL_FRACTION_PER_COPY = 0.7
+"""Fraction of an engine's time that prefill for one adapter may take before it gets another copy:
+above it, next to the engine's other adapters, its requests queue behind each other."""
 
 
-class Upkeep:
-    """Keeps engines fit for what is asked of them.
+class Maintenance:
+    """Loads base models and further copies and renews versions, as demand requires.
 
     Parameters
     ----------
     planner : Planner
-        Whose engines.
+        Planner of the engines.
     spec : EngineSpec
-        What the engines are like.
+        Capacity of the engines and the base models of the service.
     window : LoadWindow
-        The weight store's limit on loads of base models.
+        Rate limit of the weight store for loads of base models.
     clock : callable
         The runtime's clock.
     """
 
     __slots__ = (
         "_clock",
-        "_coming",
+        "_loading_until",
         "_planner",
         "_renewal",
         "_spec",
@@ -60,72 +60,77 @@
         self._spec = spec
         self._window = window
         self._clock = clock
-        self._coming: dict[str, float] = {}
-        """Until when a base model is on its way, by its name."""
+        self._loading_until: dict[str, float] = {}
+        """Time until which a base model is expected to load, by its name."""
         self._renewal = Renewal(planner, clock)
 
-    def do(self, term: Term) -> None:
-        """Do what is due in the planner's term."""
-        self._renewal.do(term)
+    def run_due(self, term: Term) -> None:
+        """Run the maintenance that is due, in the planner's term."""
+        self._renewal.run_due(term)
         self._ensure_models(term)
-        self._place_wanted_models(term)
+        self._place_requested_models(term)
         self._add_copies()
 
     def _ensure_models(self, term: Term) -> None:
         for engine in self._planner.engines.values():
-            if engine.synced and not engine.places.bases and self._spec.models:
-                model = self._least_held_model()
+            if engine.synced and not engine.places.base_model_count and self._spec.models:
+                model = self._least_replicated_model()
                 key = AdapterKey(model.name)
-                place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
-                self._planner.start(self._load_model(term, engine, key, place, model.load_s))
+                slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+                self._planner.start(self._load_model(term, engine, key, slot, model.load_s))
 
-    def _least_held_model(self) -> BaseModel:
+    def _least_replicated_model(self) -> BaseModel:
         index = self._planner.index
         return min(self._spec.models, key=lambda model: len(index.with_key(AdapterKey(model.name))))
 
-    def _place_wanted_models(self, term: Term) -> None:
-        """Bring in models that requests wait for and no engine holds."""
+    def _place_requested_models(self, term: Term) -> None:
+        """Load models that requests wait for and no engine holds."""
         now, index = self._clock(), self._planner.index
-        self._coming = {name: until for name, until in self._coming.items() if until > now}
+        self._loading_until = {
+            name: until for name, until in self._loading_until.items() if until > now
+        }
         missing = {
             name
-            for name in self._planner.wanted_models() - self._coming.keys()
+            for name in self._planner.requested_models() - self._loading_until.keys()
             if not index.with_key(AdapterKey(name))
         }
-        held = self._count_models() if missing else Counter()
+        copies_by_model = self._count_models() if missing else Counter()
         for name in missing:
             model = next((model for model in self._spec.models if model.name == name), None)
-            engine = self._engine_for(model, held) if model is not None else None
+            engine = self._choose_engine(model, copies_by_model) if model is not None else None
             if model is None or engine is None:
                 continue
             victim = None if self._fits(engine, model) else self._victim(engine)
             if victim is not None:
-                engine.close(victim)
+                engine.drain_model(victim)
                 self._planner.followers.mark(engine.replica.name)
-            self._coming[name] = now + model.load_s + MODEL_SLACK_S
+            self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
-            place = engine.places[key] = Place(0, Phase.LOADING, self._clock())
-            self._planner.start(self._load_model(term, engine, key, place, model.load_s, victim))
+            slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+            self._planner.start(self._load_model(term, engine, key, slot, model.load_s, victim))
 
     def _count_models(self) -> Counter[str]:
-        """Return on how many engines each base model is or will be."""
+        """Return on how many engines each base model is held or loading."""
         index = self._planner.index
         return Counter(
             {key.model: len(index.with_key(key)) for key in index.keys if not key.adapter}
         )
 
-    def _engine_for(self, model: BaseModel, held: Counter[str]) -> Engine | None:
-        """Return an engine with room, else the unused one whose models are held most elsewhere."""
-        found = [
+    def _choose_engine(self, model: BaseModel, copies_by_model: Counter[str]) -> Engine | None:
+        """Return an idle engine with memory for a model, else the one with the commonest models."""
+        idle_engines = [
             engine
             for engine in self._planner.engines.values()
-            if engine.synced and not engine.loading() and not engine.is_in_use()
+            if engine.synced and not engine.loading_count() and not engine.is_in_use()
         ]
         return max(
-            found,
+            idle_engines,
             key=lambda engine: (
                 self._fits(engine, model),
-                min((held[key.model] for key in engine.places if not key.adapter), default=0),
+                min(
+                    (copies_by_model[key.model] for key in engine.places if not key.adapter),
+                    default=0,
+                ),
             ),
             default=None,
         )
@@ -144,57 +149,57 @@
         term: Term,
         engine: Engine,
         key: AdapterKey,
-        place: Place,
+        slot: Place,
         load_s: float,
         victim: AdapterKey | None = None,
     ) -> None:
         async with engine.lock:
-            if engine.places.get(key) is not place:
+            if engine.places.get(key) is not slot:
                 return
             in_use = victim is not None and engine.uses_model(victim.model)
             if in_use or not self._window.allows(self._clock()):
-                self._give_up(engine, key, place, victim)
+                self._abandon_load(engine, key, slot, victim)
                 return
             if victim is not None:
                 outcome = await self._planner.loading.order(term, engine, False, victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
-                    self._give_up(engine, key, place, victim)
+                    self._abandon_load(engine, key, slot, victim)
                     return
                 engine.drop_model(victim)
                 self._planner.followers.mark(engine.replica.name)
             self._window.note(self._clock())
             outcome = await self._planner.loading.order(term, engine, True, key, 0)
             if outcome in (OrderOutcome.TAKEN, OrderOutcome.HOLDS):
-                # Another order for this engine may only come when it is through.
+                # The engine takes its next order only after the load.
                 await asyncio.sleep(load_s)
-            # The report tells when it is there.
-            engine.undo(key, place)
+            # The engine's report shows when the model is ready.
+            engine.discard(key, slot)
             engine.synced = False
 
-    def _give_up(
-        self, engine: Engine, key: AdapterKey, place: Place, victim: AdapterKey | None
+    def _abandon_load(
+        self, engine: Engine, key: AdapterKey, slot: Place, victim: AdapterKey | None
     ) -> None:
-        """Leave an engine with the base model that it has."""
-        engine.undo(key, place)
-        self._coming.pop(key.model, None)
+        """Abandon the load of a base model; the engine keeps the one that it has."""
+        engine.discard(key, slot)
+        self._loading_until.pop(key.model, None)
         if victim is not None:
-            # It was closed for this; the report tells what can be used.
+            # The victim was closed to new requests; the report shows what can be used.
             engine.synced = False
 
     def _add_copies(self) -> None:
         planner, now = self._planner, self._clock()
         if planner.copies is not None:
             planner.copies.bring(now)
-        least = PART_PER_COPY * planner.speed
-        planner.hot = {key for key in planner.hot if planner.tokens.rate(key.text, now) > least}
-        wanted = [
+        threshold = MAX_PREFILL_FRACTION_PER_COPY * planner.speed
+        planner.hot = {key for key in planner.hot if planner.tokens.rate(key.text, now) > threshold}
+        overloaded = [
             key
             for key in planner.hot
             if (count := count_copies(planner.index, key)) > 0
-            and planner.tokens.rate(key.text, now) > least * count
+            and planner.tokens.rate(key.text, now) > threshold * count
         ]
-        if not wanted:
+        if not overloaded:
             return
-        openings = planner.openings()
-        for key in wanted:
-            planner.load(key, now, openings, lambda name: True)
+        targets = planner.openings()
+        for key in overloaded:
+            planner.load(key, now, targets, lambda name: True)
--- a/tests/engine_model.py
+++ b/tests/engine_model.py
@@ -1,4 +1,4 @@
-"""An engine's places, its count of orders, fences, and reports that lag."""
+"""Simulated engine with weight slots, an order sequence, fencing tokens and delayed reports."""
 
 from gradelug_gateway.model import AdapterKey, EngineReport, Holding, OrderOutcome
 
@@ -8,7 +8,7 @@
 
 
 class ModelEngine:
-    """An engine: places, a count of orders, fences, reports that lag."""
+    """An engine that checks the order sequence and fencing tokens and crashes if overfilled."""
 
     def __init__(self, clock, versions, checks_tokens=True):
         self.checks_tokens = checks_tokens
@@ -19,12 +19,12 @@
         self.orders = 0
         self.fence = 0
         self.fell = False
-        self.had = set()
-        """Adapters that its host memory keeps, at their versions: they load ten times as fast."""
+        self.cached = set()
+        """Adapters and versions in host memory, which load ten times as fast."""
         self.users = {}
         self.leaving = set()
-        self.past = []
-        self._keep()
+        self.history = []
+        self._record_state()
 
     def carry_out(self, order):
         if self.checks_tokens and order.fence < self.fence:
@@ -33,23 +33,26 @@
         if order.expected != self.orders:
             return OrderOutcome.CONFLICT
         outcome = self._load(order) if order.load else self._unload(order)
-        self._keep()
+        self._record_state()
         return outcome
 
     def use(self, key, count):
-        """Set how many requests use an adapter; one that is to leave goes with the last."""
+        """Set how many requests use an adapter; a pending unload completes with the last one."""
         self.users[key] = count
-        for leaving in [one for one in self.leaving if not self._is_used(one)]:
+        for leaving in [candidate for candidate in self.leaving if not self._is_used(candidate)]:
             self.leaving.discard(leaving)
             self._drop(leaving)
-            self._keep()
+            self._record_state()
 
     def can_run(self, key):
         needed = (key, AdapterKey(key.model)) if key is not None else (key,)
-        return all(one in self.held and self.ready_at[one] <= self.clock() for one in needed)
+        return all(
+            candidate in self.held and self.ready_at[candidate] <= self.clock()
+            for candidate in needed
+        )
 
     def _is_used(self, key):
-        """Tell whether requests use weights; those for adapters use their model's, too."""
+        """Tell whether requests use some weights; requests for adapters also use the model."""
         return any(
             count and used is not None and key in (used, AdapterKey(used.model))
             for used, count in self.users.items()
@@ -57,14 +60,16 @@
 
     def report(self):
         at = self.clock() - REPORT_LAG_S
-        seen = self.past[0]
-        for state in self.past:
+        visible = self.history[0]
+        for state in self.history:
             if state[0] <= at:
-                seen = state
-        _, orders, held, ready_at = seen
+                visible = state
+        _, orders, held, ready_at = visible
         ready = [Holding(key, held[key]) for key in held if ready_at[key] <= at]
-        coming = [Holding(key, held[key]) for key in held if ready_at[key] > at]
-        return EngineReport(orders, tuple(ready), tuple(coming), frozenset(), MODEL in self.leaving)
+        loading = [Holding(key, held[key]) for key in held if ready_at[key] > at]
+        return EngineReport(
+            orders, tuple(ready), tuple(loading), frozenset(), MODEL in self.leaving
+        )
 
     def _load(self, order):
         version = order.version or self.versions.get(order.key, 1)
@@ -74,8 +79,8 @@
         self.held[order.key] = version
         load_s = 0.6
         if order.key.adapter:
-            load_s = 0.025 if (order.key, version) in self.had else 0.25
-            self.had.add((order.key, version))
+            load_s = 0.025 if (order.key, version) in self.cached else 0.25
+            self.cached.add((order.key, version))
         self.ready_at[order.key] = self.clock() + load_s
         if sum(bool(key.adapter) for key in self.held) > SLOTS:
             self.fell = True
@@ -90,10 +95,10 @@
         return OrderOutcome.HOLDS
 
     def _drop(self, dropped):
-        """Drop weights; a model's adapters go with it."""
+        """Drop weights, and with a model all its adapters."""
         self.held.pop(dropped, None)
         if not dropped.adapter:
             self.held = {key: at for key, at in self.held.items() if key.model != dropped.model}
 
-    def _keep(self):
-        self.past.append((self.clock(), self.orders, dict(self.held), dict(self.ready_at)))
+    def _record_state(self):
+        self.history.append((self.clock(), self.orders, dict(self.held), dict(self.ready_at)))
