--- a/packages/gateway/src/gradelug_gateway/loading.py
+++ b/packages/gateway/src/gradelug_gateway/loading.py
@@ -209,7 +209,7 @@
         term, engine, key, slot = planned.term, planned.engine, planned.key, planned.slot
         async with engine.lock:
             if term.is_over or engine.places.get(key) is not slot:
-                # The victim is no longer recorded but still on the engine.
+                # The victim was removed from the record but is still on the engine.
                 engine.discard(key, slot)
                 engine.synced = False
                 return
