--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -69,7 +69,7 @@
         self._lost: dict[AdapterKey, _LostAdapter] = {}
 
     def note_lost(self, engine: Engine, is_announced: bool, now: float) -> None:
-        """Record the adapters of an engine that left or restarted, after its removal from the index.
+        """Record the adapters of a lost engine, after its removal from the index.
 
         Parameters
         ----------
