--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -9,8 +9,8 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_room import EngineRoom, Terms, copy_gain_s
-from gradelug_policy.reading import Work
+from gradelug_policy.engine_room import EngineCapacity, EngineEstimator, copy_gain_s
+from gradelug_policy.reading import RequestWork
 from gradelug_policy.residency import STORE_COST_S
 
 from .engines import Engine, Phase
@@ -37,13 +37,13 @@
         The planner that places the adapters.
     terms : Terms
         Number of concurrent requests and tokens that its engines can hold.
-    room : EngineRoom
+    room : EngineEstimator
         Estimates of engine speeds and of how long requests hold a slot.
     """
 
     __slots__ = ("_planner", "_requested", "_room", "_terms")
 
-    def __init__(self, planner: Planner, terms: Terms, room: EngineRoom) -> None:
+    def __init__(self, planner: Planner, terms: EngineCapacity, room: EngineEstimator) -> None:
         self._planner = planner
         self._terms = terms
         self._room = room
@@ -69,7 +69,7 @@
         openings = planner.openings()
         for key in sorted(wanted, key=lambda key: -gains[key])[:MAX_COPIES]:
             uses = planner.uses(key, now)
-            min_wait_s = min(planner.wait_s(engine, Work()) for engine in self._holders(key))
+            min_wait_s = min(planner.wait_s(engine, RequestWork()) for engine in self._holders(key))
             max_wait_s = min_wait_s + gains[key] / uses
             if planner.load(key, now, openings, lambda name: True, max_wait_s, uses=uses):
                 log.info(
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -6,7 +6,7 @@
 import random
 import typing as t
 
-from gradelug_policy.lasting_runs import CopyTarget, Pace, choose_target
+from gradelug_policy.lasting_runs import CopyTarget, RunStatistics, choose_target
 from gradelug_policy.run_versions import WeightVersions
 
 from .fleet import CHOICES, Fleet
@@ -38,7 +38,7 @@
         self,
         fleet: Fleet,
         weights: RunWeights,
-        run_statistics: t.Callable[[str], Pace],
+        run_statistics: t.Callable[[str], RunStatistics],
         clock: t.Callable[[], float],
         rng: random.Random,
     ) -> None:
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -19,7 +19,7 @@
 )
 from gradelug_http import Door, EarlyServer, HttpPool, HttpServer, Incoming, ServerLimits
 from gradelug_policy.quotas import LocalShares
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 from gradelug_runtime.clock import run as run_steady
 from gradelug_runtime.process import Tasks
 from grpclib.server import Server
@@ -464,7 +464,7 @@
     def _new_planner(self, service: str) -> Planner:
         bounds = self.settings.bounds
         spec = self._engine_spec(service)
-        window = LoadWindow(
+        window = LoadRateLimiter(
             spec.loads_per_s,
             bounds.load_window_s,
             bounds.load_overage,
@@ -487,7 +487,7 @@
             StoreTeller(self._feed, self._mirror, self._clock, self._freshness, self._is_strong),
             self._directory.gateways,
             self.settings.features,
-            self._fleet.room.with_own_paces() if self._fleet.room is not None else None,
+            self._fleet.room.with_separate_slowness() if self._fleet.room is not None else None,
             poison,
             self._departure_desk(service),
         )
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -8,7 +8,7 @@
 
 import logbook
 from gradelug_policy.quotas import LocalShares
-from gradelug_policy.reading import Work
+from gradelug_policy.reading import RequestWork
 from gradelug_policy.uses import Party
 from gradelug_wire import placement_pb2 as pb
 
@@ -61,7 +61,7 @@
     returning: bool
     target_at: float
     until: float
-    work: Work = Work()
+    work: RequestWork = RequestWork()
     begun: bool = False
     party: Party = NOBODY
     request: str = ""
@@ -283,7 +283,7 @@
         link = self._links.get(service)
         return link is not None and link.ask_first and not link.is_quiet
 
-    def note_begin(self, replica: Replica, key: AdapterKey, work: Work) -> None:
+    def note_begin(self, replica: Replica, key: AdapterKey, work: RequestWork) -> None:
         """Note that a request is being sent to a replica."""
         memory = self._fleet.terms_of(replica.service).memory_tokens
         self._fleet.kept.note_sent(replica.name, work, memory, self.gateways)
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -9,8 +9,8 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_pace import EnginePaces
-from gradelug_policy.reading import ReadingSpeeds
+from gradelug_policy.engine_pace import SlowEngineDetector
+from gradelug_policy.reading import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 
 from .followers import Follower
@@ -69,9 +69,9 @@
         Name of the service that the engines belong to.
     tally : PauseTally
         Pauses that this instance observed.
-    paces : EnginePaces
+    paces : SlowEngineDetector
         Receives the slowness that the planner reports.
-    speeds : ReadingSpeeds
+    speeds : PrefillSpeeds
         Usual prefill speeds of engines.
     clock : callable
         The runtime's clock.
@@ -83,8 +83,8 @@
         self,
         service: str,
         tally: PauseTally,
-        paces: EnginePaces,
-        speeds: ReadingSpeeds,
+        paces: SlowEngineDetector,
+        speeds: PrefillSpeeds,
         clock: t.Callable[[], float],
     ) -> None:
         self._service = service
@@ -107,7 +107,7 @@
         now, usual = self._clock(), self._speeds.speed(self._service)
         for reported in message.speeds:
             if reported.tokens_per_s > 0:
-                self._paces.take(reported.replica, usual / reported.tokens_per_s, now)
+                self._paces.set_slowness(reported.replica, usual / reported.tokens_per_s, now)
 
 
 class SpeedDesk:
@@ -117,9 +117,9 @@
     ----------
     service : str
         Name of the service that the engines belong to.
-    paces : EnginePaces
+    paces : SlowEngineDetector
         Detects slow engines from the reported pauses.
-    speeds : ReadingSpeeds
+    speeds : PrefillSpeeds
         Usual prefill speeds of engines.
     is_reading : callable
         Returns whether an engine, given by name, is in prefill. Its streams pause for that, and its
@@ -131,8 +131,8 @@
     def __init__(
         self,
         service: str,
-        paces: EnginePaces,
-        speeds: ReadingSpeeds,
+        paces: SlowEngineDetector,
+        speeds: PrefillSpeeds,
         is_reading: t.Callable[[str], bool] = lambda replica: False,
     ) -> None:
         self._is_reading = is_reading
@@ -154,7 +154,7 @@
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Add the engines that are slow, and, once each, those that have recovered."""
-        slow, usual = self._paces.slow(now), self._speeds.speed(self._service)
+        slow, usual = self._paces.slow_engines(now), self._speeds.speed(self._service)
         for replica, slowness in slow.items():
             news.speeds.add(replica=replica, tokens_per_s=usual / slowness)
         for replica in sorted(slow.keys() - self._slow):
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 import logbook
-from gradelug_policy.reading import Busyness, Work, add_queues, less_queue
+from gradelug_policy.reading import EngineLoad, RequestWork, add_queues, subtract_queue
 
 from .holders import EngineIndex, WeightSlots
 from .model import (
@@ -207,22 +207,22 @@
         self._total_load = ToldLoad(
             current.starting + load.starting - previous.starting,
             current.running + load.running - previous.running,
-            less_queue(add_queues((current.queued, load.queued)), previous.queued),
+            subtract_queue(add_queues((current.queued, load.queued)), previous.queued),
             current.memory + load.memory - previous.memory,
         )
 
-    def reserve(self, gateway: int, work: Work) -> None:
+    def reserve(self, gateway: int, work: RequestWork) -> None:
         """Add a request assigned to this engine, until its gateway reports its load."""
         load = self._loads_by_gateway.get(gateway, ToldLoad())
-        prompt = (0,) * work.urgency + (work.reading_tokens,)
+        prompt = (0,) * work.urgency + (work.prefill_tokens,)
         queued = add_queues((load.queued, prompt))
         memory = load.memory + work.memory_tokens
         self.take_load(gateway, ToldLoad(load.starting + 1, load.running, queued, memory))
 
-    def busyness(self) -> Busyness:
+    def busyness(self) -> EngineLoad:
         """Return the engine's load in the form that the policies use."""
         current = self._total_load
-        return Busyness(current.queued, current.running, current.starting, current.memory)
+        return EngineLoad(current.queued, current.running, current.starting, current.memory)
 
     @property
     def gateways(self) -> t.KeysView[int]:
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -6,7 +6,7 @@
 
 from gradelug_http import Connection, HttpPool, ResponseHead
 from gradelug_policy.poison import BEGUN, RUNNING, WAITING
-from gradelug_policy.reading import Busyness, Work
+from gradelug_policy.reading import EngineLoad, RequestWork
 
 from .job import Job
 from .model import Replica
@@ -68,8 +68,8 @@
         job: Job,
         replica: Replica,
         conn: Connection,
-        work: Work,
-        busyness: Busyness,
+        work: RequestWork,
+        busyness: EngineLoad,
         sent_at: float,
         expected_s: float,
     ) -> None:
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -11,7 +11,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_room import HOLD_S
+from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S
 from gradelug_policy.shares import (
     Board,
     ByBound,
@@ -198,9 +198,9 @@
         engines' queues, which ignore shares.
         """
         if not self._must_stay_queued(waiter):
-            return HOLD_S
+            return MAX_REQUEST_HOLD_S
         self._saturated.add(waiter.key)
-        return max(HOLD_S, waiter.target_at - waiter.asked_at)
+        return max(MAX_REQUEST_HOLD_S, waiter.target_at - waiter.asked_at)
 
     def dispatch_lead_s(
         self, waiter: Waiter, engine: Engine, completion_interval_s: float, now: float
@@ -220,10 +220,10 @@
         now : float
             Current time by the runtime's clock.
         """
-        if now <= waiter.asked_at + HOLD_S or not self._must_stay_queued(waiter):
+        if now <= waiter.asked_at + MAX_REQUEST_HOLD_S or not self._must_stay_queued(waiter):
             return 0.0
         remaining_fraction = (waiter.target_at - now) / max(
-            HOLD_S, waiter.target_at - waiter.asked_at
+            MAX_REQUEST_HOLD_S, waiter.target_at - waiter.asked_at
         )
         is_claimed = any(key in engine.places for key in self._claimed)
         return ahead_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -11,10 +11,16 @@
 import typing as t
 from dataclasses import replace
 
-from gradelug_policy.engine_room import EQUAL, EngineRoom, Terms, expected_s, has_room
-from gradelug_policy.kept_parts import held_up_s
-from gradelug_policy.reading import Busyness, ReadingSpeeds, Work, first_event_s
-from gradelug_policy.spread import choose_settled, choose_spread
+from gradelug_policy.engine_room import (
+    EQUAL_URGENCY,
+    EngineCapacity,
+    EngineEstimator,
+    expected_first_event_s,
+    has_capacity,
+)
+from gradelug_policy.kept_parts import prefill_delay_saved_s
+from gradelug_policy.reading import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.spread import choose_consistent, choose_weighted
 
 from .engine_speeds import PauseTally
 from .health import Health
@@ -120,9 +126,9 @@
         self._reported_change = -1
         self.is_scoped = False
         """Whether planners report only the weights that this instance uses."""
-        self.speeds = ReadingSpeeds()
+        self.speeds = PrefillSpeeds()
         """Prefill speeds of engines as observed by this instance."""
-        self.room = EngineRoom(self.speeds) if has_room else None
+        self.room = EngineEstimator(self.speeds) if has_room else None
         """Estimates of slots, memory and speed of busy engines; None to ignore them."""
         self.news_s = NEWS_S
         """Maximum age of the engine state that planners report, in seconds."""
@@ -349,7 +355,7 @@
         replicas: t.Iterable[Replica],
         excluded: t.Container[str] = (),
         only: t.Container[str] | None = None,
-        work: Work | None = None,
+        work: RequestWork | None = None,
         may_probe: bool = False,
     ) -> Replica | None:
         """Return the replica with the lowest cost for a request, None if there is none.
@@ -393,7 +399,9 @@
         ]
         return min(costs_s)[2] if costs_s else None
 
-    def _choose_spread(self, usable: list[Replica], work: Work, now: float) -> Replica | None:
+    def _choose_spread(
+        self, usable: list[Replica], work: RequestWork, now: float
+    ) -> Replica | None:
         """Return an engine by outdated state, the same one for prompts with the same prefix.
 
         Engines are drawn by cost rather than the cheapest taken, as instances with the same
@@ -402,17 +410,17 @@
         costs_s = [(rep, WAIT_PER_REQUEST_S * self.cost(rep, now, work)) for rep in usable]
         mark = self.kept.mark(work, len(usable), self._rng)
         if mark is None or not usable:
-            return choose_spread(costs_s, self.news_s, self._rng)
+            return choose_weighted(costs_s, self.news_s, self._rng)
         named = [(rep.name, cost_s) for rep, cost_s in costs_s]
-        chosen = choose_settled(named, self.news_s, mark)
+        chosen = choose_consistent(named, self.news_s, mark)
         return next(rep for rep in usable if rep.name == chosen)
 
-    def _selection_cost_s(self, replica: Replica, work: Work, now: float) -> float:
+    def _selection_cost_s(self, replica: Replica, work: RequestWork, now: float) -> float:
         """Return the cost of a request at an engine, in seconds.
 
         The delay that a cached prefix saves other requests is deducted.
         """
-        saved_delay_s = held_up_s(work.kept_tokens, self.speeds.speed(replica.service))
+        saved_delay_s = prefill_delay_saved_s(work.kept_tokens, self.speeds.speed(replica.service))
         return WAIT_PER_REQUEST_S * self.cost(replica, now, work) - saved_delay_s
 
     def allows(self, replica: Replica, now: float) -> bool:
@@ -433,7 +441,7 @@
                 return rep
         return None
 
-    def cost(self, replica: Replica, now: float, work: Work | None = None) -> float:
+    def cost(self, replica: Replica, now: float, work: RequestWork | None = None) -> float:
         """Return the cost of a request at a replica, in units of requests queued before it."""
         load = self.load(replica.name)
         if work is None:
@@ -444,7 +452,7 @@
         cost += self.limits.delay_s(replica.name) / WAIT_PER_REQUEST_S
         return cost + (OTHER_HALL_COST_REQUESTS if replica.hall != self.hall else 0.0)
 
-    def is_late(self, replica: Replica, work: Work, target_at: float) -> bool:
+    def is_late(self, replica: Replica, work: RequestWork, target_at: float) -> bool:
         """Return whether a request's first event would miss its target time if sent now.
 
         Where slots are taken into account, also whether the request would wait for a slot or
@@ -455,7 +463,7 @@
         is_late = now + self.expected_s(replica, busy, work_at) > target_at
         return is_late or self.is_full(replica, work)
 
-    def fits(self, service: str, work: Work) -> bool:
+    def fits(self, service: str, work: RequestWork) -> bool:
         """Return whether a request's prompt fits into the memory of a service's engines.
 
         The answer is not counted: it may end before its maximum length.
@@ -463,13 +471,13 @@
         max_tokens = self.terms_of(service).memory_tokens
         return self.room is None or not max_tokens or work.prompt_tokens <= max_tokens
 
-    def equalled(self, service: str, work: Work) -> Work:
+    def equalled(self, service: str, work: RequestWork) -> RequestWork:
         """Return a request's work, with the common urgency where slots are the bottleneck."""
         if self.room is None or not self.room.is_slot_bound(service, self.terms_of(service)):
             return work
-        return replace(work, urgency=EQUAL)
+        return replace(work, urgency=EQUAL_URGENCY)
 
-    def is_full(self, replica: Replica, work: Work) -> bool:
+    def is_full(self, replica: Replica, work: RequestWork) -> bool:
         """Return whether a request would displace another or wait for capacity.
 
         False if that is unknown.
@@ -478,20 +486,24 @@
             return False
         pace = self.room.pace(replica.service, replica.name, self._clock())
         busy = self.load(replica.name).busyness()
-        return not has_room(busy, work, self.terms_of(replica.service), pace)
+        return not has_capacity(busy, work, self.terms_of(replica.service), pace)
 
-    def expected_s(self, replica: Replica, busy: Busyness, work: Work) -> float:
+    def expected_s(self, replica: Replica, busy: EngineLoad, work: RequestWork) -> float:
         """Return the time to a request's first event on a busy engine, in seconds."""
         if self.room is None:
             return first_event_s(busy, work, self.speeds.speed(replica.service))
         pace = self.room.pace(replica.service, replica.name, self._clock())
-        return expected_s(busy, work, self.terms_of(replica.service), pace)
+        return expected_first_event_s(busy, work, self.terms_of(replica.service), pace)
 
-    def terms_of(self, service: str) -> Terms:
+    def terms_of(self, service: str) -> EngineCapacity:
         """Return the capacity of one engine of a service; zeros if it is unknown."""
         snapshot = self.state.snapshot
         known = snapshot.services.get(service) if snapshot is not None else None
-        return terms(known.engine) if known is not None and known.engine is not None else Terms()
+        return (
+            terms(known.engine)
+            if known is not None and known.engine is not None
+            else EngineCapacity()
+        )
 
     def doubted(self) -> list[str]:
         """Return names of replicas with many recent failures of this instance's requests."""
@@ -523,9 +535,9 @@
         self._by_key = {key: names for key, names in self._by_key.items() if names}
 
 
-def terms(spec: EngineSpec) -> Terms:
+def terms(spec: EngineSpec) -> EngineCapacity:
     """Return the capacity of an engine by its specification."""
-    return Terms(spec.batch, spec.kv_tokens)
+    return EngineCapacity(spec.batch, spec.kv_tokens)
 
 
 def _reported_version(holdings: t.Iterable[Holding], key: AdapterKey) -> int:
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -526,7 +526,7 @@
 
     def _some(self, follower: Follower, homes: t.Mapping[str, int]) -> dict[str, int]:
         """Return a few of very many engines, which stay the same for a gateway while they can."""
-        names = (name for name in self._cells.homes(follower.process) if name in homes)
+        names = (name for name in self._cells.ranked_engines(follower.process) if name in homes)
         return {name: homes[name] for name in itertools.islice(names, MOST_HOMES)}
 
     def _holdings(self, name: str) -> pb.Holdings:
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -185,7 +185,7 @@
 
 
 def _count_slow(fleet: Fleet, clock: t.Callable[[], float]) -> int:
-    return len(fleet.room.paces.slow(clock())) if fleet.room is not None else 0
+    return len(fleet.room.paces.slow_engines(clock())) if fleet.room is not None else 0
 
 
 def add_standing_gauges(meters: Meters, standing: Standing) -> None:
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -11,7 +11,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.lasting_runs import ANY_ROOM, EndingRun, moves_due
+from gradelug_policy.lasting_runs import MAX_MOVE_MEMORY_FRACTION, EvacuationCandidate, moves_due
 
 from .directory import Directory
 from .exceptions import Refused
@@ -168,7 +168,7 @@
             self._moving.add(run)
             self._start(self._move_run(run))
 
-    def _ending_run(self, run: Run) -> EndingRun:
+    def _ending_run(self, run: Run) -> EvacuationCandidate:
         job, spec = run.job, run.job.service.engine
         generated_tokens = run.events * spec.copy_terms.event_tokens if spec is not None else 0
         remaining_s = self._lasting.remaining_s(run)
@@ -176,7 +176,7 @@
         value = (job.work.prompt_tokens + generated_tokens) * (1 if job.may_repeat() else 2)
         tokens = job.work.prompt_tokens + generated_tokens
         prepare_s = 0.0 if self._has_other_holder(run) else TARGET_PREPARE_S
-        return EndingRun(job.req.id, tokens, remaining_s, value, prepare_s)
+        return EvacuationCandidate(job.req.id, tokens, remaining_s, value, prepare_s)
 
     def _has_other_holder(self, run: Run) -> bool:
         key = run.job.req.key
@@ -251,7 +251,7 @@
         job = run.job
         key = job.req.key
         weights, versions = self._lasting.weights, run.versions
-        target = self._lasting.targets.choose(job, run.replica, versions, ANY_ROOM)
+        target = self._lasting.targets.choose(job, run.replica, versions, MAX_MOVE_MEMORY_FRACTION)
         if key is None or target is None:
             return target
         service = job.service.name
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from gradelug_policy.kept_parts import KeptParts
+from gradelug_policy.kept_parts import PrefixCacheTracker
 
 from .model import AdapterKey, Holding, Replica
 
@@ -23,13 +23,13 @@
 
     Parameters
     ----------
-    kept : KeptParts or None
+    kept : PrefixCacheTracker or None
         Tracks the prompt prefixes that engines cache; entries are dropped with their weights.
     """
 
     __slots__ = ("_by_key", "_cached", "changed_keys", "changed_loads", "added_keys", "kept")
 
-    def __init__(self, kept: KeptParts | None = None) -> None:
+    def __init__(self, kept: PrefixCacheTracker | None = None) -> None:
         self._by_key: dict[AdapterKey, dict[str, Engine]] = {}
         self._cached: dict[Holding, dict[str, Engine]] = {}
         self.changed_loads: set[str] = set()
@@ -38,7 +38,7 @@
         """Weights that were added or removed since the set was last cleared."""
         self.added_keys: set[AdapterKey] = set()
         """Weights that were added since the set was last replaced, for version renewal."""
-        self.kept = kept or KeptParts()
+        self.kept = kept or PrefixCacheTracker()
         """Cached prompt prefixes, lost when an engine drops the weights or restarts."""
 
     def with_key(self, key: AdapterKey) -> t.Mapping[str, Engine]:
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from gradelug_http import Incoming, ResponseHead
-from gradelug_policy.reading import Work
+from gradelug_policy.reading import RequestWork
 
 from .fingerprints import fingerprint
 from .model import Copy, Repeat, Request, Route, Service
@@ -125,7 +125,7 @@
         req: Request,
         route: Route,
         service: Service,
-        work: Work,
+        work: RequestWork,
         admission: Admission = Admission(),  # noqa: B008
     ) -> None:
         self.inc = inc
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/kept.py
@@ -11,9 +11,15 @@
 import typing as t
 from dataclasses import replace
 
-from gradelug_policy.chain_homes import ChainShares, home_of, split_mark
-from gradelug_policy.kept_parts import Chain, KeptParts, Prefix, chain_of, tokens_at_home
-from gradelug_policy.reading import Work
+from gradelug_policy.chain_homes import PrefixShares, preferred_engine, split_digest
+from gradelug_policy.kept_parts import (
+    Prefix,
+    PrefixCacheTracker,
+    PrefixChain,
+    preferred_engine_tokens,
+    prefix_chain,
+)
+from gradelug_policy.reading import RequestWork
 from gradelug_wire import placement_pb2 as pb
 
 from .metrics import Meters
@@ -47,24 +53,24 @@
     def __init__(self, clock: t.Callable[[], float], is_on: bool = True) -> None:
         self._clock = clock
         self._is_on = is_on
-        self._shares = ChainShares()
-        self.parts = KeptParts()
+        self._shares = PrefixShares()
+        self.parts = PrefixCacheTracker()
         """Prefixes that engines have cached, as far as known to this instance."""
 
-    def chain(self, req: Request, owner: str) -> Chain | None:
+    def chain(self, req: Request, owner: str) -> PrefixChain | None:
         """Return the prefix chain of a prompt that other requests of the same owner may share."""
         if not self._is_on or req.key is None:
             return None
-        return chain_of(req.key.text, owner, req.parts)
+        return prefix_chain(req.key.text, owner, req.parts)
 
-    def at(self, replica: str, work: Work) -> Work:
+    def at(self, replica: str, work: RequestWork) -> RequestWork:
         """Return the work of a request on a given engine, less the tokens cached there."""
-        cached = self.parts.kept_tokens(replica, work.chain, self._clock())
+        cached = self.parts.estimate_cached_tokens(replica, work.chain, self._clock())
         return work if cached == work.kept_tokens else replace(work, kept_tokens=cached)
 
     def at_each(
-        self, replicas: t.Collection[Replica], work: Work, speed: float
-    ) -> list[tuple[Replica, Work]]:
+        self, replicas: t.Collection[Replica], work: RequestWork, speed: float
+    ) -> list[tuple[Replica, RequestWork]]:
         """Return the work of a request on each of some engines, for a choice among them.
 
         Most requests are sent by other instances, so a chain is also assumed to be cached on its
@@ -82,27 +88,29 @@
         home = self.home(work, (rep.name for rep in replicas))
         return [(rep, self.at_least(rep.name, work, home, speed)) for rep in replicas]
 
-    def home(self, work: Work, replicas: t.Iterable[str]) -> str:
+    def home(self, work: RequestWork, replicas: t.Iterable[str]) -> str:
         """Return the home of a request's chain among some engines; empty if there is none."""
         if work.chain is None:
             return ""
         names = list(replicas)
-        return home_of(work.chain, names) if len(names) < HOME_ENGINE_LIMIT else ""
+        return preferred_engine(work.chain, names) if len(names) < HOME_ENGINE_LIMIT else ""
 
-    def at_least(self, replica: str, work: Work, home: str, speed: float) -> Work:
+    def at_least(self, replica: str, work: RequestWork, home: str, speed: float) -> RequestWork:
         """Return the work of a request on an engine, assuming that its home has it cached."""
         known = self.at(replica, work)
         if work.chain is None or replica != home:
             return known
-        return replace(work, kept_tokens=tokens_at_home(work.chain, known.kept_tokens, speed))
+        return replace(
+            work, kept_tokens=preferred_engine_tokens(work.chain, known.kept_tokens, speed)
+        )
 
-    def mark(self, work: Work, engines: int, rng: random.Random) -> int | None:
+    def mark(self, work: RequestWork, engines: int, rng: random.Random) -> int | None:
         """Return the digest that selects an engine for a request; None for a random choice."""
         if work.chain is None:
             return None
-        return split_mark(work.chain, self._shares.note(work.chain), engines, rng.random())
+        return split_digest(work.chain, self._shares.note(work.chain), engines, rng.random())
 
-    def note_sent(self, replica: str, work: Work, memory_tokens: int, gateways: int) -> None:
+    def note_sent(self, replica: str, work: RequestWork, memory_tokens: int, gateways: int) -> None:
         """Record that a request is sent to an engine, which will cache its prefixes.
 
         Parameters
@@ -116,18 +124,18 @@
         gateways : int
             Number of gateway instances that send requests; 0 if unknown.
         """
-        self.parts.seen_part = 1 / max(1, gateways)
+        self.parts.observed_fraction = 1 / max(1, gateways)
         self.parts.note_credit(work.chain, work.kept_tokens)
         self.parts.note_sent(replica, work.prompt_tokens, memory_tokens)
         self.parts.note(replica, work.chain, self._clock())
 
-    def note_told(self, replica: str, chain: Chain | None, tokens: int) -> None:
+    def note_told(self, replica: str, chain: PrefixChain | None, tokens: int) -> None:
         """Record how many tokens of a chain an engine has cached, as reported by a planner."""
         self.parts.note(replica, chain, self._clock(), tokens)
 
 
 def sample_holders(
-    found: t.Sequence[T], count: int, chain: Chain | None, rng: random.Random
+    found: t.Sequence[T], count: int, chain: PrefixChain | None, rng: random.Random
 ) -> list[T]:
     """Return a sample of many engines, part of which is the same for all prompts of a chain."""
     if chain is None:
@@ -136,22 +144,22 @@
     return [*common, *rng.sample(found, count - CHAIN_SAMPLE_SIZE)]
 
 
-def encode_chain(chain: Chain | None) -> list[pb.Prefix]:
+def encode_chain(chain: PrefixChain | None) -> list[pb.Prefix]:
     """Return the wire form of a chain, for a request to a planner."""
     if chain is None:
         return []
     return [pb.Prefix(mark=prefix.mark, tokens=prefix.tokens) for prefix in chain.prefixes]
 
 
-def decode_chain(weights: str, prefixes: t.Sequence[pb.Prefix]) -> Chain | None:
+def decode_chain(weights: str, prefixes: t.Sequence[pb.Prefix]) -> PrefixChain | None:
     """Return the chain of a request to a planner; None if it has none."""
     if not prefixes:
         return None
-    return Chain(weights, tuple(Prefix(prefix.mark, prefix.tokens) for prefix in prefixes))
+    return PrefixChain(weights, tuple(Prefix(prefix.mark, prefix.tokens) for prefix in prefixes))
 
 
 def add_gauges(
-    meters: Meters, parts: KeptParts, planners: t.Callable[[], t.Iterable[Planner]]
+    meters: Meters, parts: PrefixCacheTracker, planners: t.Callable[[], t.Iterable[Planner]]
 ) -> None:
     """Add the metrics of prefix caching of this instance and of the planners that run here."""
     meters.gauge("kept_parts", "Parts of prompts taken for kept, all engines", lambda: parts.size)
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -12,7 +12,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.left_runs import REPORT_AGE_S, is_gone, next_ask_s
+from gradelug_policy.left_runs import MAX_REPORT_AGE_S, is_gone, next_poll_s
 
 from .job import Job
 from .metrics import Meters
@@ -138,7 +138,7 @@
     async def _wait_for_next_check(self, run: AbandonedRun) -> None:
         now = self._clock()
         run.resumed.clear()
-        pause_s = next_ask_s(now - run.abandoned_at, now - run.resumed_at)
+        pause_s = next_poll_s(now - run.abandoned_at, now - run.resumed_at)
         try:
             await asyncio.wait_for(run.resumed.wait(), pause_s)
         except TimeoutError:
@@ -162,7 +162,7 @@
         return has_ended
 
     async def _has_ended_since(self, run: AbandonedRun) -> bool:
-        if self._clock() - run.abandoned_at < REPORT_AGE_S:
+        if self._clock() - run.abandoned_at < MAX_REPORT_AGE_S:
             return False
         report = await self._transport.word(run.replica)
         return is_gone(report, run.job.req.id, self._clock() - run.abandoned_at)
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -9,7 +9,7 @@
 
 import logbook
 from gradelug_policy.quotas import LocalShares
-from gradelug_policy.reading import less_queue
+from gradelug_policy.reading import subtract_queue
 from gradelug_wire import placement_pb2 as pb
 from gradelug_wire.placement_grpc import PlacementStub
 from grpclib.client import Channel
@@ -469,7 +469,7 @@
         load.others = ToldLoad(
             max(0, told.starting - own.starting - booked.starting),
             max(0, told.running - own.running),
-            less_queue(less_queue(told.queued, own.queued), booked.queued),
+            subtract_queue(subtract_queue(told.queued, own.queued), booked.queued),
             max(0, told.memory_tokens - own.memory - booked.memory),
         )
         if told.running > load.told_running:
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -108,7 +108,7 @@
             return list(self._available(self._engines, key, may_use))
         caching = self._index.engines_caching(Holding(key, version))
         found = dict(itertools.islice(self._available(caching, key, may_use), KEEPERS))
-        others = self._available(self._cells.homes(key.text), key, may_use)
+        others = self._available(self._cells.ranked_engines(key.text), key, may_use)
         found.update(itertools.islice(others, CANDIDATES))
         return list(found.items())
 
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -14,11 +14,16 @@
 import logbook
 from gradelug_policy import Popularity
 from gradelug_policy.cells import Cells
-from gradelug_policy.engine_room import COPY_USE_S, EngineRoom, expected_s, has_room
-from gradelug_policy.kept_parts import held_up_s
+from gradelug_policy.engine_room import (
+    COPY_DEMAND_HORIZON_S,
+    EngineEstimator,
+    expected_first_event_s,
+    has_capacity,
+)
+from gradelug_policy.kept_parts import prefill_delay_saved_s
 from gradelug_policy.quotas import QuotaHome
-from gradelug_policy.reading import ReadingSpeeds, Work, first_event_s
-from gradelug_policy.residency import EnginePlaces, LoadWindow, choose_home
+from gradelug_policy.reading import PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.residency import LoadCandidate, LoadRateLimiter, choose_load_engine
 from gradelug_wire import placement_pb2 as pb
 
 from .copies import Copies
@@ -99,11 +104,11 @@
         Replicas, versions and configuration, as last read from the platform.
     transport : OrderTransport
         Delivers orders to engines; an `OrderRelay` where instances own engines.
-    window : LoadWindow
+    window : LoadRateLimiter
         Rate limit of the weight store for loads of base models.
     clock : callable
         The runtime's clock.
-    speeds : ReadingSpeeds or None
+    speeds : PrefillSpeeds or None
         Prefill speeds by service; None to start with default speeds.
     store : StoreTeller or None
         Publishes this instance's view of the platform's store to gateways.
@@ -111,7 +116,7 @@
         Number of gateways that the previous planner had, 0 if unknown.
     features : frozenset of Feature
         Enabled features.
-    room : EngineRoom or None
+    room : EngineEstimator or None
         Estimates engine capacity and speed; None to ignore batch slots, memory and the speed of
         single engines.
     poison : PoisonDesk or None
@@ -127,13 +132,13 @@
         spec: EngineSpec,
         state: FleetState,
         transport: OrderTransport,
-        window: LoadWindow,
+        window: LoadRateLimiter,
         clock: t.Callable[[], float],
-        speeds: ReadingSpeeds | None = None,
+        speeds: PrefillSpeeds | None = None,
         store: StoreTeller | None = None,
         expected: int = 0,
         features: frozenset[Feature] = frozenset(Feature),
-        room: EngineRoom | None = None,
+        room: EngineEstimator | None = None,
         poison: PoisonDesk | None = None,
         departures: DepartureDesk | None = None,
     ) -> None:
@@ -153,7 +158,7 @@
         quotas = QuotaHome(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
         self.limits = LimitDesk(service, state, clock, lambda: self.term is not None)
         """Grants capacity of replicas with a limit on requests per second."""
-        speeds = speeds or ReadingSpeeds()
+        speeds = speeds or PrefillSpeeds()
         is_fair = Feature.FAIR_SHARES in features and room is not None
         self.fair_queue = FairQueue(state, lambda: self.followers.pacing.flush_s, is_fair)
         """Orders requests by fair share while engines are full."""
@@ -202,7 +207,7 @@
         self.look_from = -math.inf
         """Time before which no such search begins, by the runtime's clock."""
         self.copies = Copies(self, self._capacity, room) if room is not None else None
-        """Adds copies of adapters in demand; None without an `EngineRoom`."""
+        """Adds copies of adapters in demand; None without an `EngineEstimator`."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
         self._decision_timer: asyncio.TimerHandle | None = None
@@ -506,7 +511,9 @@
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
                 continue
             work = self._prefix_cache.at_least(name, waiter.work, preferred_name, self.speed)
-            cost = self._cost_s(engine, waiter, work) - held_up_s(work.kept_tokens, self.speed)
+            cost = self._cost_s(engine, waiter, work) - prefill_delay_saved_s(
+                work.kept_tokens, self.speed
+            )
             max_cached_tokens = max(
                 max_cached_tokens, work.kept_tokens if name != preferred_name else 0
             )
@@ -543,7 +550,7 @@
             list(holders.items()), HOLDER_SAMPLE_SIZE, waiter.work.chain, self._rng
         )
 
-    def _cost_s(self, engine: Engine, waiter: Waiter, work: Work) -> float:
+    def _cost_s(self, engine: Engine, waiter: Waiter, work: RequestWork) -> float:
         """Return the cost of a request on an engine that holds its weights, in seconds."""
         name = engine.replica.name
         cost = self.wait_s(engine, work) + self._health_penalty_s(name, waiter)
@@ -604,12 +611,12 @@
         """Prefill speed of an engine, in prompt tokens per second."""
         return self._speeds.speed(self.service)
 
-    def wait_s(self, engine: Engine, work: Work) -> float:
+    def wait_s(self, engine: Engine, work: RequestWork) -> float:
         """Return the expected time to the first event on an engine with the weights, in seconds."""
         if self._engine_estimator is None:
             return first_event_s(engine.busyness(), work, self.speed)
         pace = self._engine_estimator.pace(self.service, engine.replica.name, self._clock())
-        return expected_s(engine.busyness(), work, self._capacity, pace)
+        return expected_first_event_s(engine.busyness(), work, self._capacity, pace)
 
     def _is_prefilling(self, replica: str) -> bool:
         """Tell whether an engine has prompts to prefill; true for unknown engines."""
@@ -625,11 +632,11 @@
         pace = self._engine_estimator.pace(self.service, engine.replica.name, now)
         completion_interval_s = pace.hold_s / max(1, self._capacity.slots)
         lead_s = self.fair_queue.dispatch_lead_s(waiter, engine, completion_interval_s, now)
-        return has_room(engine.busyness(), waiter.work, self._capacity, pace, lead_s)
+        return has_capacity(engine.busyness(), waiter.work, self._capacity, pace, lead_s)
 
     def uses(self, key: AdapterKey, now: float) -> float:
         """Return the expected number of requests for a further copy of an adapter, at least 1."""
-        return max(1.0, COPY_USE_S * self.popularity.rate(key.text, now))
+        return max(1.0, COPY_DEMAND_HORIZON_S * self.popularity.rate(key.text, now))
 
     def _ejection_penalty_s(self, replica: str) -> float:
         return self._health.ejected_s(replica) if self._health is not None else 0.0
@@ -667,7 +674,7 @@
         targets: Openings,
         may_use: t.Callable[[str], bool],
         max_cost_s: float = math.inf,
-        work: Work = Work(),  # noqa: B008
+        work: RequestWork = RequestWork(),  # noqa: B008
         uses: float = 1.0,
     ) -> bool:
         """Start to load an adapter on the engine that can use it soonest; False if there is none.
@@ -683,7 +690,7 @@
         may_use : callable
             Takes an engine's name, returns whether it may be chosen.
         max_cost_s : float
-            Maximum cost of the load, in seconds (see `choose_home`).
+            Maximum cost of the load, in seconds (see `choose_load_engine`).
         work : Work
             Tokens and urgency of the request that waits for it.
         uses : float
@@ -693,7 +700,7 @@
             return False
         version = self.state.versions.get(key, 0) or DEFAULT_VERSION
         candidates = [
-            EnginePlaces(
+            LoadCandidate(
                 name,
                 target.free_slots,
                 target.victims,
@@ -704,7 +711,7 @@
             )
             for name, target in targets.candidates(key, version, may_use)
         ]
-        choice = choose_home(
+        choice = choose_load_engine(
             candidates,
             key.text,
             self.loading.costs(uses),
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -5,10 +5,10 @@
 import typing as t
 
 from gradelug_http import Header, Incoming, OutgoingRequest, ResponseHead
-from gradelug_policy.left_runs import EngineWord
+from gradelug_policy.left_runs import EngineRunsReport
 from gradelug_policy.replica_limits import LimitWord
 from gradelug_policy.rests import RestWord
-from gradelug_policy.run_versions import VersionWord
+from gradelug_policy.run_versions import ReportedVersion
 
 from .model import (
     Attempt,
@@ -56,7 +56,7 @@
         """Return how long an engine has until it is gone, in seconds; None if that is not told."""
         ...
 
-    async def word(self, replica: Replica) -> EngineWord | None:
+    async def word(self, replica: Replica) -> EngineRunsReport | None:
         """Return what an engine says of the requests that it has; None if that is not told."""
         ...
 
@@ -100,11 +100,11 @@
         """Return for how long the replica of an answer asks not to be sent anything."""
         ...
 
-    def weights(self, head: ResponseHead) -> VersionWord:
+    def weights(self, head: ResponseHead) -> ReportedVersion:
         """Return what an answer's head says of the version of its replica's base model."""
         ...
 
-    def event_weights(self, events: bytes) -> VersionWord:
+    def event_weights(self, events: bytes) -> ReportedVersion:
         """Return what whole events say of it; the last one counts, since it may change."""
         ...
 
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 import logbook
-from gradelug_policy.engine_room import COPY_USE_S
+from gradelug_policy.engine_room import COPY_DEMAND_HORIZON_S
 from gradelug_policy.refill import refill_gain_s
 
 from .engines import Engine, Phase
@@ -125,7 +125,9 @@
     def _expire(self, now: float) -> None:
         """Drop adapters that were not reloaded within the horizon of the demand forecast."""
         self._lost = {
-            key: lost for key, lost in self._lost.items() if now <= lost.due_at + COPY_USE_S
+            key: lost
+            for key, lost in self._lost.items()
+            if now <= lost.due_at + COPY_DEMAND_HORIZON_S
         }
 
     def _gains(self, now: float) -> dict[AdapterKey, float]:
@@ -141,4 +143,4 @@
 
     def _gain_s(self, key: AdapterKey, now: float) -> float:
         rate = self._planner.popularity.rate(key.text, now)
-        return refill_gain_s(rate, self._planner.loading.pace.load_s, COPY_USE_S)
+        return refill_gain_s(rate, self._planner.loading.pace.load_s, COPY_DEMAND_HORIZON_S)
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from gradelug_policy.renewal import renewals_left
+from gradelug_policy.renewal import renewals_allowed
 
 from .engines import Engine, Phase, Place
 from .model import AdapterKey, OrderOutcome, Term
@@ -92,7 +92,7 @@
     def _drain_some(self, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Close engines for the renewal of their base model; gateways learn of it later."""
         now, engines = self._clock(), self._planner.engines
-        allowed = renewals_left(self._renewals.values(), len(engines), now)
+        allowed = renewals_allowed(self._renewals.values(), len(engines), now)
         if not allowed:
             return
         ready = [
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gradelug_policy.reading import URGENCIES, Busyness, add_queues
+from gradelug_policy.reading import URGENCY_LEVELS, EngineLoad, add_queues
 
 from .model import ToldLoad
 
@@ -22,7 +22,7 @@
         """Requests sent by this instance that have no response yet."""
         self.running = 0
         """Requests sent by this instance whose response is being received."""
-        self.queued = [0] * URGENCIES
+        self.queued = [0] * URGENCY_LEVELS
         """Prompt tokens of the starting requests, by urgency."""
         self.others = ToldLoad()
         """Load from other instances."""
@@ -34,12 +34,12 @@
         starting = self.starting + self.others.starting
         return starting + RUNNING_REQUEST_COST * (self.running + self.others.running)
 
-    def busyness(self) -> Busyness:
+    def busyness(self) -> EngineLoad:
         """Return the load in the form that estimates of waiting times take."""
         running = self.running + self.others.running
         starting = self.starting + self.others.starting
         queued = add_queues([self.queued, self.others.queued])
-        return Busyness(queued, running, starting, self.memory + self.others.memory)
+        return EngineLoad(queued, running, starting, self.memory + self.others.memory)
 
     def own(self) -> ToldLoad:
         """Return the load from this instance."""
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from gradelug_policy.departures import Departures
-from gradelug_policy.run_versions import Namings
+from gradelug_policy.run_versions import VersionAnnouncements
 
 from .services import Snapshot
 
@@ -145,7 +145,7 @@
     versions: dict[AdapterKey, int] = field(default_factory=dict)
     change: int = 0
     departures: Departures = field(default_factory=Departures)
-    namings: Namings = field(default_factory=Namings)
+    namings: VersionAnnouncements = field(default_factory=VersionAnnouncements)
 
     def is_leaving(self, rep: Replica) -> bool:
         """Return whether a replica accepts no new requests, by the newest known state."""
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -13,11 +13,11 @@
 
 import logbook
 from gradelug_policy.run_versions import (
-    NOT_TOLD,
+    UNKNOWN_VERSION,
     WeightVersions,
     is_loadable,
-    is_same,
-    may_begin,
+    is_same_version,
+    may_start,
 )
 
 from .fleet import Fleet
@@ -36,7 +36,7 @@
 
 
 def asked_version(fleet: Fleet, job: Job, replica: Replica) -> int:
-    """Return the version that a replica must have for a request; `NOT_TOLD` for any.
+    """Return the version that a replica must have for a request; `UNKNOWN_VERSION` for any.
 
     A request that is resumed from memory requires the version that produced it. Any other requires
     the newest version that was announced or is known to be on the replica, so that the version of
@@ -45,13 +45,13 @@
     """
     key = job.req.key
     if key is None:
-        return NOT_TOLD
+        return UNKNOWN_VERSION
     if job.copy is not None:
         return job.copy.versions.adapter if key.adapter else job.copy.versions.model
-    newest = fleet.state.versions.get(key, NOT_TOLD)
+    newest = fleet.state.versions.get(key, UNKNOWN_VERSION)
     if job.absences >= MAX_ABSENCES:
         return newest
-    return max(newest, fleet.told_version(replica.name, key) or NOT_TOLD)
+    return max(newest, fleet.told_version(replica.name, key) or UNKNOWN_VERSION)
 
 
 class RunWeights:
@@ -94,8 +94,8 @@
         if key is None:
             return WeightVersions()
         versions = self._fleet.state.versions
-        adapter = versions.get(key, NOT_TOLD) if key.adapter else NOT_TOLD
-        return WeightVersions(versions.get(AdapterKey(key.model), NOT_TOLD), adapter)
+        adapter = versions.get(key, UNKNOWN_VERSION) if key.adapter else UNKNOWN_VERSION
+        return WeightVersions(versions.get(AdapterKey(key.model), UNKNOWN_VERSION), adapter)
 
     def held(self, replica: Replica, key: AdapterKey | None) -> WeightVersions:
         """Return the versions of an adapter and its base model on an engine, as last reported."""
@@ -104,7 +104,8 @@
         last_version = self._fleet.told_version
         adapter = last_version(replica.name, key) if key.adapter else None
         return WeightVersions(
-            last_version(replica.name, AdapterKey(key.model)) or NOT_TOLD, adapter or NOT_TOLD
+            last_version(replica.name, AdapterKey(key.model)) or UNKNOWN_VERSION,
+            adapter or UNKNOWN_VERSION,
         )
 
     def may_provide(self, rep: Replica, versions: WeightVersions, key: AdapterKey | None) -> bool:
@@ -112,7 +113,7 @@
         if key is None:
             return True
         held, newest = self._fleet.told_version(rep.name, AdapterKey(key.model)), self.newest(key)
-        if held is not None and not is_same(versions.model, held, newest.model):
+        if held is not None and not is_same_version(versions.model, held, newest.model):
             return False
         return self.holds(rep, versions, key) or is_loadable(versions, newest)
 
@@ -128,13 +129,15 @@
         Planners report only the newest version, and earlier; engines also report older ones.
         """
         version = versions.adapter if key.adapter else versions.model
-        newest = self._fleet.state.versions.get(key, NOT_TOLD)
-        if version != NOT_TOLD and version < newest:
+        newest = self._fleet.state.versions.get(key, UNKNOWN_VERSION)
+        if version != UNKNOWN_VERSION and version < newest:
             return self._fleet.holders_at(service, key, version)
         return [
             rep
             for rep in self._fleet.holders(service, key)
-            if is_same(version, self._fleet.told_version(rep.name, key) or NOT_TOLD, newest)
+            if is_same_version(
+                version, self._fleet.told_version(rep.name, key) or UNKNOWN_VERSION, newest
+            )
         ]
 
     def meets_version_deadline(self, versions: WeightVersions, key: AdapterKey | None) -> bool:
@@ -142,7 +145,9 @@
         if key is None or not key.adapter:
             return True
         namings = self._fleet.state.namings
-        return may_begin(namings.replaced_s(key, versions.adapter, self._clock()), self._version_s)
+        return may_start(
+            namings.superseded_for_s(key, versions.adapter, self._clock()), self._version_s
+        )
 
     def can_load(self, copy: Copy, key: AdapterKey | None) -> bool:
         """Return whether a load on the engine that keeps a copy can provide its weights.
@@ -168,13 +173,13 @@
             log.info("adapter version of memory too old", id=job.req.id, memory=versions.text)
             return False
         if not key.adapter:
-            return versions.model != NOT_TOLD or newest == NOT_TOLD
-        if versions.adapter == NOT_TOLD and self.newest(key).adapter != NOT_TOLD:
+            return versions.model != UNKNOWN_VERSION or newest == UNKNOWN_VERSION
+        if versions.adapter == UNKNOWN_VERSION and self.newest(key).adapter != UNKNOWN_VERSION:
             return False
         if self._clock() - copy.kept_at < RECENT_STOP_S:
             return True
         held = await self._query_model_version(copy.holder, key.model)
-        kept = held is not None and is_same(versions.model, held, newest)
+        kept = held is not None and is_same_version(versions.model, held, newest)
         if not kept:
             log.info(
                 "weights on engine do not match memory",
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -16,17 +16,22 @@
 import logbook
 from gradelug_http import ResponseBroken
 from gradelug_policy.lasting_runs import (
-    ANY_ROOM,
-    ROOM_PART,
+    MAX_COPY_MEMORY_FRACTION,
+    MAX_MOVE_MEMORY_FRACTION,
     BreakRecord,
-    Broken,
-    Pace,
-    Way,
-    choose_way,
-    wants_copy,
+    BrokenRun,
+    RecoveryAction,
+    RunStatistics,
+    choose_recovery,
+    should_copy,
+)
+from gradelug_policy.left_runs import URGENT_POLL_INTERVAL_S, may_be_queued
+from gradelug_policy.run_versions import (
+    UNKNOWN_VERSION,
+    ReportedVersion,
+    WeightVersions,
+    compare_versions,
 )
-from gradelug_policy.left_runs import ASK_S, may_wait
-from gradelug_policy.run_versions import NOT_TOLD, VersionWord, WeightVersions, compare
 
 from .copy_targets import CopyTargets
 from .fleet import Fleet
@@ -100,7 +105,7 @@
         """The copy of its memory from which it is resumed."""
         self.versions = job.copy.versions if job.copy is not None else WeightVersions()
         """Versions of the weights that produced its memory."""
-        self.reported = VersionWord()
+        self.reported = ReportedVersion()
         """Base model version that its engine reported at the start of the run."""
 
     @property
@@ -172,7 +177,7 @@
         self._has_retry = has_retry
         self._abandoned = AbandonedRuns(transport, meters, clock)
         self._records: dict[str, BreakRecord] = {}
-        self._run_statistics: dict[str, Pace] = {}
+        self._run_statistics: dict[str, RunStatistics] = {}
         self.weights = RunWeights(fleet, transport, clock, version_s)
         """Finds engines that hold the weights of a run's memory."""
         self.targets = CopyTargets(fleet, self.weights, self.run_statistics, clock, rng)
@@ -197,10 +202,10 @@
         key = run.job.req.key
         if key is None or run.job.copy is not None or not version:
             return
-        model, adapter = (NOT_TOLD, version) if key.adapter else (version, NOT_TOLD)
+        model, adapter = (UNKNOWN_VERSION, version) if key.adapter else (version, UNKNOWN_VERSION)
         self._set_versions(run, WeightVersions(model, adapter))
 
-    def note_weights(self, run: Run, reported_version: VersionWord) -> None:
+    def note_weights(self, run: Run, reported_version: ReportedVersion) -> None:
         """Record the base model version that the engine of a run reports at its start.
 
         Raises
@@ -218,22 +223,22 @@
             )
         used = run.job.used
         if used is None:
-            self._set_versions(run, run.versions.told(reported_version))
-        elif compare(used.versions, reported_version) == "other":
+            self._set_versions(run, run.versions.with_reported(reported_version))
+        elif compare_versions(used.versions, reported_version) == "other":
             run.has_weight_mismatch = True
             self._meters.went_on(used.kind.value, self._clock() - run.job.event_at, "other")
             raise ResponseBroken(
                 f"engine has base model {reported_version.version}, memory has {used.versions.text}"
             )
 
-    def note_change(self, run: Run, reported_version: VersionWord) -> None:
+    def note_change(self, run: Run, reported_version: ReportedVersion) -> None:
         """Record a base model version that an event of a run reports.
 
         The backup copy is discarded: all or part of it was made by the previous version.
         """
-        if reported_version == VersionWord():
+        if reported_version == ReportedVersion():
             return
-        run.versions = run.versions.told(reported_version)
+        run.versions = run.versions.with_reported(reported_version)
         run.job.backup = None
         log.info(
             "weights changed during a run",
@@ -282,9 +287,9 @@
         if not runs:
             del self.runs[run.replica.name]
 
-    def run_statistics(self, service: str) -> Pace:
+    def run_statistics(self, service: str) -> RunStatistics:
         """Return the run length statistics of a service."""
-        return self._run_statistics.setdefault(service, Pace())
+        return self._run_statistics.setdefault(service, RunStatistics())
 
     def remaining_s(self, run: Run) -> float:
         """Return the expected remaining duration of a run, in seconds."""
@@ -316,12 +321,14 @@
             job.backup = None
         if (
             not run.is_abandoned
-            and self._choose_recovery(job, self._can_request_stop(run)) is Way.STOP
+            and self._choose_recovery(job, self._can_request_stop(run)) is RecoveryAction.STOP
         ):
             # A run without events was still in prefill or queued. Waiting for it would delay
             # resumption by 0.5 to 0.7 s on engines that have dropped it.
             had_events = run.first_at is not None
-            may_have_queued = had_events and may_wait(self._clock() - job.event_at, job.route.gap_s)
+            may_have_queued = had_events and may_be_queued(
+                self._clock() - job.event_at, job.route.gap_s
+            )
             job.copy = await self._stop_run(run)
             if may_have_queued and self._can_resume_elsewhere(job):
                 await self._await_requeued(run)
@@ -358,7 +365,7 @@
         while run.stop_outcome is MoveOutcome.NO_RUN and self._clock() < until:
             if await self._confirm_ended(run):
                 return
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(URGENT_POLL_INTERVAL_S)
             job.copy = await self._stop_run(run)
 
     async def _confirm_ended(self, run: Run) -> bool:
@@ -367,7 +374,7 @@
 
     def _can_resume_elsewhere(self, job: Job) -> bool:
         """Return whether a request can be resumed without a reply from its engine."""
-        return self._choose_recovery(job, can_stop=False) is not Way.END
+        return self._choose_recovery(job, can_stop=False) is not RecoveryAction.END
 
     def _watch_abandoned(self, run: Run) -> None:
         """Make sure that a run resumed elsewhere does not continue on its former engine."""
@@ -387,9 +394,11 @@
         for record in self._records.values():
             record.keep_only(self._fleet.state.replicas)
 
-    def _choose_recovery(self, job: Job, can_stop: bool) -> Way:
+    def _choose_recovery(self, job: Job, can_stop: bool) -> RecoveryAction:
         has_retry = self._has_retry(job.service.name)
-        return choose_way(Broken(can_stop, job.backup is not None, job.may_repeat(), has_retry))
+        return choose_recovery(
+            BrokenRun(can_stop, job.backup is not None, job.may_repeat(), has_retry)
+        )
 
     def _can_request_stop(self, run: Run) -> bool:
         spec = run.job.service.engine
@@ -440,7 +449,7 @@
         """Return the engine to name as target of a stop; if it is full, the memory stays."""
         job, source, choose = run.job, run.replica, self.targets.choose
         return (
-            choose(job, source, run.versions, ANY_ROOM)
+            choose(job, source, run.versions, MAX_MOVE_MEMORY_FRACTION)
             or choose(job, source, run.versions, math.inf)
             or next((rep for rep in self._fleet.usable(source.service) if rep != source), None)
         )
@@ -458,7 +467,7 @@
     def _note_resumed(self, run: Run, copy: Copy, now: float) -> None:
         job = run.job
         pause_s = now - job.event_at
-        weights = compare(copy.versions, run.reported)
+        weights = compare_versions(copy.versions, run.reported)
         self._meters.went_on(copy.kind.value, pause_s, weights)
         log.info(
             "run went on",
@@ -478,12 +487,12 @@
             return None
         now = self._clock()
         remaining_s = job.req.most_tokens * self.run_statistics(replica.service).token_s
-        if not wants_copy(
+        if not should_copy(
             self._break_record(replica.service).risk(replica.name, remaining_s, now), remaining_s
         ):
             return None
         versions = self.weights.held(replica, job.req.key)
-        target = self.targets.choose(job, replica, versions, ROOM_PART)
+        target = self.targets.choose(job, replica, versions, MAX_COPY_MEMORY_FRACTION)
         if target is None:
             return None
         return Copy(CopyKind.BACKUP, replica.address, job.req.id, target, versions)
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -20,8 +20,8 @@
     ResponseHead,
     end_to_end,
 )
-from gradelug_policy.engine_room import EQUAL
-from gradelug_policy.reading import LATE, Work
+from gradelug_policy.engine_room import EQUAL_URGENCY
+from gradelug_policy.reading import LATE_URGENCY, RequestWork
 
 from .directory import Directory
 from .exceptions import GATEWAY_TIMEOUT, Refused
@@ -231,7 +231,7 @@
             asked=asked_version(self._fleet, job, replica),
             waited_s=round(job.placed_s, 3),
             cost=round(self._fleet.cost(replica, now), 2),
-            ahead=load.busyness().ahead(job.work.urgency),
+            ahead=load.busyness().tokens_ahead(job.work.urgency),
             prompt=work.prompt_tokens,
             kept=work.kept_tokens,
         )
@@ -240,7 +240,7 @@
         if self._lasting is not None and self._lasting.is_lasting(job):
             exchange.run = self._lasting.begin(job, replica)
         load.starting += 1
-        load.queued[work.urgency] += work.reading_tokens
+        load.queued[work.urgency] += work.prefill_tokens
         load.memory += work.memory_tokens
         if key is not None:
             self._directory.note_begin(replica, key, work)
@@ -288,7 +288,7 @@
                 load.running -= 1
             else:
                 load.starting -= 1
-                load.queued[work.urgency] -= work.reading_tokens
+                load.queued[work.urgency] -= work.prefill_tokens
             if key is not None:
                 self._note_end(job, replica, key)
         self._note_health(exchange, outcome)
@@ -369,16 +369,16 @@
         is_whole = outcome is Outcome.DONE and not exchange.job.route.streaming
         health.note(outcome is Outcome.RAN, now, now - exchange.sent_at if is_whole else 0.0)
 
-    def _with_urgency(self, job: Job, replica: Replica) -> Work:
+    def _with_urgency(self, job: Job, replica: Replica) -> RequestWork:
         """Return a request's work, with lower urgency if it would miss its target anyway.
 
         Such requests then wait for those that can meet their target, and take no slot of a
         run. Where slots are scarce, all requests have equal urgency.
         """
-        if job.inc.started or not job.work.prompt_tokens or job.work.urgency == EQUAL:
+        if job.inc.started or not job.work.prompt_tokens or job.work.urgency == EQUAL_URGENCY:
             return job.work
         if self._fleet.is_late(replica, job.work, job.req.arrived_at + job.route.target_s):
-            return replace(job.work, urgency=LATE)
+            return replace(job.work, urgency=LATE_URGENCY)
         return job.work
 
     async def _exchange(self, exchange: Exchange) -> Outcome:
@@ -433,7 +433,7 @@
             self._note_leaving(replica)
         self._fleet.rests.hear(replica, self._dialect.rest(head))
 
-    def _attempt(self, job: Job, replica: Replica, work: Work) -> Attempt:
+    def _attempt(self, job: Job, replica: Replica, work: RequestWork) -> Attempt:
         left_s = job.deadline_at - self._clock()
         return Attempt(
             replica,
@@ -575,7 +575,7 @@
         exchange.release(self._pool, head)
         if self._fleet.room is not None and job.work.prompt_tokens and not job.req.last_event:
             service = exchange.replica.service
-            read_s = exchange.work.reading_tokens / self._fleet.speeds.speed(service)
+            read_s = exchange.work.prefill_tokens / self._fleet.speeds.speed(service)
             self._fleet.room.note_run(service, read_s + self._clock() - exchange.first_at)
         if not job.inc.started:
             job.inc.begin(head.status, end_to_end(head.headers))
@@ -588,7 +588,7 @@
     def _note_running(self, exchange: Exchange) -> None:
         load = self._fleet.load(exchange.replica.name)
         load.starting -= 1
-        load.queued[exchange.work.urgency] -= exchange.work.reading_tokens
+        load.queued[exchange.work.urgency] -= exchange.work.prefill_tokens
         load.running += 1
         exchange.is_running = True
         self._update_speed(exchange)
--- a/packages/gateway/src/gradelug_gateway/services.py
+++ b/packages/gateway/src/gradelug_gateway/services.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from gradelug_http import ServerLimits
-from gradelug_policy.lasting_runs import CopyTerms
+from gradelug_policy.lasting_runs import CopySettings
 
 from .organisations import Organisations
 
@@ -133,7 +133,7 @@
         Whether runs can be moved from one engine to another.
     backups : bool
         Whether engines copy the KV cache of a run to another engine while it grows.
-    copy_terms : CopyTerms
+    copy_terms : CopySettings
         Size and bandwidth of copies of a run's KV cache.
     """
 
@@ -145,7 +145,7 @@
     loads_per_s: float
     moves: bool = False
     backups: bool = False
-    copy_terms: CopyTerms = CopyTerms()  # noqa: RUF009
+    copy_terms: CopySettings = CopySettings()  # noqa: RUF009
 
     @property
     def loads_at_once(self) -> float:
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 import logbook
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 
 from .engines import Engine, Phase, Place
 from .model import AdapterKey, BaseModel, EngineSpec, OrderOutcome, Term
@@ -34,7 +34,7 @@
         Planner of the engines.
     spec : EngineSpec
         Capacity of the engines and the base models of the service.
-    window : LoadWindow
+    window : LoadRateLimiter
         Rate limit of the weight store for loads of base models.
     clock : callable
         The runtime's clock.
@@ -53,7 +53,7 @@
         self,
         planner: Planner,
         spec: EngineSpec,
-        window: LoadWindow,
+        window: LoadRateLimiter,
         clock: t.Callable[[], float],
     ) -> None:
         self._planner = planner
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -5,8 +5,8 @@
 import math
 import zlib
 
-from gradelug_policy.kept_parts import Chain
-from gradelug_policy.reading import LATE, Work
+from gradelug_policy.kept_parts import PrefixChain
+from gradelug_policy.reading import LATE_URGENCY, RequestWork
 
 from .model import Request, Route
 
@@ -43,9 +43,9 @@
         self._mean_size: dict[str, float] = {}
         self._longest_wait: dict[str, float] = {}
 
-    def work(self, rank: int, req: Request, chain: Chain | None = None) -> Work:
+    def work(self, rank: int, req: Request, chain: PrefixChain | None = None) -> RequestWork:
         """Return what a request of some urgency asks of an engine."""
-        return Work(req.prompt_tokens, min(rank, LATE - 1), req.most_tokens, chain)
+        return RequestWork(req.prompt_tokens, min(rank, LATE_URGENCY - 1), req.most_tokens, chain)
 
     def value(self, route: Route, rank: int, req: Request) -> float:
         """Return what an answer in time is worth, 1 for an ordinary request of rank 0."""
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/waiting.py
@@ -12,7 +12,7 @@
 
 import logbook
 from gradelug_policy import Popularity
-from gradelug_policy.reading import Work
+from gradelug_policy.reading import RequestWork
 from gradelug_wire import placement_pb2 as pb
 
 from .followers import Follower
@@ -68,7 +68,7 @@
         self.until = now + ask.wait_ms / 1000
         self.target_at = now + ask.target_ms / 1000
         chain = decode_chain(self.key.text, ask.prefixes)
-        self.work = Work(ask.prompt_tokens, ask.rank, ask.answer_tokens, chain)
+        self.work = RequestWork(ask.prompt_tokens, ask.rank, ask.answer_tokens, chain)
 
     def may_use(self, replica: str) -> bool:
         """Return whether the request may run at a replica."""
--- a/packages/policy/src/gradelug_policy/cells.py
+++ b/packages/policy/src/gradelug_policy/cells.py
@@ -88,7 +88,7 @@
         }
         return sorted(scores, key=lambda cell: -scores[cell])
 
-    def homes(self, key: str) -> t.Iterator[str]:
+    def ranked_engines(self, key: str) -> t.Iterator[str]:
         """Yield all engines, each once, in the order in which the adapter ranks their cells."""
         for cell in self.rank(key):
             yield from self._cells[cell]
--- a/packages/policy/src/gradelug_policy/chain_homes.py
+++ b/packages/policy/src/gradelug_policy/chain_homes.py
@@ -13,7 +13,7 @@
 from collections import OrderedDict, deque
 from hashlib import blake2b
 
-from .kept_parts import DIGEST_BYTES, Chain
+from .kept_parts import DIGEST_BYTES, PrefixChain
 
 SPLIT_FACTOR = 8.0
 """A chain that accounts for a share of the requests for its weights is split into this factor times
@@ -32,7 +32,7 @@
 evenly."""
 
 
-def home_of(chain: Chain, engines: t.Iterable[str]) -> str:
+def preferred_engine(chain: PrefixChain, engines: t.Iterable[str]) -> str:
     """Return the engine that a chain is assigned to, empty if there are no engines."""
     mark = chain.prefixes[-1].mark
     return max(engines, key=lambda engine: uniform_hash(engine, mark), default="")
@@ -45,7 +45,7 @@
     return (int.from_bytes(hashed) + 1) / DIGEST_RANGE
 
 
-class ChainShares:
+class PrefixShares:
     """Tracks the share of each chain in the latest requests for its weights."""
 
     __slots__ = ("_recent",)
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self._recent: OrderedDict[str, deque[int]] = OrderedDict()
 
-    def note(self, chain: Chain) -> float:
+    def note(self, chain: PrefixChain) -> float:
         """Add a request and return the share of its chain among those for its weights, above 0.
 
         The first chain of some weights counts as frequent, since splitting a rare chain costs
@@ -69,7 +69,7 @@
         return share
 
 
-def split_mark(chain: Chain, share: float, engines: int, chance: float) -> int:
+def split_digest(chain: PrefixChain, share: float, engines: int, chance: float) -> int:
     """Return the digest by which a request of a chain is assigned to an engine.
 
     Parameters
--- a/packages/policy/src/gradelug_policy/engine_pace.py
+++ b/packages/policy/src/gradelug_policy/engine_pace.py
@@ -60,7 +60,7 @@
         return self.total_pause_s / self.events
 
 
-class EnginePaces:
+class SlowEngineDetector:
     """Compares the pauses between events among the engines of each service."""
 
     __slots__ = ("_by_service", "_slowness_by_engine", "_medians")
@@ -103,7 +103,7 @@
         if now - engine_events.slow_since >= MIN_SLOW_DURATION_S:
             self._slowness_by_engine[replica] = (min(MAX_SLOWNESS, factor), now)
 
-    def take(self, replica: str, slowness: float, now: float) -> None:
+    def set_slowness(self, replica: str, slowness: float, now: float) -> None:
         """Set the slowness of an engine that was determined elsewhere."""
         self._slowness_by_engine[replica] = (min(MAX_SLOWNESS, max(1.0, slowness)), now)
 
@@ -116,7 +116,7 @@
         slowness = 1.0 + (factor - 1.0) * math.exp2(-max(0.0, now - at) / SLOWNESS_HALF_LIFE_S)
         return slowness if slowness > MIN_SLOWNESS else 1.0
 
-    def slow(self, now: float) -> dict[str, float]:
+    def slow_engines(self, now: float) -> dict[str, float]:
         """Return the slowness of all slow engines by name."""
         slowness = {name: self.slowness("", name, now) for name in self._slowness_by_engine}
         return {name: factor for name, factor in slowness.items() if factor > 1.0}
--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_room.py
@@ -17,17 +17,17 @@
 import typing as t
 from dataclasses import dataclass
 
-from .engine_pace import EnginePaces
-from .reading import URGENCIES, Busyness, ReadingSpeeds, Work, first_event_s
+from .engine_pace import SlowEngineDetector
+from .reading import URGENCY_LEVELS, EngineLoad, PrefillSpeeds, RequestWork, first_event_s
 
-FIRST_HOLD_S = 1.5
+DEFAULT_HOLD_TIME_S = 1.5
 """Time that a run occupies its slot, assumed until a run has ended: about 100 tokens at 15 ms."""
 HOLD_TIME_WEIGHT = 0.05
 """Weight of the newest run in the mean time that a slot is occupied. The first runs get no greater
 weight, since those that end first are the short ones."""
 MIN_HOLD_TIME_S = 0.05
 """With a shorter mean a full engine would be rated as good as a free one."""
-COPY_USE_S = 4.0
+COPY_DEMAND_HORIZON_S = 4.0
 """Period whose requests justify loading a copy; demand shifts within seconds."""
 COPY_START_DELAY_S = 0.2
 """Delay besides the load itself until a copy that is needed receives requests: the next periodic
@@ -35,7 +35,7 @@
 DEMAND_DEVIATIONS = 2.0
 """Expected arrivals in a period are the mean plus this many standard deviations (square roots of
 the mean)."""
-HOLD_S = 0.3
+MAX_REQUEST_HOLD_S = 0.3
 """Longest time that a request is held for a free slot, from its placement request on; then it
 queues at an engine. Holding longer makes more requests late than it helps: an engine starts its
 next queued request as soon as a run ends, a held request starts only after that end was
@@ -43,7 +43,7 @@
 LOAD_ELSEWHERE_MARGIN_S = 0.1
 """An engine that first has to load the adapter must be faster by this, since the adapter slot that
 it takes costs other requests."""
-EQUAL = URGENCIES // 2
+EQUAL_URGENCY = URGENCY_LEVELS // 2
 """Urgency of all requests at engines that are bound by their slots. With urgencies by rank, an
 urgent request at a full batch preempts another in the middle of its stream, which then exceeds its
 longest allowed pause and has its prompt processed again; and requests of lower rank are placed by
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class EngineCapacity:
     """Concurrent requests and memory that an engine offers.
 
     Parameters
@@ -87,7 +87,7 @@
     """
 
     tokens_per_s: float
-    hold_s: float = FIRST_HOLD_S
+    hold_s: float = DEFAULT_HOLD_TIME_S
 
 
 class MeanHoldTime:
@@ -96,7 +96,7 @@
     __slots__ = ("seconds",)
 
     def __init__(self) -> None:
-        self.seconds = FIRST_HOLD_S
+        self.seconds = DEFAULT_HOLD_TIME_S
         """Exponentially weighted mean, in seconds."""
 
     def note(self, held_s: float) -> None:
@@ -106,7 +106,9 @@
         )
 
 
-def capacity_wait_s(load: Busyness, work: Work, capacity: Terms, rates: EngineRates) -> float:
+def capacity_wait_s(
+    load: EngineLoad, work: RequestWork, capacity: EngineCapacity, rates: EngineRates
+) -> float:
     """Return the time until a slot and enough memory are free for a request, in seconds.
 
     Assumes that `n` runs end at even intervals of `hold_s / n`, each of which frees an equal part
@@ -125,14 +127,20 @@
     return ends * rates.hold_s / max(1, running)
 
 
-def expected_s(load: Busyness, work: Work, capacity: Terms, rates: EngineRates) -> float:
+def expected_first_event_s(
+    load: EngineLoad, work: RequestWork, capacity: EngineCapacity, rates: EngineRates
+) -> float:
     """Return the time until a request's first event, in seconds, with its wait for capacity."""
     prefill_s = first_event_s(load, work, rates.tokens_per_s)
     return prefill_s + capacity_wait_s(load, work, capacity, rates)
 
 
-def has_room(
-    load: Busyness, work: Work, capacity: Terms, rates: EngineRates, state_age_s: float = 0.0
+def has_capacity(
+    load: EngineLoad,
+    work: RequestWork,
+    capacity: EngineCapacity,
+    rates: EngineRates,
+    state_age_s: float = 0.0,
 ) -> bool:
     """Return whether an engine can start a request without preempting another or queueing it.
 
@@ -145,13 +153,17 @@
     return capacity_wait_s(load, work, capacity, rates) <= state_age_s
 
 
-def free_slots(load: Busyness, capacity: Terms) -> int:
+def free_slots(load: EngineLoad, capacity: EngineCapacity) -> int:
     """Return how many slots of an engine are free."""
     return max(0, capacity.slots - load.held)
 
 
 def copy_gain_s(
-    holders: t.Collection[Busyness], rate: float, load_s: float, capacity: Terms, hold_s: float
+    holders: t.Collection[EngineLoad],
+    rate: float,
+    load_s: float,
+    capacity: EngineCapacity,
+    hold_s: float,
 ) -> float:
     """Return the total waiting time that another copy of an adapter would save, in seconds.
 
@@ -182,32 +194,32 @@
     if missing_slots <= 0:
         return 0.0
     wait_s = hold_s * max(1.0, missing_slots) / (capacity.slots * len(holders))
-    return wait_s * rate * COPY_USE_S
+    return wait_s * rate * COPY_DEMAND_HORIZON_S
 
 
-class EngineRoom:
+class EngineEstimator:
     """Learned speeds and run times of engines, and the estimates derived from them.
 
     Parameters
     ----------
-    speeds : ReadingSpeeds
+    speeds : PrefillSpeeds
         Prefill speeds by service.
-    paces : EnginePaces, optional
+    paces : SlowEngineDetector, optional
         Detector of engines that are slower than the others of their service; a new one by default.
     """
 
     __slots__ = ("_hold_times", "_prefill_bound", "_speeds", "paces")
 
-    def __init__(self, speeds: ReadingSpeeds, paces: EnginePaces | None = None) -> None:
+    def __init__(self, speeds: PrefillSpeeds, paces: SlowEngineDetector | None = None) -> None:
         self._speeds = speeds
         self._hold_times: dict[str, MeanHoldTime] = {}
         self._prefill_bound: set[str] = set()
         """Services whose engines are limited by prefill rather than by slots."""
-        self.paces = paces or EnginePaces()
+        self.paces = paces or SlowEngineDetector()
 
-    def with_own_paces(self) -> EngineRoom:
+    def with_separate_slowness(self) -> EngineEstimator:
         """Return an instance that shares the learned times but detects slow engines separately."""
-        estimator = EngineRoom(self._speeds)
+        estimator = EngineEstimator(self._speeds)
         estimator._hold_times = self._hold_times
         return estimator
 
@@ -215,7 +227,7 @@
         """Add the time, in seconds, that a successful run of a service occupied its slot."""
         self._hold_times.setdefault(service, MeanHoldTime()).note(held_s)
 
-    def is_slot_bound(self, service: str, capacity: Terms) -> bool:
+    def is_slot_bound(self, service: str, capacity: EngineCapacity) -> bool:
         """Return whether the engines of a service are limited by slots rather than by prefill.
 
         With all slots taken, an engine has to process one mean prompt per slot in the time that a
@@ -240,7 +252,7 @@
     def hold_s(self, service: str) -> float:
         """Return the mean time that a run of a service occupies its slot, in seconds."""
         hold_time = self._hold_times.get(service)
-        return hold_time.seconds if hold_time is not None else FIRST_HOLD_S
+        return hold_time.seconds if hold_time is not None else DEFAULT_HOLD_TIME_S
 
     def pace(self, service: str, replica: str, now: float) -> EngineRates:
         """Return the expected rates of an engine, with its slowness applied."""
--- a/packages/policy/src/gradelug_policy/kept_parts.py
+++ b/packages/policy/src/gradelug_policy/kept_parts.py
@@ -26,7 +26,7 @@
 not show in the tokens sent since the part was used. A greater fraction credits parts that were
 evicted, so that first events are expected too early; with a smaller one cached parts are processed
 again."""
-KEPT_S = 30.0
+CACHE_TTL_S = 30.0
 """A part unused for this long counts as evicted even at an engine with little traffic: prompts that
 others sent there may not have been reported."""
 MAX_CACHED_PREFIXES = 128
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Chain:
+class PrefixChain:
     """The prefixes of a prompt that other prompts may reuse.
 
     Parameters
@@ -98,7 +98,7 @@
         return self.prefixes[-1].tokens if self.prefixes else 0
 
 
-def chain_of(weights: str, owner: str, parts: t.Sequence[PromptPart]) -> Chain | None:
+def prefix_chain(weights: str, owner: str, parts: t.Sequence[PromptPart]) -> PrefixChain | None:
     """Return the reusable prefixes of a prompt, None if there are none.
 
     Parameters
@@ -117,7 +117,7 @@
         digest.update(f"\0{part.name}:{part.tokens}".encode())
         tokens += part.tokens
         prefixes.append(Prefix(int.from_bytes(digest.copy().digest()), tokens))
-    return Chain(weights, tuple(prefixes)) if prefixes else None
+    return PrefixChain(weights, tuple(prefixes)) if prefixes else None
 
 
 @dataclass(slots=True)
@@ -151,7 +151,7 @@
 
     def is_cached(self, use: _LastUse, now: float) -> bool:
         """Return whether a prefix with this last use is presumably still cached."""
-        return self.sent - use.sent <= self.max_tokens_since_use and now - use.at <= KEPT_S
+        return self.sent - use.sent <= self.max_tokens_since_use and now - use.at <= CACHE_TTL_S
 
     def forget(self, weights: str) -> None:
         """Remove all prefixes cached for some weights."""
@@ -177,14 +177,14 @@
         self.count = sum(map(len, self.uses.values()))
 
 
-class KeptParts:
+class PrefixCacheTracker:
     """Estimates the prefix caches of engines from the requests sent to them."""
 
-    __slots__ = ("_engines", "credited", "reread", "seen_part", "shared")
+    __slots__ = ("_engines", "credited", "reread", "observed_fraction", "shared")
 
     def __init__(self) -> None:
         self._engines: dict[str, _EngineCache] = {}
-        self.seen_part = 1.0
+        self.observed_fraction = 1.0
         """Fraction of the traffic to engines that is recorded here; the rest is extrapolated."""
         self.shared = 0
         """Total tokens of reusable prefixes in all requests sent."""
@@ -198,7 +198,7 @@
         """Number of prefixes tracked."""
         return sum(cache.count for cache in self._engines.values())
 
-    def kept_tokens(self, engine: str, chain: Chain | None, now: float) -> int:
+    def estimate_cached_tokens(self, engine: str, chain: PrefixChain | None, now: float) -> int:
         """Return the tokens of a chain that an engine is assumed to have cached."""
         cache = self._engines.get(engine)
         if chain is None or cache is None:
@@ -214,7 +214,7 @@
             tokens = prefix.tokens
         return tokens
 
-    def note(self, engine: str, chain: Chain | None, now: float, tokens: int = -1) -> None:
+    def note(self, engine: str, chain: PrefixChain | None, now: float, tokens: int = -1) -> None:
         """Record that an engine caches a chain, or only prefixes of up to `tokens` tokens."""
         if chain is None or tokens == 0:
             return
@@ -239,12 +239,12 @@
         """
         if tokens:
             cache = self._engines.setdefault(engine, _EngineCache())
-            cache.sent += tokens / self.seen_part
+            cache.sent += tokens / self.observed_fraction
             cache.max_tokens_since_use = (
                 CACHE_MEMORY_FRACTION * memory_tokens if memory_tokens else math.inf
             )
 
-    def note_credit(self, chain: Chain | None, cached: int, max_cached: int = 0) -> None:
+    def note_credit(self, chain: PrefixChain | None, cached: int, max_cached: int = 0) -> None:
         """Add a sent request to the token counters.
 
         Parameters
@@ -275,11 +275,11 @@
         for engine in [engine for engine in self._engines if engine not in engines]:
             del self._engines[engine]
         for cache in self._engines.values():
-            if now - cache.pruned_at > KEPT_S:
+            if now - cache.pruned_at > CACHE_TTL_S:
                 cache.prune(now)
 
 
-def tokens_at_home(chain: Chain, known: int, tokens_per_s: float) -> int:
+def preferred_engine_tokens(chain: PrefixChain, known: int, tokens_per_s: float) -> int:
     """Return the tokens of a chain to assume cached at its preferred engine when choosing one.
 
     Parameters
@@ -295,6 +295,6 @@
     return max(known, min(chain.tokens, limit))
 
 
-def held_up_s(cached_tokens: int, tokens_per_s: float) -> float:
+def prefill_delay_saved_s(cached_tokens: int, tokens_per_s: float) -> float:
     """Return the delay of other requests that cached tokens avoid, in seconds."""
     return (PREFILL_WEIGHT - 1) * cached_tokens / tokens_per_s
--- a/packages/policy/src/gradelug_policy/lasting_runs.py
+++ b/packages/policy/src/gradelug_policy/lasting_runs.py
@@ -20,17 +20,17 @@
 ENGINE_PRIOR_S = 5.0
 """Unbroken stream time that is assumed before any was observed. The prior of an engine is shorter,
 so that a first break raises the estimate for that engine much and for all others less."""
-LEAST_RISK = 0.02
+MIN_BREAK_RISK = 0.02
 """Lowest break probability for which a run is copied. A copy transfers the memory of a whole run;
 below this, more than fifty runs are transferred for each one that is recovered."""
 MIN_REMAINING_S = 0.4
 """A run that ends sooner is not copied: copies are sent a few times per second, so it would end
 before its copy is usable."""
-ROOM_PART = 0.6
+MAX_COPY_MEMORY_FRACTION = 0.6
 """Greatest fraction of memory in use, copy included, at an engine that receives a copy, so that
 copies do not displace requests. The rest is reserved for requests that are sent there before its
 state is updated."""
-ANY_ROOM = 1.0
+MAX_MOVE_MEMORY_FRACTION = 1.0
 """The same for the move of a run that its engine stops: it may fill the memory, since it continues
 there at once."""
 DEFAULT_TOKEN_S = 0.012
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CopyTerms:
+class CopySettings:
     """Parameters that determine the cost of copying a run's memory.
 
     Parameters
@@ -133,7 +133,7 @@
             del self._engines[name]
 
 
-class Pace:
+class RunStatistics:
     """Learns the time per token and the size of the runs of a service."""
 
     __slots__ = ("mean_tokens", "token_s")
@@ -175,7 +175,7 @@
     is_same_hall: bool
 
 
-def wants_copy(risk: float, left_s: float) -> bool:
+def should_copy(risk: float, left_s: float) -> bool:
     """Return whether a run should be copied while it is executing.
 
     Parameters
@@ -185,10 +185,12 @@
     left_s : float
         Expected remaining time, in seconds.
     """
-    return risk >= LEAST_RISK and left_s >= MIN_REMAINING_S
+    return risk >= MIN_BREAK_RISK and left_s >= MIN_REMAINING_S
 
 
-def choose_target(targets: t.Iterable[CopyTarget], max_used: float = ROOM_PART) -> str | None:
+def choose_target(
+    targets: t.Iterable[CopyTarget], max_used: float = MAX_COPY_MEMORY_FRACTION
+) -> str | None:
     """Return the name of the engine that receives a copy; None if all exceed the memory limit.
 
     Engines with the weights loaded are preferred: elsewhere the caller waits for the load.
@@ -202,7 +204,7 @@
     return best.name if best is not None else None
 
 
-class Way(Enum):
+class RecoveryAction(Enum):
     """Ways to recover a run whose stream broke."""
 
     STOP = "stop"
@@ -216,7 +218,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class BrokenRun:
     """State of a run whose stream broke.
 
     Parameters
@@ -237,23 +239,23 @@
     has_retry_budget: bool
 
 
-def choose_way(broken: Broken) -> Way:
+def choose_recovery(broken: BrokenRun) -> RecoveryAction:
     """Return how to recover a run.
 
     An engine that may still execute the run is stopped first: two engines must not execute it at
     once, and the engine's own memory is complete, while a copy lacks the latest tokens.
     """
     if not broken.has_retry_budget:
-        return Way.END
+        return RecoveryAction.END
     if broken.can_stop:
-        return Way.STOP
+        return RecoveryAction.STOP
     if broken.has_backup:
-        return Way.BACKUP
-    return Way.NEW_RUN if broken.repeatable else Way.END
+        return RecoveryAction.BACKUP
+    return RecoveryAction.NEW_RUN if broken.repeatable else RecoveryAction.END
 
 
 @dataclass(slots=True, frozen=True)
-class EndingRun:
+class EvacuationCandidate:
     """A run on an engine that is about to be removed.
 
     Parameters
@@ -278,8 +280,8 @@
 
 
 def moves_due(
-    runs: t.Sequence[EndingRun], ends_in_s: float, others: int, settings: CopyTerms
-) -> list[EndingRun]:
+    runs: t.Sequence[EvacuationCandidate], ends_in_s: float, others: int, settings: CopySettings
+) -> list[EvacuationCandidate]:
     """Return the runs to move now from an engine that will be removed, in order of the moves.
 
     Moves share the engine's network link, so they begin as late as all of them still fit: a run
@@ -288,13 +290,13 @@
 
     Parameters
     ----------
-    runs : sequence of EndingRun
+    runs : sequence of EvacuationCandidate
         Runs of this instance on the engine.
     ends_in_s : float
         Time until the engine is removed, in seconds.
     others : int
         Runs of other instances on the engine, which are moved over the same link.
-    settings : CopyTerms
+    settings : CopySettings
         Parameters of the transfer.
     """
     unfinished = [run for run in runs if run.left_s > ends_in_s - MOVE_MARGIN_S]
--- a/packages/policy/src/gradelug_policy/left_runs.py
+++ b/packages/policy/src/gradelug_policy/left_runs.py
@@ -11,10 +11,10 @@
 
 from dataclasses import dataclass
 
-REPORT_AGE_S = 0.5
+MAX_REPORT_AGE_S = 0.5
 """Reports of engines are some hundred ms old. If the last event of a run is younger than this, the
 report may show the state before the run was preempted."""
-ASK_S = 0.05
+URGENT_POLL_INTERVAL_S = 0.05
 """Interval of polls for an abandoned run after its request was resumed on another engine: within
 0.4 s one of the two must have stopped, and a call takes some ms."""
 URGENT_POLL_WINDOW_S = 0.45
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EngineWord:
+class EngineRunsReport:
     """State of its requests that an engine reports.
 
     Parameters
@@ -44,24 +44,24 @@
     runs: frozenset[str]
 
 
-def is_gone(report: EngineWord | None, request_id: str, silent_s: float) -> bool:
+def is_gone(report: EngineRunsReport | None, request_id: str, silent_s: float) -> bool:
     """Return whether a run that its engine did not find has certainly left it.
 
     Parameters
     ----------
-    report : EngineWord or None
+    report : EngineRunsReport or None
         Latest report of the engine; None if it sends none.
     request_id : str
         Request of the run.
     silent_s : float
         Time since the last event of the run, in seconds.
     """
-    if report is None or silent_s < REPORT_AGE_S or request_id in report.runs:
+    if report is None or silent_s < MAX_REPORT_AGE_S or request_id in report.runs:
         return False
     return not report.queued and report.active <= len(report.runs)
 
 
-def may_wait(silent_s: float, gap_s: float) -> bool:
+def may_be_queued(silent_s: float, gap_s: float) -> bool:
     """Return whether a run whose stream broke may have been preempted and queued before the break.
 
     A run whose last event came within the allowed pause was most likely executing, and engines drop
@@ -78,7 +78,7 @@
     return silent_s > gap_s
 
 
-def next_ask_s(left_s: float, since_resumed_s: float) -> float:
+def next_poll_s(left_s: float, since_resumed_s: float) -> float:
     """Return the time until the next poll for an abandoned run, in seconds.
 
     Parameters
@@ -89,5 +89,5 @@
         Time since its request was last resumed on another engine, in seconds.
     """
     if since_resumed_s < URGENT_POLL_WINDOW_S:
-        return ASK_S
+        return URGENT_POLL_INTERVAL_S
     return max(MIN_RELAXED_POLL_INTERVAL_S, left_s)
--- a/packages/policy/src/gradelug_policy/plain.py
+++ b/packages/policy/src/gradelug_policy/plain.py
@@ -74,7 +74,7 @@
 
     def choose(self, views: t.Sequence[PlainView]) -> str:
         """Return the replica that gets the next request; `views` must not be empty."""
-        weights = weigh(views)
+        weights = replica_weights(views)
         for view, weight in zip(views, weights, strict=True):
             due = self._due.get(view.name)
             if due is None:
@@ -90,7 +90,7 @@
         self._due = {name: due for name, due in self._due.items() if name in names}
 
 
-def weigh(views: t.Sequence[PlainView]) -> list[float]:
+def replica_weights(views: t.Sequence[PlainView]) -> list[float]:
     """Return the share of each replica in the requests; the shares add up to 1."""
     durations_s = [view.took_s for view in views if view.took_s]
     mean_s = sum(durations_s) / len(durations_s) if durations_s else 1.0
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -11,11 +11,11 @@
 import typing as t
 from dataclasses import dataclass
 
-from .kept_parts import Chain
+from .kept_parts import PrefixChain
 
-URGENCIES = 10
+URGENCY_LEVELS = 10
 """Number of urgency levels of engines; 0 is processed first."""
-LATE = URGENCIES - 1
+LATE_URGENCY = URGENCY_LEVELS - 1
 """Urgency of requests that would be late anyway, so that they do not delay those that can be in
 time."""
 DEFAULT_TOKENS_PER_S = 20_000.0
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Work:
+class RequestWork:
     """Work that a request causes on an engine.
 
     Parameters
@@ -53,11 +53,11 @@
     prompt_tokens: int = 0
     urgency: int = 0
     answer_tokens: int = 0
-    chain: Chain | None = None
+    chain: PrefixChain | None = None
     kept_tokens: int = 0
 
     @property
-    def reading_tokens(self) -> int:
+    def prefill_tokens(self) -> int:
         """Tokens of the prompt that need prefill."""
         return max(0, self.prompt_tokens - self.kept_tokens)
 
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Busyness:
+class EngineLoad:
     """Current load of an engine.
 
     Parameters
@@ -93,7 +93,7 @@
         """Number of requests that occupy a slot or are queued for one."""
         return self.starting + self.running
 
-    def ahead(self, urgency: int) -> int:
+    def tokens_ahead(self, urgency: int) -> int:
         """Return the queued tokens that are processed before a new request of some urgency."""
         return sum(self.queued[: urgency + 1])
 
@@ -109,7 +109,7 @@
         self.samples = 0
 
 
-class ReadingSpeeds:
+class PrefillSpeeds:
     """Learns the prefill speed of the engines of each service, in tokens per second.
 
     Tracks the median over long prompts with short queues before them, since some prompts turn out
@@ -131,7 +131,7 @@
         learned = self._speeds.get(service)
         return learned.mean_prompt if learned is not None else 0.0
 
-    def note(self, service: str, load: Busyness, work: Work, took_s: float) -> None:
+    def note(self, service: str, load: EngineLoad, work: RequestWork, took_s: float) -> None:
         """Add the observation of a first event.
 
         Parameters
@@ -146,7 +146,7 @@
             From sending to the first event, in seconds.
         """
         learned = self._speeds.setdefault(service, _ServiceSpeed())
-        uncached_tokens = work.reading_tokens
+        uncached_tokens = work.prefill_tokens
         if not learned.mean_prompt:
             learned.mean_prompt = uncached_tokens
         learned.mean_prompt += MEAN_WEIGHT * (uncached_tokens - learned.mean_prompt)
@@ -163,10 +163,10 @@
         )
 
 
-def first_event_s(load: Busyness, work: Work, speed: float) -> float:
+def first_event_s(load: EngineLoad, work: RequestWork, speed: float) -> float:
     """Return the expected time to the first event of a request, in seconds."""
     return (
-        load.ahead(work.urgency) + work.reading_tokens
+        load.tokens_ahead(work.urgency) + work.prefill_tokens
     ) / speed + RUNNING_STREAM_DELAY_S * load.running
 
 
@@ -175,7 +175,7 @@
     return tuple(map(sum, itertools.zip_longest(*queues, fillvalue=0)))
 
 
-def less_queue(queue: t.Sequence[int], removed: t.Sequence[int]) -> tuple[int, ...]:
+def subtract_queue(queue: t.Sequence[int], removed: t.Sequence[int]) -> tuple[int, ...]:
     """Return a queue less the removed tokens, each a sequence of tokens by urgency."""
     pairs = itertools.zip_longest(queue, removed, fillvalue=0)
     return tuple(max(0, tokens - removed_tokens) for tokens, removed_tokens in pairs)
--- a/packages/policy/src/gradelug_policy/renewal.py
+++ b/packages/policy/src/gradelug_policy/renewal.py
@@ -15,7 +15,7 @@
 others: new versions must be in use within some seconds."""
 
 
-def renewals_left(started_at: t.Iterable[float], engines: int, now: float) -> int:
+def renewals_allowed(started_at: t.Iterable[float], engines: int, now: float) -> int:
     """Return how many more engines may start to renew their base model now.
 
     Parameters
--- a/packages/policy/src/gradelug_policy/residency.py
+++ b/packages/policy/src/gradelug_policy/residency.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EnginePlaces:
+class LoadCandidate:
     """State of an engine that determines the cost of loading an adapter there.
 
     Parameters
@@ -82,8 +82,8 @@
     cached: bool
 
 
-def choose_home(
-    engines: t.Iterable[EnginePlaces],
+def choose_load_engine(
+    engines: t.Iterable[LoadCandidate],
     key: str,
     costs: LoadCosts,
     may_use_store: bool,
@@ -93,7 +93,7 @@
 
     Parameters
     ----------
-    engines : iterable of EnginePlaces
+    engines : iterable of LoadCandidate
         Engines that may load the adapter.
     key : str
         Identifier of the adapter.
@@ -104,7 +104,7 @@
     max_cost_s : float
         Greatest acceptable cost, eviction included, in seconds.
     """
-    best: list[tuple[EnginePlaces, Victim | None]] = []
+    best: list[tuple[LoadCandidate, Victim | None]] = []
     min_cost = max_cost_s
     for engine in engines:
         if not engine.cached and not may_use_store:
@@ -125,13 +125,13 @@
     return LoadChoice(engine.name, victim.key if victim else None, engine.cached)
 
 
-def expected_cost_s(engine: EnginePlaces, costs: LoadCosts) -> float:
+def expected_cost_s(engine: LoadCandidate, costs: LoadCosts) -> float:
     """Return the time to a first event on an engine plus the cost of the load, in seconds."""
     load_s = costs.cached_s if engine.cached else costs.store_s + costs.price_s
     return load_s + engine.wait_s
 
 
-class LoadWindow:
+class LoadRateLimiter:
     """Token bucket that keeps loads from the weight store within its limit in every window.
 
     Loads start at an even rate apart from a small burst. A window in which a planner is replaced
--- a/packages/policy/src/gradelug_policy/run_versions.py
+++ b/packages/policy/src/gradelug_policy/run_versions.py
@@ -10,7 +10,7 @@
 import typing as t
 from dataclasses import dataclass, replace
 
-NOT_TOLD = 0
+UNKNOWN_VERSION = 0
 """Version number that means unknown."""
 MAX_ANNOUNCEMENTS = 8
 """Version announcements stored per weights."""
@@ -20,7 +20,7 @@
 request."""
 
 
-class VersionWord(t.NamedTuple):
+class ReportedVersion(t.NamedTuple):
     """Version of its base model that an engine reports.
 
     Parameters
@@ -31,7 +31,7 @@
         Reported text that is not a valid version; empty if there is none.
     """
 
-    version: int = NOT_TOLD
+    version: int = UNKNOWN_VERSION
     unreadable: str = ""
 
 
@@ -47,15 +47,15 @@
         Version of the adapter; 0 also where none is used.
     """
 
-    model: int = NOT_TOLD
-    adapter: int = NOT_TOLD
+    model: int = UNKNOWN_VERSION
+    adapter: int = UNKNOWN_VERSION
 
     @property
     def text(self) -> str:
         """Text for logs: versions of base model and adapter, `?` if unknown."""
         return f"{self.model or '?'}/{self.adapter or '?'}"
 
-    def told(self, reported: VersionWord) -> WeightVersions:
+    def with_reported(self, reported: ReportedVersion) -> WeightVersions:
         """Return these versions with the reported version of the base model, if there is one."""
         return replace(self, model=reported.version) if reported.version else self
 
@@ -77,10 +77,10 @@
 
 def _is_newest(version: int, newest: int) -> bool:
     # An unknown version counts as the newest only while none was announced.
-    return newest == NOT_TOLD if version == NOT_TOLD else newest <= version
+    return newest == UNKNOWN_VERSION if version == UNKNOWN_VERSION else newest <= version
 
 
-def is_same(version: int, held: int, newest: int) -> bool:
+def is_same_version(version: int, held: int, newest: int) -> bool:
     """Return whether the weights in an engine are those that produced a run's memory.
 
     Parameters
@@ -92,12 +92,12 @@
     newest : int
         Newest announced version, 0 if none was announced.
     """
-    if version == NOT_TOLD or held == NOT_TOLD:
-        return newest == NOT_TOLD
+    if version == UNKNOWN_VERSION or held == UNKNOWN_VERSION:
+        return newest == UNKNOWN_VERSION
     return version == held
 
 
-class Namings:
+class VersionAnnouncements:
     """Times at which announcements of weight versions were received."""
 
     __slots__ = ("_announced",)
@@ -111,13 +111,13 @@
         announced.append((version, now))
         del announced[:-MAX_ANNOUNCEMENTS]
 
-    def replaced_s(self, key: t.Hashable, version: int, now: float) -> float:
+    def superseded_for_s(self, key: t.Hashable, version: int, now: float) -> float:
         """Return the time since a newer version was announced, in seconds; 0 if none was."""
         newer = [at for announced, at in self._announced.get(key, ()) if announced > version]
         return now - min(newer, default=now)
 
 
-def may_begin(replaced_s: float, bound_s: float) -> bool:
+def may_start(replaced_s: float, bound_s: float) -> bool:
     """Return whether a request may still start under an older version.
 
     Parameters
@@ -130,7 +130,7 @@
     return replaced_s <= max(0.0, bound_s - START_MARGIN_S)
 
 
-def compare(memory: WeightVersions, reported: VersionWord) -> str:
+def compare_versions(memory: WeightVersions, reported: ReportedVersion) -> str:
     """Return the metric label for an engine that resumes a memory: do its weights match?"""
     if not memory.model or not reported.version:
         return "unknown"
--- a/packages/policy/src/gradelug_policy/spread.py
+++ b/packages/policy/src/gradelug_policy/spread.py
@@ -22,7 +22,7 @@
 """Avoids a division by zero for an engine of very high cost."""
 
 
-def choose_spread(
+def choose_weighted(
     costs_s: t.Sequence[tuple[T, float]], state_age_s: float, rng: random.Random
 ) -> T | None:
     """Return a random engine, or None if there are none; a lower cost makes one more likely.
@@ -41,7 +41,7 @@
     return rng.choices([engine for engine, _ in costs_s], _weights(costs_s, state_age_s))[0]
 
 
-def choose_settled(costs_s: t.Sequence[tuple[str, float]], state_age_s: float, mark: int) -> str:
+def choose_consistent(costs_s: t.Sequence[tuple[str, float]], state_age_s: float, mark: int) -> str:
     """Return an engine by hashing, each as likely over all digests as in the random choice.
 
     Equal digests and costs give the same engine on every gateway, and similar costs nearly always
--- a/tests/engine_fleet_model.py
+++ b/tests/engine_fleet_model.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass, field
 
 from gradelug_policy.engine_room import (
-    COPY_USE_S,
-    EQUAL,
-    HOLD_S,
-    EngineRoom,
-    Terms,
+    COPY_DEMAND_HORIZON_S,
+    EQUAL_URGENCY,
+    MAX_REQUEST_HOLD_S,
+    EngineCapacity,
+    EngineEstimator,
     copy_gain_s,
-    expected_s,
-    has_room,
+    expected_first_event_s,
+    has_capacity,
 )
-from gradelug_policy.reading import LATE, Busyness, ReadingSpeeds, Work
+from gradelug_policy.reading import LATE_URGENCY, EngineLoad, PrefillSpeeds, RequestWork
 from gradelug_policy.residency import STORE_COST_S
 
 STEP_S = 0.01
@@ -28,12 +28,12 @@
 RETRY_INTERVAL_S = 0.04
 """Interval at which placement of waiting requests is retried."""
 MAX_ATTEMPTS = 3
-AWAY_S = 3.0
+CALLER_TIMEOUT_S = 3.0
 """Time after which callers without a first event give up."""
 
 
 @dataclass(slots=True, frozen=True)
-class Shape:
+class FleetParameters:
     """Parameters of a fleet and of the load on it."""
 
     engines: int = 70
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rules:
+class PlacementOptions:
     """Options of request placement."""
 
     slots: bool = True
@@ -70,7 +70,7 @@
     news_s: float = 0.12
 
 
-BASELINE = Rules(slots=False, copies=False, urgency="rank", speeds=False)
+BASELINE = PlacementOptions(slots=False, copies=False, urgency="rank", speeds=False)
 
 
 @dataclass(slots=True)
@@ -94,7 +94,7 @@
     preempted: int = 0
     sent_at: float = math.inf
     retry_at: float = 0.0
-    busy: Busyness = Busyness()
+    busy: EngineLoad = EngineLoad()
     excluded: set = field(default_factory=set)
 
 
@@ -161,16 +161,16 @@
         return firsts, ended
 
 
-class Run:
+class FleetSimulation:
     """Simulation of a load under some placement rules; `figures` returns the results."""
 
     def __init__(self, shape, rules, seed=1):
         self.shape, self.rules = shape, rules
         self.rng = random.Random(seed)
         self.engines = [SimEngine(shape, shape.speed) for _ in range(shape.engines)]
-        self.terms = Terms(shape.slots if rules.slots else 0)
-        self.speeds = ReadingSpeeds()
-        self.room = EngineRoom(self.speeds)
+        self.terms = EngineCapacity(shape.slots if rules.slots else 0)
+        self.speeds = PrefillSpeeds()
+        self.room = EngineEstimator(self.speeds)
         self.now = 0.0
         self.weights = [1 / (rank + 1) ** 1.2 for rank in range(shape.adapters)]
         self.held = [{} for _ in self.engines]
@@ -256,13 +256,13 @@
     def _busy(self, index):
         starting, running, queued = self.known_load[index]
         tokens = tuple(queued[urgency] for urgency in range(10))
-        return Busyness(tokens, running, starting)
+        return EngineLoad(tokens, running, starting)
 
     def _pace(self, index):
         return self.room.pace("llm", str(index), self.now)
 
     def _cost(self, index, work):
-        return expected_s(self._busy(index), work, self.terms, self._pace(index))
+        return expected_first_event_s(self._busy(index), work, self.terms, self._pace(index))
 
     def _learn_paces(self, now):
         for index, engine in enumerate(self.engines):
@@ -272,9 +272,9 @@
             engine.total_pause_s, engine.events = 0.0, 0
 
     def _place(self, req, now):
-        if now - req.at > AWAY_S:
+        if now - req.at > CALLER_TIMEOUT_S:
             return
-        work = Work(req.prompt, self._urgency(req.rank))
+        work = RequestWork(req.prompt, self._urgency(req.rank))
         holders = [index for index in self.by_key[req.adapter] if index not in req.excluded]
         best = min(holders, key=lambda index: self._cost(index, work), default=None)
         least = self._cost(best, work) if best is not None else math.inf
@@ -285,8 +285,8 @@
             self.line.append(req)
             return
         late = now + least > req.at + req.target_s
-        is_full = not has_room(self._busy(best), work, self.terms, self._pace(best))
-        waits = now <= req.at + (HOLD_S if is_full else MOVE_S) and (late or is_full)
+        is_full = not has_capacity(self._busy(best), work, self.terms, self._pace(best))
+        waits = now <= req.at + (MAX_REQUEST_HOLD_S if is_full else MOVE_S) and (late or is_full)
         if waits and (coming or self._load(req.adapter, now, least - 0.1) or is_full):
             self.line.append(req)
             return
@@ -294,10 +294,10 @@
 
     def _urgency(self, rank):
         learned = self.rules.urgency == "learned" and self.room.is_slot_bound("llm", self.terms)
-        return EQUAL if learned or self.rules.urgency == "equal" else rank
+        return EQUAL_URGENCY if learned or self.rules.urgency == "equal" else rank
 
     def _send(self, req, index, work, last, now):
-        req.urgency = LATE if last and work.urgency != EQUAL else work.urgency
+        req.urgency = LATE_URGENCY if last and work.urgency != EQUAL_URGENCY else work.urgency
         req.sent_at, req.engine = now, index
         req.busy = self._busy(index)
         if not self.engines[index].arrive(req):
@@ -322,7 +322,10 @@
                 known[1] += 1
                 known[2][req.urgency] -= req.prompt
                 self.speeds.note(
-                    "llm", req.busy, Work(req.prompt, req.urgency), req.first_at - req.sent_at
+                    "llm",
+                    req.busy,
+                    RequestWork(req.prompt, req.urgency),
+                    req.first_at - req.sent_at,
                 )
             else:
                 known[1] -= 1
@@ -332,12 +335,12 @@
     def _price(self, key):
         if not self.rules.copies:
             return STORE_COST_S
-        return STORE_COST_S / max(1.0, self.rates[key] * COPY_USE_S)
+        return STORE_COST_S / max(1.0, self.rates[key] * COPY_DEMAND_HORIZON_S)
 
     def _load(self, key, now, max_cost_s):
         if len(self.coming) >= self.shape.loads_at_once:
             return False
-        work = Work(1_000, 1)
+        work = RequestWork(1_000, 1)
         best, min_cost, victim = None, max_cost_s, None
         for index, held in enumerate(self.held):
             loading = [other for other, where in self.coming if where == index]
@@ -380,8 +383,8 @@
             busy = [self._busy(index) for index in holders]
             gain = copy_gain_s(busy, rate, self.shape.load_s, self.terms, self.room.hold_s("llm"))
             if gain > STORE_COST_S:
-                best = min(self._cost(index, Work(1_000, 1)) for index in holders)
-                self._load(key, now, best + gain / max(1.0, rate * COPY_USE_S))
+                best = min(self._cost(index, RequestWork(1_000, 1)) for index in holders)
+                self._load(key, now, best + gain / max(1.0, rate * COPY_DEMAND_HORIZON_S))
 
     def figures(self):
         reqs = self.requests
--- a/tests/grown_fleet.py
+++ b/tests/grown_fleet.py
@@ -22,7 +22,7 @@
 )
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.settings import Feature
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 from gradelug_wire import placement_pb2 as pb
 
 PLACES = 9
@@ -187,7 +187,7 @@
                 f"hall-{at % 3}",
                 holdings=self.orders.holdings[name] if tells else (),
             )
-        window = LoadWindow(8.0, 5.0, 1.1, 3)
+        window = LoadRateLimiter(8.0, 5.0, 1.1, 3)
         self.planner = Planner(
             "llm",
             "me",
--- a/tests/kept_load.py
+++ b/tests/kept_load.py
@@ -3,9 +3,9 @@
 import random
 from collections import OrderedDict, deque
 
-from gradelug_policy.engine_room import EngineRates, Terms, expected_s
-from gradelug_policy.kept_parts import PromptPart, chain_of
-from gradelug_policy.reading import Busyness, Work
+from gradelug_policy.engine_room import EngineCapacity, EngineRates, expected_first_event_s
+from gradelug_policy.kept_parts import PromptPart, prefix_chain
+from gradelug_policy.reading import EngineLoad, RequestWork
 
 ENGINES = 12
 GATEWAYS = 85
@@ -13,7 +13,7 @@
 """Name, number of copies, fraction of the requests."""
 SYSTEMS = 3
 SYSTEM_TOKENS, SUBJECT_TOKENS, OWN_TOKENS, ANSWER_TOKENS = 210, 140, 1_110, 170
-TERMS = Terms(12, 59_000)
+TERMS = EngineCapacity(12, 59_000)
 SPEED = 19_200.0
 HOLD_S = 1.5
 
@@ -37,7 +37,7 @@
         waiting = [run for run in self.runs if run[0] > now]
         held = sum(run[3] for run in self.runs)
         running = len(self.runs) - len(waiting)
-        return Busyness((sum(run[2] for run in waiting),), running, len(waiting), held)
+        return EngineLoad((sum(run[2] for run in waiting),), running, len(waiting), held)
 
     def restart(self, now):
         for mark in list(self.cache):
@@ -132,7 +132,7 @@
             PromptPart(f"s{system}.{subject}", self.scale * SUBJECT_TOKENS),
             PromptPart(f"own{number}", OWN_TOKENS),
         )
-        chain = chain_of(weights, "", parts)
+        chain = prefix_chain(weights, "", parts)
         gateway = self.rng.randrange(GATEWAYS)
         name = self.policy.choose(self, gateway, chain, self.holders[weights], now)
         engine = self.engines[name]
@@ -158,8 +158,8 @@
         elif now >= self.updated_at + self.state_age_s:
             self.state = {name: engine.busyness(now) for name, engine in self.engines.items()}
             self.updated_at = now
-        work = Work(chain.tokens + OWN_TOKENS, 0, ANSWER_TOKENS, None, cached_tokens)
-        return expected_s(self.state[name], work, TERMS, EngineRates(SPEED, HOLD_S))
+        work = RequestWork(chain.tokens + OWN_TOKENS, 0, ANSWER_TOKENS, None, cached_tokens)
+        return expected_first_event_s(self.state[name], work, TERMS, EngineRates(SPEED, HOLD_S))
 
     @property
     def repeated_fraction(self):
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -33,7 +33,7 @@
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.lasting_runs import CopyTerms
+from gradelug_policy.lasting_runs import CopySettings
 from gradelug_policy.quotas import LocalShares
 from run_engines import KEY, LOAD_S, MODEL, MODEL_S, TICK_S, Ledger, RunEngine
 from world import new_loop
@@ -50,7 +50,7 @@
     2.0,
     True,
     True,
-    CopyTerms(100_000, 100_000.0, 5.0),
+    CopySettings(100_000, 100_000.0, 5.0),
 )
 _event_re = re.compile(rb"(?:x-gradelug-weight-versions: (\d+)\n)?id: (\d+)\ndata: (\S+)")
 
--- a/tests/share_load.py
+++ b/tests/share_load.py
@@ -3,9 +3,15 @@
 import math
 from dataclasses import dataclass
 
-from engine_fleet_model import AWAY_S, Req, Rules, Run, Shape
-from gradelug_policy.engine_room import HOLD_S, expected_s, has_room
-from gradelug_policy.reading import Work
+from engine_fleet_model import (
+    CALLER_TIMEOUT_S,
+    FleetParameters,
+    FleetSimulation,
+    PlacementOptions,
+    Req,
+)
+from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S, expected_first_event_s, has_capacity
+from gradelug_policy.reading import RequestWork
 from gradelug_policy.shares import Claim, EqualWeights, Shares, ahead_s, out_of_turn
 from gradelug_policy.uses import Party, Turns
 
@@ -17,7 +23,7 @@
 MOST_TRIES = 4
 """A third of the callers of what was refused repeat thrice, at once."""
 RATE = 56.0
-SHAPE = Shape(engines=12, rate=RATE, adapters=240, wave=0.0, bursts=(), length_s=11.5)
+SHAPE = FleetParameters(engines=12, rate=RATE, adapters=240, wave=0.0, bursts=(), length_s=11.5)
 
 
 @dataclass(slots=True)
@@ -54,7 +60,7 @@
         return req.rank == self.kind if self.kind >= 0 else req.owner == self.owner
 
 
-class SharedRun(Run):
+class SharedRun(FleetSimulation):
     """One run; `order` None is without shares."""
 
     def __init__(self, flood, order=None, seed=1, shape=SHAPE, weights=None):
@@ -65,7 +71,7 @@
         self.refused = 0
         self._full = set()
         self.made_at = {}
-        super().__init__(shape, Rules(), seed)
+        super().__init__(shape, PlacementOptions(), seed)
 
     def _request(self, number, now):
         req = super()._request(number, now)
@@ -151,21 +157,21 @@
         if now > req.at + req.target_s:
             self._refuse(req)
             return
-        work = Work(req.prompt, self._urgency(req.rank))
+        work = RequestWork(req.prompt, self._urgency(req.rank))
         holders = [index for index in self.by_key[req.adapter] if index not in req.excluded]
         best = min(holders, key=lambda index: self._cost(index, work), default=None)
         if req.adapter in self._full:
             self.line.append(req)
             return
-        if best is None or now <= req.at + HOLD_S:
+        if best is None or now <= req.at + MAX_REQUEST_HOLD_S:
             super()._place(req, now)
             return
         busy, pace = self._busy(best), self._pace(best)
-        least = expected_s(busy, work, self.terms, pace)
+        least = expected_first_event_s(busy, work, self.terms, pace)
         is_claimed = any(key in self.held[best] for key in self._claimed)
         left_part = (req.at + req.target_s - now) / req.target_s
         ahead = ahead_s(left_part, self.rules.news_s, pace.hold_s / self.terms.slots, is_claimed)
-        if has_room(busy, work, self.terms, pace, ahead):
+        if has_capacity(busy, work, self.terms, pace, ahead):
             self._send(req, best, work, now + least > req.at + req.target_s, now)
             return
         self._full.add(req.adapter)
@@ -181,7 +187,7 @@
 
     def waits(self, chosen, part=0.99):
         """Return the wait for a first event that a part of some requests stay below, in seconds."""
-        waits = sorted(min(req.late_s, AWAY_S) for req in self._during() if chosen(req))
+        waits = sorted(min(req.late_s, CALLER_TIMEOUT_S) for req in self._during() if chosen(req))
         return waits[min(len(waits) - 1, int(part * len(waits)))]
 
     def others(self, part=0.99):
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_pace.py
@@ -3,7 +3,12 @@
 import random
 
 import pytest
-from gradelug_policy.engine_pace import MAX_SLOWNESS, MIN_ENGINES, SLOWNESS_HALF_LIFE_S, EnginePaces
+from gradelug_policy.engine_pace import (
+    MAX_SLOWNESS,
+    MIN_ENGINES,
+    SLOWNESS_HALF_LIFE_S,
+    SlowEngineDetector,
+)
 
 EVENT_S = 0.045
 
@@ -12,7 +17,7 @@
     """Simulated service of ten engines with some runs each; events are reported every 0.2 s."""
 
     def __init__(self, engines=10, runs=4, seed=1):
-        self.detector = EnginePaces()
+        self.detector = SlowEngineDetector()
         self.rng = random.Random(seed)
         self.engines = [f"e{number}" for number in range(engines)]
         self.runs = runs
@@ -37,11 +42,11 @@
     service = Service()
     for _ in range(10):
         service.step()
-    assert service.detector.slow(service.now) == {}
+    assert service.detector.slow_engines(service.now) == {}
     for _ in range(5):
         service.step({"e3": slowdown})
     assert service.slowness("e3") > 0.6 * slowdown
-    assert set(service.detector.slow(service.now)) == {"e3"}
+    assert set(service.detector.slow_engines(service.now)) == {"e3"}
     for _ in range(15):
         service.step()
     assert service.slowness("e3") == 1.0
@@ -61,7 +66,7 @@
     service = Service()
     for _ in range(20):
         service.step({"e1": 1.25, "e2": 0.8})
-        assert service.detector.slow(service.now) == {}
+        assert service.detector.slow_engines(service.now) == {}
 
 
 def test_one_stopped_run_does_not_make_its_engine_slow():
@@ -87,12 +92,12 @@
     service = Service(engines=MIN_ENGINES - 1)
     for _ in range(10):
         service.step({"e0": 7.5})
-    assert service.detector.slow(service.now) == {}
+    assert service.detector.slow_engines(service.now) == {}
 
 
 def test_slowness_set_from_elsewhere_is_bounded_and_decays():
-    detector = EnginePaces()
-    detector.take("e0", 50.0, 1.0)
+    detector = SlowEngineDetector()
+    detector.set_slowness("e0", 50.0, 1.0)
     assert detector.slowness("llm", "e0", 1.0) == MAX_SLOWNESS
     assert 1.0 < detector.slowness("llm", "e0", 1.0 + SLOWNESS_HALF_LIFE_S) < MAX_SLOWNESS
     detector.forget("e0")
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -2,8 +2,8 @@
 
 from gradelug_gateway.engine_speeds import PauseTally, SpeedDesk, SpeedTeller
 from gradelug_gateway.followers import Follower
-from gradelug_policy.engine_pace import EnginePaces
-from gradelug_policy.reading import ReadingSpeeds
+from gradelug_policy.engine_pace import SlowEngineDetector
+from gradelug_policy.reading import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 
 
@@ -19,10 +19,10 @@
 
     def __init__(self, gateways=8, engines=6):
         self.clock = Clock()
-        self.speeds = ReadingSpeeds()
-        self.aggregator = SpeedDesk("llm", EnginePaces(), self.speeds)
+        self.speeds = PrefillSpeeds()
+        self.aggregator = SpeedDesk("llm", SlowEngineDetector(), self.speeds)
         self.tallies = [PauseTally() for _ in range(gateways)]
-        self.paces = [EnginePaces() for _ in range(gateways)]
+        self.paces = [SlowEngineDetector() for _ in range(gateways)]
         self.reporters = [
             SpeedTeller("llm", tally, paces, self.speeds, self.clock)
             for tally, paces in zip(self.tallies, self.paces, strict=True)
@@ -80,7 +80,9 @@
 
 def test_pauses_during_prefill_do_not_make_an_engine_slow():
     pair = Pair()
-    pair.aggregator = SpeedDesk("llm", EnginePaces(), pair.speeds, lambda replica: replica == "e0")
+    pair.aggregator = SpeedDesk(
+        "llm", SlowEngineDetector(), pair.speeds, lambda replica: replica == "e0"
+    )
     for _ in range(10):
         assert not pair.step({"e0"}).speeds
 
--- a/tests/test_fair_line.py
+++ b/tests/test_fair_line.py
@@ -11,8 +11,8 @@
 from gradelug_gateway.organisations import Organisation, Organisations, Principal, Quota
 from gradelug_gateway.share_log import tell_standing
 from gradelug_gateway.share_tally import MOST_UNTOLD, NOBODY, ShareTally, ShareTeller, party_of
-from gradelug_policy.engine_room import HOLD_S
-from gradelug_policy.reading import Work
+from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S
+from gradelug_policy.reading import RequestWork
 from gradelug_policy.uses import FIRST_TURNS_S, Party
 from gradelug_wire import placement_pb2 as pb
 from test_planner import run
@@ -85,7 +85,7 @@
             flood = bench.ask("a", target_s=2.0, **FLOOD)
             small = bench.ask("a", target_s=2.0, **SMALL)
             # An owner within its share is sent to an engine's queue after the maximum hold time.
-            assert (await bench.answer(small, HOLD_S + 0.15)).replica
+            assert (await bench.answer(small, MAX_REQUEST_HOLD_S + 0.15)).replica
             assert await bench.answer(flood, 0.0) is None
             await bench.stop()
 
@@ -214,7 +214,7 @@
         self.route = _Named("r")
         self.service = _Named("llm")
         self.service.engine = object() if engine else None
-        self.work = Work(prompt, 0, answer)
+        self.work = RequestWork(prompt, 0, answer)
         self.placed_s = 0.2
         self.req = _Named("")
         self.req.key = AdapterKey("m", "a")
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -16,9 +16,9 @@
     Request,
     ToldLoad,
 )
-from gradelug_policy.engine_room import EngineRoom
-from gradelug_policy.kept_parts import KEPT_S, PromptPart, chain_of
-from gradelug_policy.reading import Busyness, ReadingSpeeds, Work, first_event_s
+from gradelug_policy.engine_room import EngineEstimator
+from gradelug_policy.kept_parts import CACHE_TTL_S, PromptPart, prefix_chain
+from gradelug_policy.reading import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
 from gradelug_wire import placement_pb2 as pb
 from test_planner import Bench as PlannerBench
 from test_planner import run
@@ -27,8 +27,8 @@
 
 KEY = AdapterKey("m", "a")
 PARTS = (PromptPart("5c1e", 800), PromptPart("91bd", 410), PromptPart("e440", 250))
-CHAIN = chain_of("m/a", "", PARTS)
-WORK = Work(1_460, 0, 80, CHAIN)
+CHAIN = prefix_chain("m/a", "", PARTS)
+WORK = RequestWork(1_460, 0, 80, CHAIN)
 HEADERS = b"X-Gradelug-Token-Usage: 1460,80\r\nX-Gradelug-Prompt-Prefix: %b\r\n"
 PREFIX = b"5c1e:800,91bd:410,e440:250"
 
@@ -82,7 +82,7 @@
 
 class TestPlanner:
     def new_bench(self):
-        return KeptBench(spec=ROOM_SPEC, room=EngineRoom(ReadingSpeeds()))
+        return KeptBench(spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
 
     def play(self, scenario):
         async def whole():
@@ -172,12 +172,12 @@
             del fleet.state.replicas["e2"]
             homes = set()
             for number in range(12):
-                chain = chain_of("m/a", "", (PromptPart(f"p{number}", 900), PARTS[2]))
+                chain = prefix_chain("m/a", "", (PromptPart(f"p{number}", 900), PARTS[2]))
                 ticket = bench.ask("a", prompt_tokens=1_150, prefixes=encode_chain(chain))
                 await asyncio.sleep(0.05)
                 answer = bench.collect()[ticket]
                 assert answer.kept_tokens == 0
-                work = Work(1_150, 0, 80, chain)
+                work = RequestWork(1_150, 0, 80, chain)
                 assert answer.replica == fleet.choose(fleet.usable("llm"), work=work).name
                 homes.add(answer.replica)
                 bench.load(answer.replica, 0)
@@ -187,12 +187,12 @@
 
     def test_few_of_many_engines_cache_the_same_prefixes(self):
         async def scenario():
-            bench = KeptBench(80, spec=ROOM_SPEC, room=EngineRoom(ReadingSpeeds()))
+            bench = KeptBench(80, spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
             await asyncio.sleep(1.0)
             replicas = set()
             for number in range(40):
                 parts = (*PARTS[:2], PromptPart(f"own{number}", 250))
-                prefixes = encode_chain(chain_of("m", "", parts))
+                prefixes = encode_chain(prefix_chain("m", "", parts))
                 ticket = bench.ask("", prompt_tokens=1_460, prefixes=prefixes)
                 await asyncio.sleep(0.05)
                 replica = bench.collect()[ticket].replica
@@ -237,13 +237,15 @@
 
 class TestGateway:
     def test_gateways_without_observations_agree_on_an_engine(self):
-        chains = [chain_of("m/a", "", (PromptPart(f"p{n}", 900), PARTS[2])) for n in range(30)]
+        chains = [prefix_chain("m/a", "", (PromptPart(f"p{n}", 900), PARTS[2])) for n in range(30)]
         for chain in chains:
-            work = Work(1_150, 0, 80, chain)
+            work = RequestWork(1_150, 0, 80, chain)
             chosen = {new_fleet().choose(new_fleet().usable("llm"), work=work).name for _ in "ab"}
             assert len(chosen) == 1
         names = [
-            new_fleet().choose(new_fleet().usable("llm"), work=Work(1_150, 0, 80, chain)).name
+            new_fleet()
+            .choose(new_fleet().usable("llm"), work=RequestWork(1_150, 0, 80, chain))
+            .name
             for chain in chains
         ]
         assert set(names) == {"e0", "e1", "e2"}
@@ -254,8 +256,8 @@
         for fleet in fleets:
             fleet.news_s = 0.5
             for number in range(64):
-                chain = chain_of("m/a", "", (PromptPart(f"p{number}", 900), PARTS[2]))
-                last = fleet.choose(fleet.usable("llm"), work=Work(1_150, 0, 80, chain)).name
+                chain = prefix_chain("m/a", "", (PromptPart(f"p{number}", 900), PARTS[2]))
+                last = fleet.choose(fleet.usable("llm"), work=RequestWork(1_150, 0, 80, chain)).name
             chosen.append(last)
         assert len(set(chosen)) == 1
 
@@ -267,14 +269,14 @@
 
     def test_sent_and_reported_prefixes_are_credited(self):
         fleet = new_fleet()
-        assert fleet.kept.at("e0", WORK).reading_tokens == 1_460
+        assert fleet.kept.at("e0", WORK).prefill_tokens == 1_460
         fleet.kept.note_sent("e0", WORK, 60_000, 1)
-        assert fleet.kept.at("e0", WORK).reading_tokens == 250
+        assert fleet.kept.at("e0", WORK).prefill_tokens == 250
         fleet.kept.note_told("e1", CHAIN, 800)
-        assert fleet.kept.at("e1", WORK).reading_tokens == 660
-        assert first_event_s(Busyness(), fleet.kept.at("e0", WORK), 1_000.0) == 0.25
-        fleet.kept._clock.now += KEPT_S + 1
-        assert fleet.kept.at("e0", WORK).reading_tokens == 1_460
+        assert fleet.kept.at("e1", WORK).prefill_tokens == 660
+        assert first_event_s(EngineLoad(), fleet.kept.at("e0", WORK), 1_000.0) == 0.25
+        fleet.kept._clock.now += CACHE_TTL_S + 1
+        assert fleet.kept.at("e0", WORK).prefill_tokens == 1_460
 
     def test_a_restarted_engine_is_not_credited(self):
         fleet = new_fleet()
@@ -333,9 +335,9 @@
     def test_prefixes_are_not_shared_between_organisations(self):
         fleet = new_fleet()
         one, two = (fleet.kept.chain(request(), owner) for owner in ("one", "two"))
-        fleet.kept.note_sent("e0", Work(1_460, 0, 80, one), 60_000, 1)
-        assert fleet.kept.at("e0", Work(1_460, 0, 80, one)).kept_tokens == 1_210
-        assert fleet.kept.at("e0", Work(1_460, 0, 80, two)).kept_tokens == 0
+        fleet.kept.note_sent("e0", RequestWork(1_460, 0, 80, one), 60_000, 1)
+        assert fleet.kept.at("e0", RequestWork(1_460, 0, 80, one)).kept_tokens == 1_210
+        assert fleet.kept.at("e0", RequestWork(1_460, 0, 80, two)).kept_tokens == 0
 
     def test_queues_count_uncached_tokens_and_return_to_zero(self):
         async def scenario():
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -3,18 +3,18 @@
 import functools
 
 import pytest
-from gradelug_policy.chain_homes import MAX_WEIGHTS, ChainShares, home_of, split_mark
+from gradelug_policy.chain_homes import MAX_WEIGHTS, PrefixShares, preferred_engine, split_digest
 from gradelug_policy.kept_parts import (
     CACHE_MEMORY_FRACTION,
-    KEPT_S,
+    CACHE_TTL_S,
     MAX_CACHED_PREFIXES,
-    KeptParts,
+    PrefixCacheTracker,
     PromptPart,
-    chain_of,
-    held_up_s,
-    tokens_at_home,
+    preferred_engine_tokens,
+    prefill_delay_saved_s,
+    prefix_chain,
 )
-from gradelug_policy.spread import choose_settled, choose_spread
+from gradelug_policy.spread import choose_consistent, choose_weighted
 from kept_load import OWN_TOKENS, SPEED, TERMS, CacheSimulation
 
 STATE_AGE_S = 0.255
@@ -26,7 +26,7 @@
     """Chooses centrally by the current state of the engines and ignores their prefix caches."""
 
     def __init__(self):
-        self.tracker = KeptParts()
+        self.tracker = PrefixCacheTracker()
 
     def kept_tokens(self, gateway, name, chain, now):
         return 0
@@ -34,7 +34,7 @@
     def choose(self, simulation, gateway, chain, names, now):
         def cost_s(name):
             cached_tokens = self.kept_tokens(gateway, name, chain, now)
-            return simulation.cost_s(name, chain, cached_tokens, now) - held_up_s(
+            return simulation.cost_s(name, chain, cached_tokens, now) - prefill_delay_saved_s(
                 cached_tokens, SPEED
             )
 
@@ -49,7 +49,7 @@
     """A planner that all gateways ask estimates caches from the requests that it has placed."""
 
     def kept_tokens(self, gateway, name, chain, now):
-        return self.tracker.kept_tokens(name, chain, now)
+        return self.tracker.estimate_cached_tokens(name, chain, now)
 
 
 class CacheEvents(GlobalState):
@@ -81,9 +81,9 @@
     """Each of six gateways estimates caches from its own requests."""
 
     def __init__(self):
-        self.trackers = [KeptParts() for _ in range(6)]
+        self.trackers = [PrefixCacheTracker() for _ in range(6)]
         for tracker in self.trackers:
-            tracker.seen_part = 1 / 6
+            tracker.observed_fraction = 1 / 6
 
     def kept_tokens(self, gateway, name, chain, now):
         return self.trackers[gateway % 6].kept_tokens(name, chain, now)
@@ -98,14 +98,16 @@
     """As before; in addition a chain is assumed to be cached at its preferred engine."""
 
     def choose(self, simulation, gateway, chain, names, now):
-        preferred = home_of(chain, names)
+        preferred = preferred_engine(chain, names)
 
         def cost_s(name):
             cached_tokens = self.kept_tokens(gateway, name, chain, now)
             cached_tokens = (
-                tokens_at_home(chain, cached_tokens, SPEED) if name == preferred else cached_tokens
+                preferred_engine_tokens(chain, cached_tokens, SPEED)
+                if name == preferred
+                else cached_tokens
             )
-            return simulation.cost_s(name, chain, cached_tokens, now) - held_up_s(
+            return simulation.cost_s(name, chain, cached_tokens, now) - prefill_delay_saved_s(
                 cached_tokens, SPEED
             )
 
@@ -117,7 +119,7 @@
 
     def choose(self, simulation, gateway, chain, names, now):
         costs_s = [(name, simulation.cost_s(name, chain, 0, now)) for name in names]
-        return choose_spread(costs_s, STATE_AGE_S, simulation.rng)
+        return choose_weighted(costs_s, STATE_AGE_S, simulation.rng)
 
 
 class HashedChoice(RandomChoice):
@@ -125,13 +127,13 @@
 
     def __init__(self, gateways=85):
         super().__init__()
-        self.shares = [ChainShares() for _ in range(gateways)]
+        self.shares = [PrefixShares() for _ in range(gateways)]
 
     def choose(self, simulation, gateway, chain, names, now):
         costs_s = [(name, simulation.cost_s(name, chain, 0, now)) for name in names]
         share = self.shares[gateway % len(self.shares)].note(chain)
-        mark = split_mark(chain, share, len(names), simulation.rng.random())
-        return choose_settled(costs_s, STATE_AGE_S, mark)
+        mark = split_digest(chain, share, len(names), simulation.rng.random())
+        return choose_consistent(costs_s, STATE_AGE_S, mark)
 
 
 class HashedChoiceTenGateways(HashedChoice):
@@ -236,26 +238,26 @@
 
 
 def new_tracker(owner=""):
-    tracker = KeptParts()
+    tracker = PrefixCacheTracker()
     tracker.note_sent("e0", 1_200, MEMORY)
-    tracker.note("e0", chain_of("m/x", owner, PARTS), 1.0)
+    tracker.note("e0", prefix_chain("m/x", owner, PARTS), 1.0)
     return tracker
 
 
 class TestChains:
     def test_the_last_part_is_excluded(self):
-        chain = chain_of("m/x", "", PARTS)
+        chain = prefix_chain("m/x", "", PARTS)
         assert [prefix.tokens for prefix in chain.prefixes] == [200, 300]
-        assert chain == chain_of("m/x", "", (*PARTS[:2], PromptPart("d", 50)))
-        assert chain_of("m/x", "", PARTS[:1]) is None
-        assert chain_of("m/x", "", ()) is None
+        assert chain == prefix_chain("m/x", "", (*PARTS[:2], PromptPart("d", 50)))
+        assert prefix_chain("m/x", "", PARTS[:1]) is None
+        assert prefix_chain("m/x", "", ()) is None
 
     def test_a_part_counts_only_after_the_same_parts(self):
-        other = chain_of("m/x", "", (PromptPart("z", 200), *PARTS[1:]))
+        other = prefix_chain("m/x", "", (PromptPart("z", 200), *PARTS[1:]))
         assert new_tracker().kept_tokens("e0", other, 1.0) == 0
 
     def test_a_shorter_prefix_is_credited(self):
-        other = chain_of("m/x", "", (PARTS[0], PromptPart("z", 10), PARTS[2]))
+        other = prefix_chain("m/x", "", (PARTS[0], PromptPart("z", 10), PARTS[2]))
         assert new_tracker().kept_tokens("e0", other, 1.0) == 200
 
     @pytest.mark.parametrize(
@@ -263,12 +265,12 @@
     )
     def test_a_prefix_is_never_credited_to_other_weights_or_owners(self, weights, owner):
         tracker = new_tracker("one")
-        assert tracker.kept_tokens("e0", chain_of("m/x", "one", PARTS), 1.0) == 300
-        assert tracker.kept_tokens("e0", chain_of(weights, owner, PARTS), 1.0) == 0
+        assert tracker.kept_tokens("e0", prefix_chain("m/x", "one", PARTS), 1.0) == 300
+        assert tracker.kept_tokens("e0", prefix_chain(weights, owner, PARTS), 1.0) == 0
 
 
 class TestKeptParts:
-    CHAIN = chain_of("m/x", "", PARTS)
+    CHAIN = prefix_chain("m/x", "", PARTS)
 
     def test_other_engines_are_not_credited(self):
         assert new_tracker().kept_tokens("e1", self.CHAIN, 1.0) == 0
@@ -282,10 +284,10 @@
 
     def test_unloaded_weights_clear_their_prefixes(self):
         tracker = new_tracker()
-        tracker.note("e0", chain_of("m/y", "", PARTS), 1.0)
+        tracker.note("e0", prefix_chain("m/y", "", PARTS), 1.0)
         tracker.forget_weights("e0", "m/x")
         assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
-        assert tracker.kept_tokens("e0", chain_of("m/y", "", PARTS), 1.0) == 300
+        assert tracker.kept_tokens("e0", prefix_chain("m/y", "", PARTS), 1.0) == 300
         assert tracker.size == 2
 
     def test_prefixes_are_evicted_by_later_prompts(self):
@@ -303,28 +305,28 @@
 
     def test_prefixes_expire(self):
         tracker = new_tracker()
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0 + KEPT_S) == 300
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.1 + KEPT_S) == 0
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.0 + CACHE_TTL_S) == 300
+        assert tracker.kept_tokens("e0", self.CHAIN, 1.1 + CACHE_TTL_S) == 0
 
     def test_tracked_prefixes_are_bounded_and_the_newest_retained(self):
-        tracker = KeptParts()
+        tracker = PrefixCacheTracker()
         chains = [
-            chain_of("m/x", "", (PromptPart(f"p{number}", 10), PARTS[2]))
+            prefix_chain("m/x", "", (PromptPart(f"p{number}", 10), PARTS[2]))
             for number in range(3 * MAX_CACHED_PREFIXES)
         ]
         for chain in chains:
             tracker.note_sent("e0", 10, 0)
             tracker.note("e0", chain, 1.0)
             assert tracker.size <= MAX_CACHED_PREFIXES
-        assert tracker.kept_tokens("e0", chains[-1], 1.0) == 10
-        assert tracker.kept_tokens("e0", chains[0], 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", chains[-1], 1.0) == 10
+        assert tracker.estimate_cached_tokens("e0", chains[0], 1.0) == 0
 
     def test_a_planners_report_counts_up_to_its_tokens(self):
-        tracker = KeptParts()
+        tracker = PrefixCacheTracker()
         tracker.note("e0", self.CHAIN, 1.0, 200)
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 200
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 200
         tracker.note("e1", self.CHAIN, 1.0, 0)
-        assert tracker.kept_tokens("e1", self.CHAIN, 1.0) == 0
+        assert tracker.estimate_cached_tokens("e1", self.CHAIN, 1.0) == 0
 
     def test_removed_engines_are_dropped(self):
         tracker = new_tracker()
@@ -335,7 +337,7 @@
         tracker = new_tracker()
         tracker.forget_gone({"e0"}, 2.0)
         assert tracker.size == 2
-        tracker.forget_gone({"e0"}, 2.1 + KEPT_S)
+        tracker.forget_gone({"e0"}, 2.1 + CACHE_TTL_S)
         assert tracker.size == 0
 
 
@@ -343,43 +345,47 @@
     NAMES = tuple(f"e{number}" for number in range(8))
 
     def chains(self):
-        return [chain_of("m/x", "", (PromptPart(f"p{n}", 10), PARTS[2])) for n in range(400)]
+        return [prefix_chain("m/x", "", (PromptPart(f"p{n}", 10), PARTS[2])) for n in range(400)]
 
     def test_preferred_engines_are_spread_and_independent_of_the_order(self):
-        preferred = [home_of(chain, self.NAMES) for chain in self.chains()]
-        assert preferred == [home_of(chain, self.NAMES[::-1]) for chain in self.chains()]
+        preferred = [preferred_engine(chain, self.NAMES) for chain in self.chains()]
+        assert preferred == [preferred_engine(chain, self.NAMES[::-1]) for chain in self.chains()]
         assert all(30 <= preferred.count(name) <= 70 for name in self.NAMES)
-        assert home_of(self.chains()[0], ()) == ""
+        assert preferred_engine(self.chains()[0], ()) == ""
 
     def test_removing_an_engine_moves_only_its_chains(self):
         for chain in self.chains():
-            preferred = home_of(chain, self.NAMES)
+            preferred = preferred_engine(chain, self.NAMES)
             if preferred != "e3":
-                assert home_of(chain, [name for name in self.NAMES if name != "e3"]) == preferred
+                assert (
+                    preferred_engine(chain, [name for name in self.NAMES if name != "e3"])
+                    == preferred
+                )
 
     def test_a_chain_is_split_by_its_share(self):
-        chain, shares = self.chains()[0], ChainShares()
+        chain, shares = self.chains()[0], PrefixShares()
         first = shares.note(chain)
         assert first == 1.0
-        marks = {split_mark(chain, first, 4, number / 64) for number in range(64)}
+        marks = {split_digest(chain, first, 4, number / 64) for number in range(64)}
         assert len(marks) == 32
         for other in self.chains()[1:40]:
             shares.note(other)
         rare = shares.note(chain)
-        assert {split_mark(chain, rare, 4, number / 64) for number in range(64)} == {
+        assert {split_digest(chain, rare, 4, number / 64) for number in range(64)} == {
             chain.prefixes[-1].mark
         }
 
     def test_weights_without_recent_requests_are_dropped(self):
-        shares = ChainShares()
+        shares = PrefixShares()
         for number in range(2_000):
-            shares.note(chain_of(f"m/{number}", "", PARTS))
+            shares.note(prefix_chain(f"m/{number}", "", PARTS))
         assert len(shares._recent) == MAX_WEIGHTS
 
     def test_hashed_choice_has_the_distribution_of_the_random_choice(self):
         costs_s = [("e0", 0.1), ("e1", 0.1), ("e2", 0.1 + STATE_AGE_S / 2), ("e3", 9.0)]
         chosen = [
-            choose_settled(costs_s, STATE_AGE_S, chain.prefixes[-1].mark) for chain in self.chains()
+            choose_consistent(costs_s, STATE_AGE_S, chain.prefixes[-1].mark)
+            for chain in self.chains()
         ]
         # Weights 1, 1 and 1/e.
         assert chosen.count("e0") / len(chosen) == pytest.approx(0.42, abs=0.06)
--- a/tests/test_lasting_runs.py
+++ b/tests/test_lasting_runs.py
@@ -2,22 +2,22 @@
 
 import pytest
 from gradelug_policy.lasting_runs import (
-    LEAST_RISK,
+    MIN_BREAK_RISK,
     MOVE_MARGIN_S,
     BreakRecord,
-    Broken,
+    BrokenRun,
+    CopySettings,
     CopyTarget,
-    CopyTerms,
-    EndingRun,
-    Pace,
-    Way,
+    EvacuationCandidate,
+    RecoveryAction,
+    RunStatistics,
+    choose_recovery,
     choose_target,
-    choose_way,
     moves_due,
-    wants_copy,
+    should_copy,
 )
 
-TERMS = CopyTerms(327_680, 370_000.0, 5.0, 4)
+TERMS = CopySettings(327_680, 370_000.0, 5.0, 4)
 RUN_S = 2.0
 
 
@@ -27,7 +27,7 @@
         for number in range(200):
             now += 0.3
             record.note(f"s{number % 5}", False, RUN_S, now)
-            assert not wants_copy(record.risk("s0", RUN_S, now), RUN_S)
+            assert not should_copy(record.risk("s0", RUN_S, now), RUN_S)
 
     def test_a_burst_of_resets_starts_copies_until_it_has_decayed(self):
         """A gateway that starts three streams per second loses half of its connections at once."""
@@ -37,11 +37,11 @@
             record.note(f"s{number % 30}", False, RUN_S, now)
         for number in range(3):
             record.note(f"s{number}", True, RUN_S / 2, now)
-        assert wants_copy(record.risk("s9", RUN_S, now), RUN_S)
+        assert should_copy(record.risk("s9", RUN_S, now), RUN_S)
         for number in range(100):
             now += 0.3
             record.note(f"s{number % 30}", False, RUN_S, now)
-        assert not wants_copy(record.risk("s9", RUN_S, now), RUN_S)
+        assert not should_copy(record.risk("s9", RUN_S, now), RUN_S)
 
     def test_an_engine_that_breaks_streams_is_distinguished_from_others(self):
         """Three of sixty engines break a quarter of their streams, the others none."""
@@ -51,7 +51,7 @@
             now += 0.05
             engine = number % 60
             is_faulty = engine < 3
-            copies[is_faulty] += wants_copy(record.risk(f"s{engine}", RUN_S, now), RUN_S)
+            copies[is_faulty] += should_copy(record.risk(f"s{engine}", RUN_S, now), RUN_S)
             record.note(f"s{engine}", is_faulty and rng.random() < 0.25, RUN_S, now)
         assert copies[True] > 0.6 * 150
         assert copies[False] < 0.2 * 2850
@@ -62,8 +62,8 @@
         assert 0 < record.risk("s0", 0.5, 1.0) < record.risk("s0", 5.0, 1.0) < 1
 
     def test_a_run_that_ends_before_its_copy_arrives_is_not_copied(self):
-        assert not wants_copy(0.9, 0.1)
-        assert wants_copy(LEAST_RISK, 1.0)
+        assert not should_copy(0.9, 0.1)
+        assert should_copy(MIN_BREAK_RISK, 1.0)
 
     def test_removed_engines_are_dropped(self):
         record = BreakRecord()
@@ -93,20 +93,22 @@
     @pytest.mark.parametrize(
         ("broken", "action"),
         [
-            (Broken(True, True, True, True), Way.STOP),
-            (Broken(False, True, True, True), Way.BACKUP),
-            (Broken(False, False, True, True), Way.NEW_RUN),
-            (Broken(False, False, False, True), Way.END),
-            (Broken(True, True, True, False), Way.END),
+            (BrokenRun(True, True, True, True), RecoveryAction.STOP),
+            (BrokenRun(False, True, True, True), RecoveryAction.BACKUP),
+            (BrokenRun(False, False, True, True), RecoveryAction.NEW_RUN),
+            (BrokenRun(False, False, False, True), RecoveryAction.END),
+            (BrokenRun(True, True, True, False), RecoveryAction.END),
         ],
     )
     def test_recovery_action(self, broken, action):
-        assert choose_way(broken) is action
+        assert choose_recovery(broken) is action
 
 
 class TestMoves:
     def runs(self, count, left_s=3.0, **more):
-        return [EndingRun(f"q{at}", 1500, left_s, float(at), **more) for at in range(count)]
+        return [
+            EvacuationCandidate(f"q{at}", 1500, left_s, float(at), **more) for at in range(count)
+        ]
 
     def test_moves_start_as_late_as_all_of_them_fit(self):
         runs = self.runs(10)
@@ -133,7 +135,7 @@
 
 class TestRunStatistics:
     def test_statistics_converge_to_observed_runs(self):
-        statistics = Pace()
+        statistics = RunStatistics()
         for _ in range(200):
             statistics.note(1600, 160, 160 * 0.02)
         assert statistics.token_s == pytest.approx(0.02, rel=0.01)
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -12,16 +12,16 @@
 from gradelug_gateway.moves import MoveOutcome, MoveReply
 from gradelug_platform.runs import PlatformRuns
 from gradelug_policy.left_runs import (
-    ASK_S,
-    REPORT_AGE_S,
-    EngineWord,
+    MAX_REPORT_AGE_S,
+    URGENT_POLL_INTERVAL_S,
+    EngineRunsReport,
     is_gone,
-    may_wait,
-    next_ask_s,
+    may_be_queued,
+    next_poll_s,
 )
 from run_world import RunWorld, events, is_whole, run, runner
 
-IDLE_REPORT = EngineWord(0, 2, frozenset({"q1", "q2"}))
+IDLE_REPORT = EngineRunsReport(0, 2, frozenset({"q1", "q2"}))
 
 
 async def begin(world, ident="q1"):
@@ -38,9 +38,9 @@
     @pytest.mark.parametrize(
         "report",
         [
-            EngineWord(1, 2, frozenset({"q1", "q2"})),
-            EngineWord(0, 3, frozenset({"q1", "q2"})),
-            EngineWord(0, 2, frozenset({"q1", "q9"})),
+            EngineRunsReport(1, 2, frozenset({"q1", "q2"})),
+            EngineRunsReport(0, 3, frozenset({"q1", "q2"})),
+            EngineRunsReport(0, 2, frozenset({"q1", "q9"})),
             None,
         ],
         ids=["one queued", "one in prefill", "runs again", "no report"],
@@ -49,11 +49,11 @@
         assert not is_gone(report, "q9", 1.2)
 
     def test_a_report_is_older_than_the_newest_events(self):
-        assert not is_gone(IDLE_REPORT, "q9", REPORT_AGE_S - 0.1)
+        assert not is_gone(IDLE_REPORT, "q9", MAX_REPORT_AGE_S - 0.1)
 
     def test_only_a_run_silent_before_its_break_may_be_queued(self):
-        assert not may_wait(0.05, 0.3)
-        assert may_wait(0.6, 0.3)
+        assert not may_be_queued(0.05, 0.3)
+        assert may_be_queued(0.6, 0.3)
 
     def test_a_burst_of_abandoned_runs_causes_few_calls(self):
         """300 runs are abandoned within a second, and none has certainly ended for 15 s."""
@@ -61,18 +61,18 @@
         for _ in range(300):
             at = 0.0
             while at < 15.0:
-                at += next_ask_s(at, at)
+                at += next_poll_s(at, at)
                 calls += 1
-                urgent += at < REPORT_AGE_S
+                urgent += at < MAX_REPORT_AGE_S
         assert calls <= 300 * 15
         # Calls are frequent while two engines may still execute the same request.
-        assert urgent >= 300 * 0.4 / ASK_S
+        assert urgent >= 300 * 0.4 / URGENT_POLL_INTERVAL_S
 
     def test_runs_not_resumed_elsewhere_are_polled_rarely(self):
         """Hundreds of them may be queued on full engines; they cannot duplicate events yet."""
         at, calls = 0.0, 0
         while at < 15.0:
-            at += next_ask_s(at, math.inf)
+            at += next_poll_s(at, math.inf)
             calls += 1
         assert calls <= 8
 
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -10,7 +10,7 @@
 from gradelug_gateway.health import ToldFinding
 from gradelug_gateway.model import Repeat
 from gradelug_policy.outcomes import Ended, Source
-from gradelug_policy.plain import PlainShares, PlainView, weigh
+from gradelug_policy.plain import PlainShares, PlainView, replica_weights
 from gradelug_policy.verdicts import Finding, VerdictPool
 from test_serving import FULL, MISDIRECTED, OK, Bench, route, run, status
 
@@ -241,11 +241,11 @@
             pool.step({"plain": REPLICAS}, GATHER_INTERVAL_S, now)
         found = {f.replica: f for f in pool.findings({"plain": REPLICAS}, now)}
         views = [PlainView(rep, found[rep].took_s, 0.0, 0, False) for rep in REPLICAS]
-        assert weigh(views)[0] < 0.7 * weigh(views)[1]
+        assert replica_weights(views)[0] < 0.7 * replica_weights(views)[1]
 
     def test_shares_sum_to_one_and_are_never_zero(self):
         views = [PlainView("a", 0.0, 1.0, 0, True), PlainView("b", 0.1, 0.0, 9, False)]
-        weights = weigh(views)
+        weights = replica_weights(views)
         assert sum(weights) == pytest.approx(1.0)
         assert min(weights) > 0.02
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -20,7 +20,7 @@
 from gradelug_gateway.placement import Duty
 from gradelug_gateway.planner import Planner
 from gradelug_policy.pace import FIRST_LOAD_S
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -84,7 +84,7 @@
         self.transport = ModelTransport(random.Random(seed), lost, late)
         for i in range(engines):
             self.add(f"e{i}")
-        window = LoadWindow(2.0, 5.0, 1.1, 3)
+        window = LoadRateLimiter(2.0, 5.0, 1.1, 3)
         self.planner = Planner(
             "llm", "me", spec, self.state, self.transport, window, self.clock, room=room
         )
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -7,8 +7,8 @@
 from gradelug_gateway.engine_speeds import SpeedDesk
 from gradelug_gateway.engines import Phase
 from gradelug_gateway.model import AdapterKey, BaseModel, EngineSpec
-from gradelug_policy.engine_room import HOLD_S, EngineRoom
-from gradelug_policy.reading import ReadingSpeeds
+from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S, EngineEstimator
+from gradelug_policy.reading import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 from test_planner import Bench, run
 
@@ -22,7 +22,9 @@
     """A planner that considers engine capacity, unless the feature is off."""
 
     def __init__(self, engines=2, is_on=True):
-        super().__init__(engines, spec=SPEC, room=EngineRoom(ReadingSpeeds()) if is_on else None)
+        super().__init__(
+            engines, spec=SPEC, room=EngineEstimator(PrefillSpeeds()) if is_on else None
+        )
 
     async def place(self, adapter):
         """Load an adapter; return the name of its engine."""
@@ -76,7 +78,7 @@
             holder = await bench.place("a")
             bench.report_all_loads(BATCH)
             ticket = bench.ask("a", **ASK)
-            assert await bench.answered_replica(ticket, HOLD_S + 0.15) == holder
+            assert await bench.answered_replica(ticket, MAX_REQUEST_HOLD_S + 0.15) == holder
             assert bench.holders("a") == [holder]
             await bench.stop()
 
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -14,8 +14,8 @@
 from gradelug_platform.entries import PlatformEntries
 from gradelug_platform.names import SET_BY_US
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.left_runs import EngineWord
-from gradelug_policy.run_versions import VersionWord
+from gradelug_policy.left_runs import EngineRunsReport
+from gradelug_policy.run_versions import ReportedVersion
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from run_world import close
@@ -125,9 +125,9 @@
             (
                 200,
                 b'{"Queued":1,"Active":2,"Runs":[["q1",80,3,5],["q2",9,0,5]]}',
-                EngineWord(1, 2, frozenset({"q1", "q2"})),
+                EngineRunsReport(1, 2, frozenset({"q1", "q2"})),
             ),
-            (200, b'{"Queued":0,"Active":0,"Runs":[]}', EngineWord(0, 0, frozenset())),
+            (200, b'{"Queued":0,"Active":0,"Runs":[]}', EngineRunsReport(0, 0, frozenset())),
             (200, b'{"Queued":0,"Active":0}', None),
             (200, b'{"Active":0,"Runs":[]}', None),
             (200, b'{"Queued":-1,"Active":0,"Runs":[]}', None),
@@ -226,5 +226,5 @@
 
     def test_an_event_that_only_contains_the_name_tells_nothing(self):
         tell = PlatformDialect().event_weights
-        assert tell(b"id: 6\ndata: x-gradelug-weight-versions: 4\n\n") == VersionWord()
-        assert tell(b"id: 6\ndata: a\nx-gradelug-weight-versions: 4\n\n") == VersionWord()
+        assert tell(b"id: 6\ndata: x-gradelug-weight-versions: 4\n\n") == ReportedVersion()
+        assert tell(b"id: 6\ndata: a\nx-gradelug-weight-versions: 4\n\n") == ReportedVersion()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 from gradelug_gateway.placement import GATEWAY_SILENT_S, Duty, PlacementService
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.relay import OrderRelay
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 from gradelug_wire import placement_pb2 as pb
 from world import new_loop
 
@@ -206,7 +206,7 @@
         async def scenario():
             clock = asyncio.get_running_loop().time
             election = StubElection()
-            window = LoadWindow(2.0, 5.0, 1.1, 3)
+            window = LoadRateLimiter(2.0, 5.0, 1.1, 3)
             duty = Duty(
                 election,
                 lambda: Planner("llm", "me", SPEC, FleetState(), Transport(), window, clock),
--- a/tests/test_run_versions.py
+++ b/tests/test_run_versions.py
@@ -1,8 +1,14 @@
 """Tests of weight version comparison and of the limit on concurrent base model renewals."""
 
 import pytest
-from gradelug_policy.renewal import MAX_RENEWAL_S, renewals_left
-from gradelug_policy.run_versions import VersionWord, WeightVersions, compare, is_loadable, is_same
+from gradelug_policy.renewal import MAX_RENEWAL_S, renewals_allowed
+from gradelug_policy.run_versions import (
+    ReportedVersion,
+    WeightVersions,
+    compare_versions,
+    is_loadable,
+    is_same_version,
+)
 
 
 class TestVersions:
@@ -20,7 +26,7 @@
     )
     def test_weights_match_those_of_the_memory(self, version, held, newest, same):
         """An unknown version matches only while no version was announced."""
-        assert is_same(version, held, newest) is same
+        assert is_same_version(version, held, newest) is same
 
     @pytest.mark.parametrize(
         ("memory", "newest", "loadable"),
@@ -39,23 +45,23 @@
 
     def test_reported_version_is_compared(self):
         memory = WeightVersions(2, 7)
-        assert compare(memory, VersionWord(2)) == "same"
-        assert compare(memory, VersionWord(3)) == "other"
-        assert compare(memory, VersionWord()) == "unknown"
-        assert compare(WeightVersions(), VersionWord(3)) == "unknown"
+        assert compare_versions(memory, ReportedVersion(2)) == "same"
+        assert compare_versions(memory, ReportedVersion(3)) == "other"
+        assert compare_versions(memory, ReportedVersion()) == "unknown"
+        assert compare_versions(WeightVersions(), ReportedVersion(3)) == "unknown"
 
     def test_an_unreadable_version_is_ignored(self):
         memory = WeightVersions(2, 7)
-        assert memory.told(VersionWord(unreadable="x")) == memory
-        assert memory.told(VersionWord(3)) == WeightVersions(3, 7)
+        assert memory.with_reported(ReportedVersion(unreadable="x")) == memory
+        assert memory.with_reported(ReportedVersion(3)) == WeightVersions(3, 7)
 
 
 class TestRenewal:
     @pytest.mark.parametrize(("engines", "max_renewals"), [(1, 1), (2, 1), (5, 2), (600, 300)])
     def test_a_fraction_of_the_engines_renews_at_the_same_time(self, engines, max_renewals):
-        assert renewals_left([], engines, 0.1) == max_renewals
-        assert renewals_left([0.0] * (max_renewals - 1), engines, 0.1) == 1
-        assert renewals_left([0.0] * max_renewals, engines, 0.1) == 0
+        assert renewals_allowed([], engines, 0.1) == max_renewals
+        assert renewals_allowed([0.0] * (max_renewals - 1), engines, 0.1) == 1
+        assert renewals_allowed([0.0] * max_renewals, engines, 0.1) == 0
 
     def test_an_engine_with_long_runs_does_not_delay_others(self):
-        assert renewals_left([0.0], 2, MAX_RENEWAL_S) == 1
+        assert renewals_allowed([0.0], 2, MAX_RENEWAL_S) == 1
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -12,8 +12,8 @@
 from gradelug_http import HttpPool
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.engine_room import FIRST_HOLD_S, EngineRoom
-from gradelug_policy.lasting_runs import LEAST_RISK
+from gradelug_policy.engine_room import DEFAULT_HOLD_TIME_S, EngineEstimator
+from gradelug_policy.lasting_runs import MIN_BREAK_RISK
 from run_engines import EVENTS
 from run_world import RunWorld, events, is_whole, run, runner, status
 
@@ -292,7 +292,7 @@
             await begin(world, "q3")
             assert not any(engine.kept for engine in world.engines.values())
 
-        assert LEAST_RISK > 0
+        assert MIN_BREAK_RISK > 0
         run(scenario)
 
     def test_a_copy_is_sent_only_to_an_engine_with_capacity(self, copied):
@@ -464,12 +464,12 @@
 def test_slot_hold_time_starts_at_the_first_event():
     async def scenario():
         world = RunWorld()
-        room = world.fleet.room = EngineRoom(world.fleet.speeds)
+        room = world.fleet.room = EngineEstimator(world.fleet.speeds)
         client = await begin(world)
         await asyncio.sleep(4.0)
         assert is_whole(client)
         # 40 events at 0.05 s take longer than the default hold time.
-        assert room.hold_s("llm") > FIRST_HOLD_S
+        assert room.hold_s("llm") > DEFAULT_HOLD_TIME_S
 
     run(scenario)
 
--- a/tests/test_serving_room.py
+++ b/tests/test_serving_room.py
@@ -9,14 +9,14 @@
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import FleetState, Repeat, Replica, Service, Snapshot, ToldLoad
 from gradelug_http import ServerLimits
-from gradelug_policy.engine_room import EQUAL, EngineRoom
-from gradelug_policy.reading import LATE, ReadingSpeeds, Work
+from gradelug_policy.engine_room import EQUAL_URGENCY, EngineEstimator
+from gradelug_policy.reading import LATE_URGENCY, PrefillSpeeds, RequestWork
 from gradelug_wire import placement_pb2 as pb
 from test_planner_room import BATCH, MEMORY
 from test_planner_room import SPEC as FEW_SLOTS
 from test_serving import ADAPTER, END, HELD, SPEC, STREAM, Bench, event, route, run, status
 
-WORK = Work(1_000, 1, 200)
+WORK = RequestWork(1_000, 1, 200)
 PROMPT = b"X-Gradelug-Token-Usage: %d,50\r\n"
 
 
@@ -31,7 +31,7 @@
 def new_bench(scripts, has_room=True):
     bench = Bench(route(Repeat.RESUME, True, 2, "llm", 10.0), scripts, HELD, engine=True)
     if has_room:
-        bench.fleet.room = EngineRoom(bench.fleet.speeds)
+        bench.fleet.room = EngineEstimator(bench.fleet.speeds)
         bench.fleet.pauses["llm"] = PauseTally()
     return bench
 
@@ -79,15 +79,15 @@
         run(scenario)
 
     def test_urgency_is_equal_where_slots_are_the_bottleneck(self):
-        assert new_fleet().equalled("llm", WORK).urgency == EQUAL
+        assert new_fleet().equalled("llm", WORK).urgency == EQUAL_URGENCY
         assert new_fleet(False).equalled("llm", WORK) == WORK
         assert new_fleet().equalled("plain", WORK) == WORK
 
     def test_planner_and_its_gateway_share_run_times_but_not_slowness(self):
-        room = EngineRoom(ReadingSpeeds())
-        own = room.with_own_paces()
+        room = EngineEstimator(PrefillSpeeds())
+        own = room.with_separate_slowness()
         own.note_run("llm", 9.0)
-        own.paces.take("e0", 5.0, 1.0)
+        own.paces.set_slowness("e0", 5.0, 1.0)
         assert room.hold_s("llm") == own.hold_s("llm")
         assert room.pace("llm", "e0", 1.0).hold_s < own.pace("llm", "e0", 1.0).hold_s
 
@@ -128,7 +128,7 @@
 
     def test_request_that_would_displace_a_run_gets_low_urgency(self):
         async def scenario():
-            for running, urgency in ((3, 0), (SPEC.batch, LATE)):
+            for running, urgency in ((3, 0), (SPEC.batch, LATE_URGENCY)):
                 bench = new_bench([[[STREAM + event(1) + END]]])
                 # Prefill is the bottleneck: 96 prompts of this length take 3.8 s.
                 room = bench.fleet.room
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -26,7 +26,7 @@
     HealthDesk,
 )
 from gradelug_http import ServerLimits
-from gradelug_policy.residency import LoadWindow
+from gradelug_policy.residency import LoadRateLimiter
 from gradelug_wire import placement_pb2 as pb
 from test_planner import ModelTransport, run
 
@@ -337,7 +337,7 @@
         clock = asyncio.get_running_loop().time
         state = new_state()
         transport = ModelTransport(random.Random(1))
-        window = LoadWindow(2.0, 5.0, 1.1, 3)
+        window = LoadRateLimiter(2.0, 5.0, 1.1, 3)
         planner = Planner("llm", "me", SPEC, state, transport, window, clock, features=features)
         planner.begin_term(1)
         planner.refresh()
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -4,12 +4,12 @@
 import random
 
 import pytest
-from gradelug_policy.engine_room import EngineRates, Terms, expected_s
-from gradelug_policy.reading import Busyness, Work
-from gradelug_policy.spread import choose_spread
+from gradelug_policy.engine_room import EngineCapacity, EngineRates, expected_first_event_s
+from gradelug_policy.reading import EngineLoad, RequestWork
+from gradelug_policy.spread import choose_weighted
 
 ENGINES = 8
-TERMS = Terms(12)
+TERMS = EngineCapacity(12)
 HOLD_S = 1.6
 SPEED = 19_200.0
 PROMPT = 1_250
@@ -31,7 +31,7 @@
         self.prefill_until = [0.0] * ENGINES
         self.sent = [[] for _ in range(ENGINES)]
         """By engine: gateway, and the times of sending, first event and end, for each request."""
-        self.state = [Busyness()] * ENGINES
+        self.state = [EngineLoad()] * ENGINES
         self.updated_at = 0.0
         self.waits = []
 
@@ -48,7 +48,7 @@
         self.updated_at = now
         self.sent = [[run for run in runs if run[3] > now] for runs in self.sent]
         self.state = [
-            Busyness(
+            EngineLoad(
                 (PROMPT * sum(run[2] > now for run in runs),),
                 sum(run[2] <= now for run in runs),
                 sum(run[2] > now for run in runs),
@@ -59,12 +59,12 @@
     def _known_load(self, engine, gateway):
         state = self.state[engine]
         own = sum(run[0] == gateway and run[1] > self.updated_at for run in self.sent[engine])
-        return Busyness((sum(state.queued) + PROMPT * own,), state.running, state.starting + own)
+        return EngineLoad((sum(state.queued) + PROMPT * own,), state.running, state.starting + own)
 
     def _send(self, gateway, now):
-        pace, work = EngineRates(SPEED, HOLD_S), Work(PROMPT)
+        pace, work = EngineRates(SPEED, HOLD_S), RequestWork(PROMPT)
         costs_s = [
-            (engine, expected_s(self._known_load(engine, gateway), work, TERMS, pace))
+            (engine, expected_first_event_s(self._known_load(engine, gateway), work, TERMS, pace))
             for engine in range(ENGINES)
         ]
         engine = self.choose(costs_s, self.state_age_s, self.rng)
@@ -101,7 +101,7 @@
 )
 def test_first_events_come_earlier_than_if_all_choose_the_cheapest(gateways, state_age_s):
     cheapest = simulated(gateways, state_age_s, choose_cheapest)
-    weighted = simulated(gateways, state_age_s, choose_spread)
+    weighted = simulated(gateways, state_age_s, choose_weighted)
     assert weighted.mean_wait_s() < 0.9 * cheapest.mean_wait_s()
     assert weighted.late_fraction() < 0.03
 
@@ -109,16 +109,16 @@
 def test_with_an_old_state_fewer_are_late_than_with_other_choices():
     assert simulated(370, 1.1, choose_cheapest).late_fraction() > 0.5
     assert (
-        simulated(370, 1.1, choose_spread).late_fraction()
+        simulated(370, 1.1, choose_weighted).late_fraction()
         < simulated(370, 1.1, choose_of_two).late_fraction()
     )
 
 
 def test_an_engine_of_much_higher_cost_is_not_chosen():
     rng = random.Random(1)
-    chosen = {choose_spread([("a", 0.1), ("b", 0.1), ("c", 2.0)], 0.25, rng) for _ in range(500)}
+    chosen = {choose_weighted([("a", 0.1), ("b", 0.1), ("c", 2.0)], 0.25, rng) for _ in range(500)}
     assert chosen == {"a", "b"}
 
 
 def test_without_engines_none_is_chosen():
-    assert choose_spread([], 0.25, random.Random(1)) is None
+    assert choose_weighted([], 0.25, random.Random(1)) is None
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -10,7 +10,7 @@
 from gradelug_gateway import run_weights
 from gradelug_gateway import runs as runs_module
 from gradelug_gateway.model import Holding, Repeat
-from gradelug_policy.run_versions import Namings, WeightVersions
+from gradelug_policy.run_versions import VersionAnnouncements, WeightVersions
 from run_engines import EVENTS, KEY, MODEL, MODEL_S
 from run_world import RunWorld, changes, events, is_whole, run, runner
 from test_kept_gateway import KEY as FLEET_KEY
@@ -328,13 +328,13 @@
         run(scenario)
 
     def test_deadline_counts_from_the_first_newer_version(self):
-        namings = Namings()
+        namings = VersionAnnouncements()
         for version, at in ((2, 1.0), (3, 4.0), (4, 9.0)):
             namings.note(KEY, version, at)
-        assert namings.replaced_s(KEY, 1, 10.0) == 9.0
-        assert namings.replaced_s(KEY, 3, 10.0) == 1.0
-        assert namings.replaced_s(KEY, 4, 10.0) == 0.0
-        assert namings.replaced_s(MODEL, 1, 10.0) == 0.0
+        assert namings.superseded_for_s(KEY, 1, 10.0) == 9.0
+        assert namings.superseded_for_s(KEY, 3, 10.0) == 1.0
+        assert namings.superseded_for_s(KEY, 4, 10.0) == 0.0
+        assert namings.superseded_for_s(MODEL, 1, 10.0) == 0.0
 
 
 class TestACopy:
--- a/tools/gateway_capacity.py
+++ b/tools/gateway_capacity.py
@@ -27,7 +27,7 @@
     Replica,
 )
 from gradelug_gateway.planner import Planner  # noqa: E402
-from gradelug_policy.residency import LoadWindow  # noqa: E402
+from gradelug_policy.residency import LoadRateLimiter  # noqa: E402
 from gradelug_wire import placement_pb2 as pb  # noqa: E402
 
 SPEC = EngineSpec((BaseModel("m", 500.0, 0.6, 14.0),), 1000.0, 6, 96, 100_000, 18.0)
@@ -50,7 +50,7 @@
     for at in range(engines):
         holdings = (Holding(AdapterKey("m"), 1),)
         state.replicas[f"e{at}"] = Replica(f"e{at}", "s", f"e{at}:1", "h", holdings=holdings)
-    planner = Planner("s", "me", SPEC, state, NoOrders(), LoadWindow(18, 5, 1.1, 3), clock)
+    planner = Planner("s", "me", SPEC, state, NoOrders(), LoadRateLimiter(18, 5, 1.1, 3), clock)
     planner.refresh()
     for at, engine in enumerate(planner.engines.values()):
         engine.synced = True
