--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -9,7 +9,7 @@
 
 from .authentication import authenticate
 from .exceptions import Refused, Unauthenticated
-from .freshness import Freshness
+from .freshness import ConfigFreshness
 from .job import Admission
 from .model import Request, Route, Snapshot
 from .organisations import Principal
@@ -30,7 +30,7 @@
 
     __slots__ = ("_freshness",)
 
-    def __init__(self, freshness: Freshness) -> None:
+    def __init__(self, freshness: ConfigFreshness) -> None:
         self._freshness = freshness
 
     @property
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -9,7 +9,7 @@
 from gradelug_policy.lasting_runs import CopyTarget, RunStatistics, choose_target
 from gradelug_policy.run_versions import WeightVersions
 
-from .fleet import CHOICES, Fleet
+from .fleet import MAX_SAMPLED_REPLICAS, Fleet
 from .job import Job
 from .model import EngineSpec, Replica
 from .run_weights import RunWeights
@@ -70,8 +70,8 @@
         service, key = source.service, job.req.key
         holders = self._weights.holders(service, versions, key) if key is not None else []
         usable = self._fleet.usable(service)
-        if len(usable) > CHOICES:
-            usable = self._rng.sample(usable, CHOICES)
+        if len(usable) > MAX_SAMPLED_REPLICAS:
+            usable = self._rng.sample(usable, MAX_SAMPLED_REPLICAS)
         held = {rep.name for rep in holders}
         now = self._clock()
         targets = [
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -30,9 +30,9 @@
 from .directory import Directory
 from .engine_speeds import PauseTally, SpeedTeller
 from .executing import Executor
-from .feed import LAPSED_GRACE_S, EntryReader, Feed
+from .feed import EXPIRED_ENTRY_GRACE_S, EntryReader, Feed
 from .fleet import Fleet
-from .freshness import Freshness
+from .freshness import ConfigFreshness
 from .gauges import Observed, add_daemon_gauges
 from .handover import Handover
 from .idle_connections import IdleConnections
@@ -56,10 +56,10 @@
 from .serving import Serving
 from .settings import Feature, GatewaySettings
 from .share_tally import ShareTally, ShareTeller
-from .sharedhealth import EndsTeller
-from .spacing import store_spacing_s
-from .standing import Standing, part_looks
-from .storenews import TELL_SPACING_S, StoreListener, StoreTeller
+from .sharedhealth import OutcomeReporter
+from .spacing import store_poll_interval_s
+from .standing import StartupProgress, startup_checks
+from .storenews import PUBLISHER_POLL_INTERVAL_S, StorePublisher, StoreSubscriber
 
 log = logbook.Logger("daemon")
 DUTY_PREFIX = "gradelug/planner/"
@@ -133,13 +133,15 @@
         self._tasks = Tasks()
         self._stopping_at: float | None = None
         self._state = FleetState()
-        self._spacing_s = store_spacing_s(settings.bounds)
+        self._spacing_s = store_poll_interval_s(settings.bounds)
         self._mirror = Mirror(
-            kv, "", self._rng, MOST_DELAY_S, self._spacing_s, LAPSED_GRACE_S, is_polled=True
+            kv, "", self._rng, MOST_DELAY_S, self._spacing_s, EXPIRED_ENTRY_GRACE_S, is_polled=True
         )
         self._feed = Feed(self._mirror, reader, self._state, self._clock)
         self._feed.subscribe(self._on_change)
-        self._freshness = Freshness(self._mirror, self._feed, self._clock, settings.bounds.revoke_s)
+        self._freshness = ConfigFreshness(
+            self._mirror, self._feed, self._clock, settings.bounds.revoke_s
+        )
         has_room = Feature.ENGINE_ROOM in settings.features
         # Instances that draw alike would choose alike.
         rng = random.Random(settings.name)
@@ -170,7 +172,7 @@
             self._mirror,
             pool,
             self._state,
-            lambda: self._directory.link_to(self._state.home_service),
+            lambda: self._directory.link_to(self._state.coordinating_service),
             self._clock,
         )
         has_guard = Feature.POISON_GUARD in settings.features
@@ -185,7 +187,7 @@
             self._mirror.hurry,
             executor,
             settings.strength,
-            StoreListener(
+            StoreSubscriber(
                 self._feed,
                 self._mirror,
                 self._clock,
@@ -263,8 +265,8 @@
         )
         self._status = HttpServer(self._serve_status, ServerLimits, self._clock)
         self._peers = Server([PlacementService(self._duties, self._directory.known)])
-        looks = part_looks(self._state, self._mirror, self._directory, self._duties)
-        self._standing = Standing(self._clock, looks)
+        looks = startup_checks(self._state, self._mirror, self._directory, self._duties)
+        self._standing = StartupProgress(self._clock, looks)
         observed = Observed(
             self._callers,
             self._pool,
@@ -347,7 +349,7 @@
         log.info("reload asked for: nothing in the settings can change while this process runs")
 
     def _on_change(self) -> None:
-        for rep in self._fleet.note_lives():
+        for rep in self._fleet.detect_restarts():
             # Its connections ended with the earlier process.
             self._pool.doubt(rep.address, self._clock())
         snapshot = self._state.snapshot
@@ -365,7 +367,7 @@
     def _link_parts(self, service: str) -> t.Iterator[GatewayPart]:
         """Yield what else is told to the planner of a service."""
         if Feature.SHARED_HEALTH in self.settings.features:
-            yield EndsTeller(
+            yield OutcomeReporter(
                 service,
                 self.settings.name,
                 self._fleet,
@@ -373,9 +375,11 @@
                 lambda: self._directory.home_service == service,
             )
         fleet = self._fleet
-        if fleet.room is not None:
+        if fleet.engine_estimator is not None:
             tally = fleet.pauses.setdefault(service, PauseTally())
-            yield SpeedTeller(service, tally, fleet.room.paces, fleet.speeds, self._clock)
+            yield SpeedTeller(
+                service, tally, fleet.engine_estimator.paces, fleet.speeds, self._clock
+            )
         if Feature.FAIR_SHARES in self.settings.features:
             yield ShareTeller(service, self._tally, self._clock)
         if Feature.POISON_GUARD in self.settings.features:
@@ -387,7 +391,7 @@
 
     def _note_leaving(self, replica: Replica) -> None:
         if Feature.SAID_DEPARTURES in self.settings.features:
-            self._feed.take_leaving(replica.name, replica.born, "answer")
+            self._feed.mark_leaving(replica.name, replica.born, "answer")
 
     def _limit_teller(self, service: str) -> LimitTeller:
         teller = self._limit_tellers[service] = LimitTeller(
@@ -484,10 +488,14 @@
             window,
             self._clock,
             self._fleet.speeds,
-            StoreTeller(self._feed, self._mirror, self._clock, self._freshness, self._is_strong),
+            StorePublisher(self._feed, self._mirror, self._clock, self._freshness, self._is_strong),
             self._directory.gateways,
             self.settings.features,
-            self._fleet.room.with_separate_slowness() if self._fleet.room is not None else None,
+            (
+                self._fleet.engine_estimator.with_separate_slowness()
+                if self._fleet.engine_estimator is not None
+                else None
+            ),
             poison,
             self._departure_desk(service),
         )
@@ -522,7 +530,9 @@
         while True:
             await asyncio.sleep(UPKEEP_S)
             self._feed.refresh()
-            self._mirror.spacing_s = TELL_SPACING_S if self._tells_store() else self._spacing_s
+            self._mirror.spacing_s = (
+                PUBLISHER_POLL_INTERVAL_S if self._tells_store() else self._spacing_s
+            )
             self._fleet.forget_gone()
             self._serving.forget_gone()
             if self._lasting is not None:
--- a/packages/gateway/src/gradelug_gateway/departures.py
+++ b/packages/gateway/src/gradelug_gateway/departures.py
@@ -46,7 +46,7 @@
     def take(self, message: pb.FromPlanner) -> None:
         """Apply reports of other gateways."""
         for told in message.leaving:
-            self._feed.take_leaving(told.replica, told.born, "planner")
+            self._feed.mark_leaving(told.replica, told.born, "planner")
 
     def _note(self, replica: str) -> None:
         if not speaks_for(self._service, replica, self._feed.state):
@@ -84,7 +84,7 @@
             replicas = self._feed.state.replicas.values()
             self._due.update(rep.name for rep in replicas if rep.leaving)
         for told in message.leaving:
-            if self._feed.take_leaving(told.replica, told.born, "gateway"):
+            if self._feed.mark_leaving(told.replica, told.born, "gateway"):
                 self._due.add(told.replica)
 
     def leave(self, follower: Follower, now: float) -> None:
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -21,7 +21,7 @@
 from .parts import GatewayPart
 from .search import LOOK_S, PlannerAddress, Search, ask_where
 from .share_log import tell_standing
-from .storenews import StoreListener
+from .storenews import StoreSubscriber
 
 log = logbook.Logger("directory")
 RECONNECT_S = 0.1
@@ -86,7 +86,7 @@
         Gives planners' orders to the engines that this instance owns, where engines have owners.
     strength : float
         How well this instance could plan itself.
-    listener : StoreListener or None
+    listener : StoreSubscriber or None
         Takes what planners tell of the platform's store.
     shares : LocalShares or None
         What this instance may use of quotas without asking.
@@ -123,7 +123,7 @@
         hurry: t.Callable[[], None] = lambda: None,
         executor: Executor | None = None,
         strength: float = 1.0,
-        listener: StoreListener | None = None,
+        listener: StoreSubscriber | None = None,
         shares: LocalShares | None = None,
         make_parts: t.Callable[[str], t.Iterable[GatewayPart]] = lambda service: (),
     ) -> None:
@@ -191,7 +191,7 @@
         link = self._link(service)
         if known is None and not absent and self._fleet.is_scoped and not link.is_followed:
             # Nobody tells where weights are that were not in use here; replicas do, later.
-            reported = self._fleet.reported(service, key)
+            reported = self._fleet.self_reported_holders(service, key)
             known = self._fleet.choose(reported, excluded, only, wish.work)
         while True:
             self._ticket += 1
@@ -236,13 +236,15 @@
             if not answer.replica:
                 raise Refused(answer.reason, answer.retry_after_ms / 1000 or REFUSED_RETRY_S)
             replica = self._fleet.state.replicas.get(answer.replica)
-            if replica is not None and self._fleet.is_closed(replica):
+            if replica is not None and self._fleet.is_unavailable(replica):
                 # The planner does not know of it.
                 excluded = {*excluded, replica.name}
             elif replica is not None:
                 if answer.has_room:
                     self._fleet.limits.add_permit(replica.name)
-                self._fleet.kept.note_told(replica.name, wish.work.chain, answer.kept_tokens)
+                self._fleet.prefix_cache.note_told(
+                    replica.name, wish.work.chain, answer.kept_tokens
+                )
                 return replica
             await asyncio.sleep(RECONNECT_S)
 
@@ -285,8 +287,8 @@
 
     def note_begin(self, replica: Replica, key: AdapterKey, work: RequestWork) -> None:
         """Note that a request is being sent to a replica."""
-        memory = self._fleet.terms_of(replica.service).memory_tokens
-        self._fleet.kept.note_sent(replica.name, work, memory, self.gateways)
+        memory = self._fleet.service_engine_capacity(replica.service).memory_tokens
+        self._fleet.prefix_cache.note_sent(replica.name, work, memory, self.gateways)
         self._note(replica.name, key, 1, work.prompt_tokens)
 
     def note_end(self, replica: str, key: AdapterKey) -> None:
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -24,8 +24,8 @@
     Order,
     OrderOutcome,
     Replica,
+    ReportedLoad,
     Term,
-    ToldLoad,
 )
 from .ports import OrderTransport
 
@@ -42,7 +42,7 @@
 """Adapters that may be loading on one engine."""
 MAX_ORDER_ATTEMPTS = 3
 """Maximum number of sends of an order that gets no answer."""
-EMPTY_LOAD = ToldLoad()
+EMPTY_LOAD = ReportedLoad()
 MIN_IDLE_BEFORE_EVICTION_S = 0.06
 """Time without use before an adapter may be evicted: uses are reported with a delay."""
 
@@ -167,9 +167,9 @@
         """Adapters in the host memory, least recently added first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
         """Number of requests by weights and gateway; only entries above 0."""
-        self._loads_by_gateway: dict[int, ToldLoad] = {}
+        self._loads_by_gateway: dict[int, ReportedLoad] = {}
         """Reported load by gateway; only gateways with requests on the engine."""
-        self._total_load = ToldLoad()
+        self._total_load = ReportedLoad()
         self.lock = asyncio.Lock()
         """Held while an order is in flight: each order carries the number of orders before it."""
         self.synced = False
@@ -188,11 +188,11 @@
         """Requests after their first event."""
         return self._total_load.running
 
-    def load(self) -> ToldLoad:
+    def load(self) -> ReportedLoad:
         """Return the load from all gateways."""
         return self._total_load
 
-    def take_load(self, gateway: int, load: ToldLoad) -> None:
+    def take_load(self, gateway: int, load: ReportedLoad) -> None:
         """Set the load that one gateway reports.
 
         The total is updated by the difference, since each decision reads it for each engine.
@@ -204,7 +204,7 @@
             self._loads_by_gateway.pop(gateway, None)
         self._index.changed_loads.add(self.replica.name)
         current = self._total_load
-        self._total_load = ToldLoad(
+        self._total_load = ReportedLoad(
             current.starting + load.starting - previous.starting,
             current.running + load.running - previous.running,
             subtract_queue(add_queues((current.queued, load.queued)), previous.queued),
@@ -213,11 +213,11 @@
 
     def reserve(self, gateway: int, work: RequestWork) -> None:
         """Add a request assigned to this engine, until its gateway reports its load."""
-        load = self._loads_by_gateway.get(gateway, ToldLoad())
+        load = self._loads_by_gateway.get(gateway, ReportedLoad())
         prompt = (0,) * work.urgency + (work.prefill_tokens,)
         queued = add_queues((load.queued, prompt))
         memory = load.memory + work.memory_tokens
-        self.take_load(gateway, ToldLoad(load.starting + 1, load.running, queued, memory))
+        self.take_load(gateway, ReportedLoad(load.starting + 1, load.running, queued, memory))
 
     def busyness(self) -> EngineLoad:
         """Return the engine's load in the form that the policies use."""
--- a/packages/gateway/src/gradelug_gateway/feed.py
+++ b/packages/gateway/src/gradelug_gateway/feed.py
@@ -21,10 +21,10 @@
 a start all are new and would use up the burst of 600 lines that an instance may log."""
 MAX_REMOVED_KEYS = 4096
 """Upper bound of removed keys whose last revisions are remembered."""
-COPIED_GRACE_S = 5.0
+STALE_RESTORE_GRACE_S = 5.0
 """How long a removed entry that came back with a restored copy of the store is ignored, in seconds:
 if its replica does not run, the entry expires after three heartbeats."""
-LAPSED_GRACE_S = 2.2
+EXPIRED_ENTRY_GRACE_S = 2.2
 """How long a replica is kept after its entry expired during a store outage, in seconds: replicas
 that run write their entries again within about two."""
 
@@ -37,7 +37,7 @@
     version: int
 
 
-Fact = Snapshot | Replica | NewestVersion
+EntryContent = Snapshot | Replica | NewestVersion
 
 
 class MalformedEntry(Exception):
@@ -62,7 +62,7 @@
 class EntryReader(t.Protocol):
     """Decodes the entries of the platform store."""
 
-    def read(self, entry: KvEntry) -> Fact | None:
+    def read(self, entry: KvEntry) -> EntryContent | None:
         """Return what an entry states, None if it is not relevant here; raises `MalformedEntry`."""
         ...
 
@@ -98,7 +98,7 @@
         "_unconfirmed",
         "_has_remote_changes",
         "config_entry",
-        "is_readable",
+        "is_config_readable",
         "state",
     )
 
@@ -126,7 +126,7 @@
         """Replicas that are new or whose `leaving` changed, and are not logged yet."""
         self.config_entry: KvEntry | None = None
         """Entry of the store that holds the configuration in force."""
-        self.is_readable = True
+        self.is_config_readable = True
         """Whether the newest configuration in the mirror could be decoded and is in force."""
         self.state = state
         mirror.subscribe(self.refresh)
@@ -160,7 +160,7 @@
         """Return the newest store revision applied for a replica; 0 if there is none."""
         return self._revisions.get(replica, 0)
 
-    def take_told(self, name: str, revision: int, rep: Replica | None) -> None:
+    def apply_remote_replica(self, name: str, revision: int, rep: Replica | None) -> None:
         """Apply the state of a replica that another instance read, unless it is outdated.
 
         Parameters
@@ -185,7 +185,7 @@
             log.info("replica removed", replica=name, told=True)
         self._has_remote_changes = True
 
-    def take_leaving(self, name: str, born: int, source: str) -> bool:
+    def mark_leaving(self, name: str, born: int, source: str) -> bool:
         """Mark a replica that announced its shutdown as leaving.
 
         Parameters
@@ -248,7 +248,7 @@
         is_older = era_of(revision) > era_of(removed_revision) and revision_of(
             revision
         ) <= revision_of(removed_revision)
-        if is_older and now - since < COPIED_GRACE_S:
+        if is_older and now - since < STALE_RESTORE_GRACE_S:
             return True
         del self._removed_revisions[entry.key], self._restored_since[entry.key]
         return False
@@ -264,7 +264,7 @@
         except MalformedEntry as exc:
             if exc.replica:
                 return self._remove_unusable(entry, exc)
-            self.is_readable &= not exc.is_config
+            self.is_config_readable &= not exc.is_config
             log.error(
                 "malformed entry ignored; the last valid one stays in force",
                 key=entry.key,
@@ -280,7 +280,7 @@
         return False
 
     def _apply_snapshot(self, entry: KvEntry, fact: Snapshot) -> bool:
-        self.is_readable = True
+        self.is_config_readable = True
         known = self.state.snapshot
         if known is not None and fact.version <= known.version:
             return False
@@ -374,14 +374,14 @@
         if not reported_revision or era_of(reported_revision) == era_of(self._mirror.revision):
             return True
         # A restored store may have lost the entry; a replica that runs writes it again.
-        return now - self._missing_since.setdefault(name, now) >= LAPSED_GRACE_S
+        return now - self._missing_since.setdefault(name, now) >= EXPIRED_ENTRY_GRACE_S
 
     def _handle_missing_entry(self, key: str) -> bool:
         if key in self._mirror.missing:
             # The deletion was not observed; the entry is only missing after an outage.
             now = self._clock()
             missing_since = self._missing_since.setdefault(key, now)
-            if now - missing_since < LAPSED_GRACE_S:
+            if now - missing_since < EXPIRED_ENTRY_GRACE_S:
                 return False
             self._mirror.missing.discard(key)
         name = self._replica_names.pop(key)
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -26,17 +26,17 @@
 from .health import Health
 from .kept import Kept
 from .limits import ReplicaLimits
-from .model import AdapterKey, EngineSpec, FleetState, Holding, Replica, ToldLoad
+from .model import AdapterKey, EngineSpec, FleetState, Holding, Replica, ReportedLoad
 from .pacing import FRESH_S, NEWS_S
 from .replica_load import ReplicaLoad
 from .rests import ReplicaRests
 
-FAILURE_COST = 12.0
+FAILURE_COST_REQUESTS = 12.0
 """Cost of a replica that fails all requests, as a number of additional queued requests."""
 OTHER_HALL_COST_REQUESTS = 0.3
 """Cost of a replica in another hall, in queued requests: below one, so that the same hall decides
 between equal replicas only. Traffic between halls is charged."""
-CHOICES = 16
+MAX_SAMPLED_REPLICAS = 16
 """Maximum number of replicas compared for a request; of more, a random sample is drawn."""
 WAIT_PER_REQUEST_S = 0.1
 """Waiting time that corresponds to one queued request, in seconds, to convert between the units."""
@@ -85,12 +85,12 @@
         "_reported_change",
         "hall",
         "is_scoped",
-        "kept",
+        "prefix_cache",
         "limits",
-        "news_s",
+        "state_age_s",
         "pauses",
         "rests",
-        "room",
+        "engine_estimator",
         "speeds",
         "state",
     )
@@ -110,7 +110,7 @@
         self.rests = rests or ReplicaRests(clock)
         self.limits = limits or ReplicaLimits(clock)
         self.hall = hall
-        self.kept = kept or Kept(clock, False)
+        self.prefix_cache = kept or Kept(clock, False)
         self._clock = clock
         self._rng = rng or random.Random(0)
         self._health: dict[str, Health] = {}
@@ -128,9 +128,9 @@
         """Whether planners report only the weights that this instance uses."""
         self.speeds = PrefillSpeeds()
         """Prefill speeds of engines as observed by this instance."""
-        self.room = EngineEstimator(self.speeds) if has_room else None
+        self.engine_estimator = EngineEstimator(self.speeds) if has_room else None
         """Estimates of slots, memory and speed of busy engines; None to ignore them."""
-        self.news_s = NEWS_S
+        self.state_age_s = NEWS_S
         """Maximum age of the engine state that planners report, in seconds."""
         self.pauses: dict[str, PauseTally] = {}
         """Pauses between stream events that are not reported to planners yet, by service."""
@@ -141,7 +141,7 @@
             self._by_key[key].pop(replica, None)
         for key, version in self._directory.get(replica, {}).items():
             if held.get(key) != version:
-                self.kept.parts.forget_weights(replica, key.text)
+                self.prefix_cache.parts.forget_weights(replica, key.text)
         self._directory[replica] = held
         for key, version in held.items():
             self._by_key.setdefault(key, {})[replica] = version
@@ -149,11 +149,11 @@
     def add_holding(self, replica: str, key: AdapterKey, version: int) -> None:
         """Add weights that a planner reports as usable on a replica."""
         if self._directory.get(replica, {}).get(key, version) != version:
-            self.kept.parts.forget_weights(replica, key.text)
+            self.prefix_cache.parts.forget_weights(replica, key.text)
         self._directory.setdefault(replica, {})[key] = version
         self._by_key.setdefault(key, {})[replica] = version
 
-    def note_lives(self) -> list[Replica]:
+    def detect_restarts(self) -> list[Replica]:
         """Drop the state of replicas' earlier incarnations; return the replicas that restarted."""
         restarted = []
         for name, rep in self.state.replicas.items():
@@ -166,16 +166,16 @@
 
     def _forget_incarnation(self, replica: str) -> None:
         self.set_holdings(replica, {})
-        self.kept.parts.forget(replica)
+        self.prefix_cache.parts.forget(replica)
         self.limits.forget(replica)
         self._health.pop(replica, None)
         load = self._loads.get(replica)
         if load is not None:
             # This instance's requests there end when their connections break.
-            load.others = ToldLoad()
+            load.others = ReportedLoad()
             load.told_running = 0
 
-    def set_homes(self, service: str, key: AdapterKey, versions: dict[str, int]) -> None:
+    def set_weight_locations(self, service: str, key: AdapterKey, versions: dict[str, int]) -> None:
         """Replace the replicas of a service on which weights are usable.
 
         Parameters
@@ -193,7 +193,7 @@
         for name, version in versions.items():
             self.add_holding(name, key, version)
 
-    def forget_homes(self, service: str) -> None:
+    def clear_weight_locations(self, service: str) -> None:
         """Drop all weights that planners reported for a service's replicas."""
         for name in [name for name in self._directory if self._serves(name, service)]:
             for key in list(self._directory[name]):
@@ -206,7 +206,7 @@
     def _drop_holding(self, name: str, key: AdapterKey) -> None:
         held = self._directory[name]
         held.pop(key, None)
-        self.kept.parts.forget_weights(name, key.text)
+        self.prefix_cache.parts.forget_weights(name, key.text)
         if not held:
             del self._directory[name]
         names = self._by_key[key]
@@ -215,11 +215,11 @@
             del self._by_key[key]
 
     @property
-    def located(self) -> int:
+    def located_count(self) -> int:
         """Number of weights whose locations planners have reported."""
         return len(self._by_key)
 
-    def reported(self, service: str, key: AdapterKey) -> list[Replica]:
+    def self_reported_holders(self, service: str, key: AdapterKey) -> list[Replica]:
         """Return the replicas of a service that report the newest version of weights as usable."""
         newest, known = self.state.versions.get(key, 0), self.state.replicas
         self._refresh_reported()
@@ -241,7 +241,7 @@
             for holding in rep.holdings:
                 self._reported.setdefault(holding.key, []).append(rep.name)
 
-    def is_closed(self, replica: Replica) -> bool:
+    def is_unavailable(self, replica: Replica) -> bool:
         """Return whether nothing may be sent to a replica now: it is leaving or resting."""
         return self.state.is_leaving(replica) or self.rests.left_s(replica) > 0
 
@@ -318,7 +318,7 @@
         newest = self.state.versions.get(key, 0)
         if not self._directory and not self.is_scoped:
             # No planner has reported yet; the replicas' own entries have the same, but later.
-            return self.reported(service, key)
+            return self.self_reported_holders(service, key)
         known = self.state.replicas
         found = []
         for name, version in self._by_key.get(key, {}).items():
@@ -329,14 +329,14 @@
                 found.append(rep)
         return found
 
-    def told_version(self, replica: str, key: AdapterKey) -> int | None:
+    def known_version(self, replica: str, key: AdapterKey) -> int | None:
         """Return the newest version of weights reported for a replica; None if it holds none."""
         known = self.state.replicas.get(replica)
         own = _reported_version(known.holdings, key) if known is not None else NOT_HELD
         version = max(own, self._directory.get(replica, {}).get(key, NOT_HELD))
         return None if version == NOT_HELD else version
 
-    def holders_at(self, service: str, key: AdapterKey, version: int) -> list[Replica]:
+    def holders_of_version(self, service: str, key: AdapterKey, version: int) -> list[Replica]:
         """Return the replicas of a service that hold a version of weights, as last reported."""
         self._refresh_reported()
         names = dict.fromkeys((*self._by_key.get(key, ()), *self._reported.get(key, ())))
@@ -347,7 +347,7 @@
             if name in known
             and known[name].service == service
             and not known[name].leaving
-            and self.told_version(name, key) == version
+            and self.known_version(name, key) == version
         ]
 
     def choose(
@@ -379,9 +379,9 @@
             and (only is None or rep.name in only)
             and not self.rests.left_s(rep)
         ]
-        if len(candidates) > CHOICES:
-            candidates = self._rng.sample(candidates, CHOICES)
-        probe_target = self.to_probe(candidates, now) if may_probe else None
+        if len(candidates) > MAX_SAMPLED_REPLICAS:
+            candidates = self._rng.sample(candidates, MAX_SAMPLED_REPLICAS)
+        probe_target = self.claim_probe(candidates, now) if may_probe else None
         if probe_target is not None:
             return probe_target
         allowed = [rep for rep in candidates if self.allows(rep, now)]
@@ -389,13 +389,13 @@
         usable = allowed or candidates
         if work is None:
             return min(usable, key=lambda rep: self.cost(rep, now), default=None)
-        if self.room is not None and self.news_s > FRESH_S:
+        if self.engine_estimator is not None and self.state_age_s > FRESH_S:
             return self._choose_spread(usable, work, now)
         speed = self.speeds.speed(usable[0].service) if usable else 1.0
         # Equal costs fall to the same engine each time, which keeps its prompt cache in use.
         costs_s = [
             (self._selection_cost_s(rep, work_at, now), number, rep)
-            for number, (rep, work_at) in enumerate(self.kept.at_each(usable, work, speed))
+            for number, (rep, work_at) in enumerate(self.prefix_cache.at_each(usable, work, speed))
         ]
         return min(costs_s)[2] if costs_s else None
 
@@ -408,11 +408,11 @@
         outdated state would all select that one.
         """
         costs_s = [(rep, WAIT_PER_REQUEST_S * self.cost(rep, now, work)) for rep in usable]
-        mark = self.kept.mark(work, len(usable), self._rng)
+        mark = self.prefix_cache.mark(work, len(usable), self._rng)
         if mark is None or not usable:
-            return choose_weighted(costs_s, self.news_s, self._rng)
+            return choose_weighted(costs_s, self.state_age_s, self._rng)
         named = [(rep.name, cost_s) for rep, cost_s in costs_s]
-        chosen = choose_consistent(named, self.news_s, mark)
+        chosen = choose_consistent(named, self.state_age_s, mark)
         return next(rep for rep in usable if rep.name == chosen)
 
     def _selection_cost_s(self, replica: Replica, work: RequestWork, now: float) -> float:
@@ -432,7 +432,7 @@
         chance = self._rng.random() if 0 < health.held_back(now) < 1 else 0.0
         return health.allows(now, chance)
 
-    def to_probe(self, replicas: t.Iterable[Replica], now: float) -> Replica | None:
+    def claim_probe(self, replicas: t.Iterable[Replica], now: float) -> Replica | None:
         """Return a replica that this instance is to probe now and record the probe; else None."""
         for rep in replicas:
             health = self.health(rep.name)
@@ -448,7 +448,7 @@
             cost = load.cost()
         else:
             cost = self.expected_s(replica, load.busyness(), work) / WAIT_PER_REQUEST_S
-        cost += FAILURE_COST * self.health(replica.name).rate(now)
+        cost += FAILURE_COST_REQUESTS * self.health(replica.name).rate(now)
         cost += self.limits.delay_s(replica.name) / WAIT_PER_REQUEST_S
         return cost + (OTHER_HALL_COST_REQUESTS if replica.hall != self.hall else 0.0)
 
@@ -459,21 +459,23 @@
         displace another: the planner may know an engine with free capacity.
         """
         now, busy = self._clock(), self.load(replica.name).busyness()
-        work_at = self.kept.at(replica.name, work)
+        work_at = self.prefix_cache.at(replica.name, work)
         is_late = now + self.expected_s(replica, busy, work_at) > target_at
         return is_late or self.is_full(replica, work)
 
-    def fits(self, service: str, work: RequestWork) -> bool:
+    def fits_memory(self, service: str, work: RequestWork) -> bool:
         """Return whether a request's prompt fits into the memory of a service's engines.
 
         The answer is not counted: it may end before its maximum length.
         """
-        max_tokens = self.terms_of(service).memory_tokens
-        return self.room is None or not max_tokens or work.prompt_tokens <= max_tokens
+        max_tokens = self.service_engine_capacity(service).memory_tokens
+        return self.engine_estimator is None or not max_tokens or work.prompt_tokens <= max_tokens
 
-    def equalled(self, service: str, work: RequestWork) -> RequestWork:
+    def with_equal_urgency(self, service: str, work: RequestWork) -> RequestWork:
         """Return a request's work, with the common urgency where slots are the bottleneck."""
-        if self.room is None or not self.room.is_slot_bound(service, self.terms_of(service)):
+        if self.engine_estimator is None or not self.engine_estimator.is_slot_bound(
+            service, self.service_engine_capacity(service)
+        ):
             return work
         return replace(work, urgency=EQUAL_URGENCY)
 
@@ -482,25 +484,27 @@
 
         False if that is unknown.
         """
-        if self.room is None:
+        if self.engine_estimator is None:
             return False
-        pace = self.room.pace(replica.service, replica.name, self._clock())
+        pace = self.engine_estimator.pace(replica.service, replica.name, self._clock())
         busy = self.load(replica.name).busyness()
-        return not has_capacity(busy, work, self.terms_of(replica.service), pace)
+        return not has_capacity(busy, work, self.service_engine_capacity(replica.service), pace)
 
     def expected_s(self, replica: Replica, busy: EngineLoad, work: RequestWork) -> float:
         """Return the time to a request's first event on a busy engine, in seconds."""
-        if self.room is None:
+        if self.engine_estimator is None:
             return first_event_s(busy, work, self.speeds.speed(replica.service))
-        pace = self.room.pace(replica.service, replica.name, self._clock())
-        return expected_first_event_s(busy, work, self.terms_of(replica.service), pace)
+        pace = self.engine_estimator.pace(replica.service, replica.name, self._clock())
+        return expected_first_event_s(
+            busy, work, self.service_engine_capacity(replica.service), pace
+        )
 
-    def terms_of(self, service: str) -> EngineCapacity:
+    def service_engine_capacity(self, service: str) -> EngineCapacity:
         """Return the capacity of one engine of a service; zeros if it is unknown."""
         snapshot = self.state.snapshot
         known = snapshot.services.get(service) if snapshot is not None else None
         return (
-            terms(known.engine)
+            engine_capacity_of(known.engine)
             if known is not None and known.engine is not None
             else EngineCapacity()
         )
@@ -521,7 +525,7 @@
         self.rests.drop_over()
         for name in [name for name in self._health if name not in known]:
             del self._health[name]
-        self.kept.parts.forget_gone(known, self._clock())
+        self.prefix_cache.parts.forget_gone(known, self._clock())
         for name in [name for name in self._incarnations if name not in known]:
             del self._incarnations[name]
         for name, load in list(self._loads.items()):
@@ -535,7 +539,7 @@
         self._by_key = {key: names for key, names in self._by_key.items() if names}
 
 
-def terms(spec: EngineSpec) -> EngineCapacity:
+def engine_capacity_of(spec: EngineSpec) -> EngineCapacity:
     """Return the capacity of an engine by its specification."""
     return EngineCapacity(spec.batch, spec.kv_tokens)
 
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -13,11 +13,11 @@
 
 from .engines import Engine, Phase
 from .holders import EngineIndex
-from .model import AdapterKey, ToldLoad
+from .model import AdapterKey, ReportedLoad
 from .pacing import Pacing
 from .pending import Pending, merge_store
 from .scope import MOST_KEYS, Scopes
-from .storenews import LEAST_FOLLOWERS, StoreTeller
+from .storenews import MIN_FOLLOWERS, StorePublisher
 
 if t.TYPE_CHECKING:
     from .parts import PlannerPart
@@ -180,7 +180,7 @@
         The planner's engines.
     clock : callable
         The runtime's clock.
-    store : StoreTeller or None
+    store : StorePublisher or None
         Tells what the planner has seen in the platform's store; None to tell nothing of it.
     parts : sequence of PlannerPart
         What else there is to tell everybody.
@@ -216,7 +216,7 @@
         self,
         engines: t.Mapping[str, Engine],
         clock: t.Callable[[], float],
-        store: StoreTeller | None = None,
+        store: StorePublisher | None = None,
         parts: t.Sequence[PlannerPart] = (),
         index: EngineIndex | None = None,
         may_scope: bool = True,
@@ -239,7 +239,7 @@
         self._scopes = Scopes()
         self.is_scoped = False
         """Whether gateways are told of what they use alone."""
-        self._told_loads: dict[str, ToldLoad] = {}
+        self._told_loads: dict[str, ReportedLoad] = {}
         self._told_homes: dict[AdapterKey, dict[str, int]] = {}
         """Where weights that any gateway uses were when it was told last."""
 
@@ -334,7 +334,7 @@
             self._add_all(news, holdings_due)
         store = None
         if self.tells_store and self._store is not None:
-            store = self._store.news()
+            store = self._store.next_update()
         for part in self._parts:
             part.fill(news, now)
         for follower in self._by_number.values():
@@ -348,7 +348,7 @@
     @property
     def tells_store(self) -> bool:
         """Whether there are enough gateways for the planner to look at the store for them."""
-        return self._store is not None and len(self) >= LEAST_FOLLOWERS
+        return self._store is not None and len(self) >= MIN_FOLLOWERS
 
     # What all are told.
 
@@ -469,11 +469,13 @@
         pending.keys.clear()
         pending.replicas.clear()
 
-    def _add_listing(self, follower: Follower, message: pb.FromPlanner, store: StoreTeller) -> None:
+    def _add_listing(
+        self, follower: Follower, message: pb.FromPlanner, store: StorePublisher
+    ) -> None:
         """Add the next piece of what was told of the store before this gateway joined."""
         known = follower.listed_revision
         since = follower.store_revision if known is None else known
-        piece, reached = store.listing(since, known is None)
+        piece, reached = store.next_listing_page(since, known is None)
         message.store.CopyFrom(merge_store(piece, message.store))
         follower.listed_revision = reached
         follower.has_store = not reached
--- a/packages/gateway/src/gradelug_gateway/freshness.py
+++ b/packages/gateway/src/gradelug_gateway/freshness.py
@@ -24,7 +24,7 @@
 """Allowed difference between timers and the platform's clock within the bound, in seconds."""
 
 
-class Freshness:
+class ConfigFreshness:
     """Proof that the keys accepted here were not revoked up to a known time.
 
     No instance may accept a revoked key for a request that was sent later than a bound after the
@@ -66,7 +66,7 @@
     @property
     def proven_at(self) -> float:
         """Latest time when the configuration in force was the newest, by the runtime's clock."""
-        own = self._mirror.proven_at if self._feed.is_readable else -math.inf
+        own = self._mirror.proven_at if self._feed.is_config_readable else -math.inf
         return max(own, self._remote_proven_at)
 
     @property
@@ -81,7 +81,7 @@
         """Age of the proof in seconds."""
         return self._clock() - self.proven_at
 
-    def note_told(self, config: int, at: float) -> None:
+    def note_remote_proof(self, config: int, at: float) -> None:
         """Record another instance's proof that a configuration was the newest at some time.
 
         Parameters
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -10,13 +10,13 @@
 
 from .directory import Directory
 from .fleet import Fleet
-from .freshness import Freshness
+from .freshness import ConfigFreshness
 from .kept import add_gauges as add_kept_gauges
 from .metrics import Meters
 from .model import FleetState
 from .planner import Planner
 from .poison_control import PoisonControl
-from .standing import Part, Standing
+from .standing import StartupPart, StartupProgress
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,9 +52,9 @@
     state: FleetState
     fleet: Fleet
     mirror: Mirror
-    freshness: Freshness
+    freshness: ConfigFreshness
     directory: Directory
-    standing: Standing
+    standing: StartupProgress
     poison: PoisonControl
     planners: t.Callable[[], list[Planner]]
 
@@ -68,7 +68,7 @@
         The runtime's clock.
     """
     gauge = meters.gauge
-    add_kept_gauges(meters, seen.fleet.kept.parts, seen.planners)
+    add_kept_gauges(meters, seen.fleet.prefix_cache.parts, seen.planners)
     add_standing_gauges(meters, seen.standing)
     gauge("requests_in_progress", "Requests now", lambda: seen.callers.in_progress)
     gauge("unread_bytes", "Kept for callers that read slowly", lambda: seen.callers.held)
@@ -170,7 +170,7 @@
     gauge(
         "weights_located",
         "Weights of which it is known where they are",
-        lambda: seen.fleet.located,
+        lambda: seen.fleet.located_count,
     )
     gauge(
         "engines_unknown",
@@ -185,14 +185,18 @@
 
 
 def _count_slow(fleet: Fleet, clock: t.Callable[[], float]) -> int:
-    return len(fleet.room.paces.slow_engines(clock())) if fleet.room is not None else 0
+    return (
+        len(fleet.engine_estimator.paces.slow_engines(clock()))
+        if fleet.engine_estimator is not None
+        else 0
+    )
 
 
-def add_standing_gauges(meters: Meters, standing: Standing) -> None:
+def add_standing_gauges(meters: Meters, standing: StartupProgress) -> None:
     """Add how long each part of the state was missing after the start."""
-    for part in Part:
+    for part in StartupPart:
         meters.gauge(
             f"without_{part.value}_seconds",
             f"From the start until the {part.value} came, or until now",
-            lambda part=part: standing.without_s(part),  # type: ignore[misc]
+            lambda part=part: standing.missing_s(part),  # type: ignore[misc]
         )
--- a/packages/gateway/src/gradelug_gateway/health.py
+++ b/packages/gateway/src/gradelug_gateway/health.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ToldFinding:
+class SharedVerdict:
     """A planner's verdict on a replica, from the outcomes that all gateways report.
 
     Parameters
@@ -76,17 +76,25 @@
 class Health:
     """Failure rate, circuit breaker and verdicts of one replica."""
 
-    __slots__ = ("_rate_at", "_probed_at", "_rate", "circuit", "heard_at", "tally", "told")
+    __slots__ = (
+        "_rate_at",
+        "_probed_at",
+        "_rate",
+        "circuit",
+        "last_received_at",
+        "tally",
+        "shared_verdicts",
+    )
 
     def __init__(self) -> None:
         self.circuit = Circuit(CIRCUIT_FAILURES, CIRCUIT_OPEN_S)
         self._rate = 0.0
         self._rate_at = 0.0
         self._probed_at = float("-inf")
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         """When data was received from the replica last, by the runtime's clock, in seconds."""
         self.tally = OutcomeTally()
-        self.told: dict[str, ToldFinding] = {}
+        self.shared_verdicts: dict[str, SharedVerdict] = {}
         """Verdicts by hall: the one for all halls under an empty name, and that for this hall."""
 
     def shared_rate(self, now: float) -> float:
@@ -173,5 +181,5 @@
         else:
             self.circuit.note_success()
 
-    def _valid_verdicts(self, now: float) -> t.Iterator[ToldFinding]:
-        return (verdict for verdict in self.told.values() if now < verdict.until)
+    def _valid_verdicts(self, now: float) -> t.Iterator[SharedVerdict]:
+        return (verdict for verdict in self.shared_verdicts.values() if now < verdict.until)
--- a/packages/gateway/src/gradelug_gateway/limit_facts.py
+++ b/packages/gateway/src/gradelug_gateway/limit_facts.py
@@ -23,7 +23,7 @@
 
 def planner_for(service: str, state: FleetState) -> str:
     """Return the service whose planner grants room at replicas of a service; empty for none."""
-    return service if state.has_engines(service) else state.home_service
+    return service if state.has_engines(service) else state.coordinating_service
 
 
 def encode_limit(replica: str, born: int, fact: LimitFact, now: float) -> pb.LimitFact:
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -17,12 +17,12 @@
 
 from .executing import Executor
 from .fleet import Fleet
-from .model import AdapterKey, ToldLoad
+from .model import AdapterKey, ReportedLoad
 from .pacing import FLUSH_S, NEWS_S
 from .parts import GatewayPart
 from .quotas import Applicant, QuotaQuestions
 from .search import PlannerAddress
-from .storenews import StoreListener
+from .storenews import StoreSubscriber
 
 log = logbook.Logger("link")
 FIRST_USE_PART = 0.25
@@ -104,7 +104,7 @@
         clock: t.Callable[[], float],
         executor: Executor | None = None,
         strength: float = 1.0,
-        listener: StoreListener | None = None,
+        listener: StoreSubscriber | None = None,
         shares: LocalShares | None = None,
         parts: t.Iterable[GatewayPart] = (),
     ) -> None:
@@ -149,7 +149,7 @@
         self._changed: set[tuple[str, AdapterKey]] = set()
         self._started: Counter[tuple[str, AdapterKey]] = Counter()
         self._started_tokens: Counter[tuple[str, AdapterKey]] = Counter()
-        self._told_loads: dict[str, ToldLoad] = {}
+        self._told_loads: dict[str, ReportedLoad] = {}
         self._wake = asyncio.Event()
         self._asked = asyncio.Event()
         self._quotas = QuotaQuestions(clock, self.hurry)
@@ -360,7 +360,7 @@
             self._fleet.load(name)
         for name, load in self._fleet.loads():
             own = load.own()
-            if name in self._retold or self._told_loads.get(name, ToldLoad()) != own:
+            if name in self._retold or self._told_loads.get(name, ReportedLoad()) != own:
                 self._told_loads[name] = own
                 message.loads.add(
                     replica=name,
@@ -370,7 +370,7 @@
                     memory_tokens=own.memory,
                 )
         for name in [name for name in self._told_loads if not self._fleet.has_load(name)]:
-            if self._told_loads.pop(name) != ToldLoad():
+            if self._told_loads.pop(name) != ReportedLoad():
                 message.loads.add(replica=name)
         self._retold.clear()
 
@@ -405,7 +405,7 @@
             ahead_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
             self._ahead_s = min(self._ahead_s, ahead_s)
         if message.HasField("store") and self._listener is not None:
-            self._listener.take(message.store, self._ahead_s)
+            self._listener.apply_update(message.store, self._ahead_s)
         if message.peers:
             self.peers = list(message.peers)
         # Answers were made before the news that came with them were gathered.
@@ -417,15 +417,15 @@
                 {AdapterKey(held.model, held.adapter): held.version for held in holdings.held},
             )
         if message.whole:
-            self._fleet.forget_homes(self.service)
+            self._fleet.clear_weight_locations(self.service)
         for homes in message.homes:
-            self._fleet.set_homes(
+            self._fleet.set_weight_locations(
                 self.service,
                 AdapterKey(homes.model, homes.adapter),
                 {home.replica: home.version for home in homes.homes},
             )
         for told in message.loads:
-            self._take_load(told, ToldLoad())
+            self._take_load(told, ReportedLoad())
         if message.cut_off and self._executor is not None:
             self._executor.note_outage(message.cut_off)
         for order in message.orders:
@@ -448,25 +448,25 @@
     def _take_pacing(self, message: pb.FromPlanner) -> None:
         self.gateways = message.gateways
         # A planner of an earlier version, as in a rolling restart, tells neither.
-        self.news_s = self._fleet.news_s = message.news_ms / 1000 or NEWS_S
+        self.news_s = self._fleet.state_age_s = message.news_ms / 1000 or NEWS_S
         self._flush_s = message.flush_ms / 1000 or FLUSH_S
         self.ask_first = message.ask_first
         self._fleet.is_scoped = message.scoped
         self.has_resigned = message.resigned
 
-    def _take_load(self, told: pb.Load, booked: ToldLoad) -> None:
+    def _take_load(self, told: pb.Load, booked: ReportedLoad) -> None:
         """Take over what runs at a replica.
 
         Parameters
         ----------
         told : pb.Load
             Of all gateways.
-        booked : ToldLoad
+        booked : ReportedLoad
             What the planner counts beyond that for a request of this instance.
         """
         load = self._fleet.load(told.replica)
-        own = self._told_loads.get(told.replica, ToldLoad())
-        load.others = ToldLoad(
+        own = self._told_loads.get(told.replica, ReportedLoad())
+        load.others = ReportedLoad(
             max(0, told.starting - own.starting - booked.starting),
             max(0, told.running - own.running),
             subtract_queue(subtract_queue(told.queued, own.queued), booked.queued),
@@ -474,7 +474,7 @@
         )
         if told.running > load.told_running:
             # Some instance had a first event from it.
-            self._fleet.health(told.replica).heard_at = self._clock()
+            self._fleet.health(told.replica).last_received_at = self._clock()
         load.told_running = told.running
 
     def _take_booking(self, answer: pb.Answer) -> None:
@@ -488,4 +488,4 @@
             return
         queued = (0,) * question.ask.rank + (question.ask.prompt_tokens - answer.kept_tokens,)
         memory = question.ask.prompt_tokens + question.ask.answer_tokens
-        self._take_load(answer.load, ToldLoad(1, 0, queued, memory))
+        self._take_load(answer.load, ReportedLoad(1, 0, queued, memory))
--- a/packages/gateway/src/gradelug_gateway/model.py
+++ b/packages/gateway/src/gradelug_gateway/model.py
@@ -8,7 +8,7 @@
 from .replicas import FleetState as FleetState
 from .replicas import Holding as Holding
 from .replicas import Replica as Replica
-from .replicas import ToldLoad as ToldLoad
+from .replicas import ReportedLoad as ReportedLoad
 from .requests import Attempt as Attempt
 from .requests import Copy as Copy
 from .requests import CopyKind as CopyKind
--- a/packages/gateway/src/gradelug_gateway/plain.py
+++ b/packages/gateway/src/gradelug_gateway/plain.py
@@ -205,7 +205,7 @@
             return None
         now = self._clock()
         if job.may_repeat():
-            probed = self._fleet.to_probe(found, now)
+            probed = self._fleet.claim_probe(found, now)
             if probed is not None:
                 return probed
         # If all of them are failing, some requests still succeed.
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -31,13 +31,13 @@
 from .engine_speeds import SpeedDesk
 from .engines import Engine, Phase, Place
 from .fair_line import FairQueue
-from .fleet import terms
+from .fleet import engine_capacity_of
 from .followers import Follower, Followers, encode_load
 from .holders import EngineIndex, reports_any
 from .kept import Kept, sample_holders
 from .limit_desk import LimitDesk
 from .loading import DEFAULT_VERSION, Loader, PlannedLoad
-from .model import AdapterKey, EngineSpec, FleetState, Term, ToldLoad
+from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
 from .openings import Openings
 from .pacing import FRESH_S
 from .parts import PlannerPart
@@ -47,8 +47,8 @@
 from .refill import Refill
 from .relay import OrderRelay
 from .settings import Feature
-from .sharedhealth import DOUBTED_S, HealthDesk
-from .storenews import StoreTeller
+from .sharedhealth import SUSPECT_COST_S, HealthAggregator
+from .storenews import StorePublisher
 from .upkeep import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
 from .waiting import Waiter, WaitingLine
 
@@ -110,7 +110,7 @@
         The runtime's clock.
     speeds : PrefillSpeeds or None
         Prefill speeds by service; None to start with default speeds.
-    store : StoreTeller or None
+    store : StorePublisher or None
         Publishes this instance's view of the platform's store to gateways.
     expected : int
         Number of gateways that the previous planner had, 0 if unknown.
@@ -135,7 +135,7 @@
         window: LoadRateLimiter,
         clock: t.Callable[[], float],
         speeds: PrefillSpeeds | None = None,
-        store: StoreTeller | None = None,
+        store: StorePublisher | None = None,
         expected: int = 0,
         features: frozenset[Feature] = frozenset(Feature),
         room: EngineEstimator | None = None,
@@ -153,7 +153,9 @@
         """Looks up engines by the weights that they hold."""
         self._cells = Cells()
         self._rng = random.Random(0)
-        health = HealthDesk(service, state, self.engines, lambda: self.followers.pacing.flush_s)
+        health = HealthAggregator(
+            service, state, self.engines, lambda: self.followers.pacing.flush_s
+        )
         self._health = health if Feature.SHARED_HEALTH in features else None
         quotas = QuotaHome(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
         self.limits = LimitDesk(service, state, clock, lambda: self.term is not None)
@@ -192,7 +194,7 @@
         self._transport = transport
         self._relay = transport if isinstance(transport, OrderRelay) else None
         self._clock = clock
-        self.loading = Loader(self, owner, transport, clock, spec.loads_at_once)
+        self.loading = Loader(self, owner, transport, clock, spec.max_concurrent_loads)
         """Carries out the loads that are decided here."""
         self._line = WaitingLine(self.popularity, clock(), self.loading.pace.rate)
         self._upkeep = Maintenance(self, spec, window, clock)
@@ -201,7 +203,7 @@
         self._syncing: set[str] = set()
         """Names of engines whose state is being queried, or is about to be."""
         self._engine_estimator = room
-        self._capacity = terms(spec)
+        self._capacity = engine_capacity_of(spec)
         self._redirect_tried_at: dict[AdapterKey, float] = {}
         """Time of the last search for another engine, by weights whose requests have a holder."""
         self.look_from = -math.inf
@@ -396,7 +398,7 @@
             engine = self.engines.get(load.replica)
             if engine is not None:
                 queued = tuple(load.queued)
-                reported = ToldLoad(load.starting, load.running, queued, load.memory_tokens)
+                reported = ReportedLoad(load.starting, load.running, queued, load.memory_tokens)
                 engine.take_load(follower.number, reported)
         for part in self.parts:
             part.take(follower, message, now)
@@ -561,8 +563,8 @@
 
     def _health_penalty_s(self, replica: str, waiter: Waiter) -> float:
         if self._health is not None:
-            return self._health.doubt_s(replica, waiter.follower, waiter.ask.doubted)
-        return DOUBTED_S if replica in waiter.ask.doubted else 0.0
+            return self._health.failure_penalty_s(replica, waiter.follower, waiter.ask.doubted)
+        return SUSPECT_COST_S if replica in waiter.ask.doubted else 0.0
 
     def _should_wait(self, waiter: Waiter, best: Engine, min_cost_s: float, now: float) -> bool:
         """Tell whether a request waits for another engine, or for capacity of the best holder.
@@ -639,7 +641,7 @@
         return max(1.0, COPY_DEMAND_HORIZON_S * self.popularity.rate(key.text, now))
 
     def _ejection_penalty_s(self, replica: str) -> float:
-        return self._health.ejected_s(replica) if self._health is not None else 0.0
+        return self._health.ejection_penalty_s(replica) if self._health is not None else 0.0
 
     def _is_loading(self, waiter: Waiter) -> bool:
         for name, engine in self._holders(waiter):
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -60,7 +60,9 @@
 
     def teller(self, service: str) -> PoisonTeller:
         """Return what tells the planner of a service, if that is the one that all are told to."""
-        return PoisonTeller(self.guard, lambda: self._state.home_service == service, self._clock)
+        return PoisonTeller(
+            self.guard, lambda: self._state.coordinating_service == service, self._clock
+        )
 
     def desk(self, service: str) -> PoisonDesk:
         """Return what a planner of a service here takes that in with."""
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -128,7 +128,7 @@
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Judge anew, tell all gateways, and have the platform keep it."""
-        if self._state.home_service != self._service:
+        if self._state.coordinating_service != self._service:
             return
         if not self._has_changed and now - self._told_at < REPEAT_S:
             return
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -4,7 +4,7 @@
 
 from gradelug_policy.reading import URGENCY_LEVELS, EngineLoad, add_queues
 
-from .model import ToldLoad
+from .model import ReportedLoad
 
 RUNNING_REQUEST_COST = 0.06
 """Cost of a running stream to a new request, relative to a request in prefill."""
@@ -24,7 +24,7 @@
         """Requests sent by this instance whose response is being received."""
         self.queued = [0] * URGENCY_LEVELS
         """Prompt tokens of the starting requests, by urgency."""
-        self.others = ToldLoad()
+        self.others = ReportedLoad()
         """Load from other instances."""
         self.told_running = 0
         """Running requests of all instances, as last reported by the planner."""
@@ -41,6 +41,6 @@
         queued = add_queues([self.queued, self.others.queued])
         return EngineLoad(queued, running, starting, self.memory + self.others.memory)
 
-    def own(self) -> ToldLoad:
+    def own(self) -> ReportedLoad:
         """Return the load from this instance."""
-        return ToldLoad(self.starting, self.running, tuple(self.queued), self.memory)
+        return ReportedLoad(self.starting, self.running, tuple(self.queued), self.memory)
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -101,7 +101,7 @@
     born: int = 0
 
 
-class ToldLoad(t.NamedTuple):
+class ReportedLoad(t.NamedTuple):
     """Reported load of a replica by requests of one instance, or of all instances.
 
     Parameters
@@ -158,7 +158,7 @@
         return found is not None and found.engine is not None
 
     @property
-    def home_service(self) -> str:
+    def coordinating_service(self) -> str:
         """Service whose planner also keeps the state shared by all services; empty if none."""
         services = self.snapshot.services if self.snapshot is not None else {}
         return min((name for name in services if self.has_engines(name)), default="")
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -51,7 +51,7 @@
     newest = fleet.state.versions.get(key, UNKNOWN_VERSION)
     if job.absences >= MAX_ABSENCES:
         return newest
-    return max(newest, fleet.told_version(replica.name, key) or UNKNOWN_VERSION)
+    return max(newest, fleet.known_version(replica.name, key) or UNKNOWN_VERSION)
 
 
 class RunWeights:
@@ -101,7 +101,7 @@
         """Return the versions of an adapter and its base model on an engine, as last reported."""
         if key is None:
             return WeightVersions()
-        last_version = self._fleet.told_version
+        last_version = self._fleet.known_version
         adapter = last_version(replica.name, key) if key.adapter else None
         return WeightVersions(
             last_version(replica.name, AdapterKey(key.model)) or UNKNOWN_VERSION,
@@ -112,7 +112,7 @@
         """Return whether an engine may hold the given versions, now or after a load."""
         if key is None:
             return True
-        held, newest = self._fleet.told_version(rep.name, AdapterKey(key.model)), self.newest(key)
+        held, newest = self._fleet.known_version(rep.name, AdapterKey(key.model)), self.newest(key)
         if held is not None and not is_same_version(versions.model, held, newest.model):
             return False
         return self.holds(rep, versions, key) or is_loadable(versions, newest)
@@ -131,12 +131,12 @@
         version = versions.adapter if key.adapter else versions.model
         newest = self._fleet.state.versions.get(key, UNKNOWN_VERSION)
         if version != UNKNOWN_VERSION and version < newest:
-            return self._fleet.holders_at(service, key, version)
+            return self._fleet.holders_of_version(service, key, version)
         return [
             rep
             for rep in self._fleet.holders(service, key)
             if is_same_version(
-                version, self._fleet.told_version(rep.name, key) or UNKNOWN_VERSION, newest
+                version, self._fleet.known_version(rep.name, key) or UNKNOWN_VERSION, newest
             )
         ]
 
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -220,7 +220,7 @@
             raise
         load = self._fleet.load(replica.name)
         key = job.req.key
-        work = self._fleet.kept.at(replica.name, self._with_urgency(job, replica))
+        work = self._fleet.prefix_cache.at(replica.name, self._with_urgency(job, replica))
         log.info(
             "placed",
             id=job.req.id,
@@ -269,7 +269,7 @@
                 quiet_s=round(self._clock() - exchange.event_at, 3),
                 held_up_s=round(job.inc.held_up_s, 3),
             )
-            if not is_caller_stalled and (conn.is_silenced or health.heard_at < now):
+            if not is_caller_stalled and (conn.is_silenced or health.last_received_at < now):
                 self._pool.doubt(replica.address, now)
             if exchange.run is not None and self._lasting is not None:
                 # Before the connection is closed: most engines cancel a request when its connection
@@ -468,7 +468,7 @@
         try:
             done, _ = await asyncio.wait([task], timeout=silence_timeout_s)
             if not done and busy_timeout_s is not None and silence_timeout_s is not None:
-                is_busy = self._clock() - health.heard_at < RECENT_ACTIVITY_S
+                is_busy = self._clock() - health.last_received_at < RECENT_ACTIVITY_S
                 if is_busy:
                     done, _ = await asyncio.wait([task], timeout=busy_timeout_s - silence_timeout_s)
             while not done and not self._has_retry(exchange.job.service.name):
@@ -486,7 +486,7 @@
         finally:
             if not task.done():
                 task.cancel()
-        health.heard_at = self._clock()
+        health.last_received_at = self._clock()
         return task.result()
 
     def _must_find_run(self, exchange: Exchange) -> bool:
@@ -573,10 +573,16 @@
         if not job.events.is_between_events:
             raise ResponseBroken("the stream ended within an event")
         exchange.release(self._pool, head)
-        if self._fleet.room is not None and job.work.prompt_tokens and not job.req.last_event:
+        if (
+            self._fleet.engine_estimator is not None
+            and job.work.prompt_tokens
+            and not job.req.last_event
+        ):
             service = exchange.replica.service
             read_s = exchange.work.prefill_tokens / self._fleet.speeds.speed(service)
-            self._fleet.room.note_run(service, read_s + self._clock() - exchange.first_at)
+            self._fleet.engine_estimator.note_run(
+                service, read_s + self._clock() - exchange.first_at
+            )
         if not job.inc.started:
             job.inc.begin(head.status, end_to_end(head.headers))
         job.inc.finish()
--- a/packages/gateway/src/gradelug_gateway/services.py
+++ b/packages/gateway/src/gradelug_gateway/services.py
@@ -148,7 +148,7 @@
     copy_terms: CopySettings = CopySettings()  # noqa: RUF009
 
     @property
-    def loads_at_once(self) -> float:
+    def max_concurrent_loads(self) -> float:
         """Maximum number of base models loaded concurrently from the weight store.
 
         It can serve at least about as many loads of adapters, which are smaller.
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -250,8 +250,10 @@
         name = choose_service(route, self._rng)
         service = snapshot.services.get(name) or Service(name, 1)
         self._budgets.note_request(name)
-        chain = self._fleet.kept.chain(req, admission.owner)
-        work = self._fleet.equalled(name, self._values.work(admission.rank(route), req, chain))
+        chain = self._fleet.prefix_cache.chain(req, admission.owner)
+        work = self._fleet.with_equal_urgency(
+            name, self._values.work(admission.rank(route), req, chain)
+        )
         return Job(inc, req, route, service, work, admission)
 
     async def _charge(self, job: Job) -> None:
@@ -330,7 +332,7 @@
         return await self._plain_placer.place(job)
 
     async def _place_weights(self, job: Job, key: AdapterKey) -> Replica:
-        if not self._fleet.fits(job.service.name, job.work):
+        if not self._fleet.fits_memory(job.service.name, job.work):
             raise Refused("the prompt exceeds the memory of every engine", OVERSIZED_RETRY_AFTER_S)
         known = None
         if not job.absent:
--- a/packages/gateway/src/gradelug_gateway/sharedhealth.py
+++ b/packages/gateway/src/gradelug_gateway/sharedhealth.py
@@ -22,7 +22,7 @@
 from .engines import Engine
 from .fleet import Fleet
 from .followers import Follower
-from .health import Health, ToldFinding
+from .health import Health, SharedVerdict
 from .model import FleetState
 
 log = logbook.Logger("sharedhealth")
@@ -37,7 +37,7 @@
 RESPONSE_TIME_STEP_RATIO = 1.1
 """Verdicts that differ by less than these steps are not sent: the results calculated from them
 would not differ by more. The second one is a ratio of response times."""
-DOUBTED_S = 1.0
+SUSPECT_COST_S = 1.0
 """Cost of an engine that fails the requesting gateway's requests, as seconds of additional prefill
 work."""
 EJECTED_COST_S = 3.0
@@ -45,7 +45,7 @@
 until another engine has loaded their weights."""
 
 
-class EndsTeller:
+class OutcomeReporter:
     """Reports request outcomes to one planner and applies its verdicts.
 
     Implements `parts.GatewayPart`.
@@ -112,7 +112,7 @@
         for verdict in message.verdicts:
             if verdict.hall not in ("", self._fleet.hall):
                 continue
-            self._fleet.health(verdict.replica).told[verdict.hall] = ToldFinding(
+            self._fleet.health(verdict.replica).shared_verdicts[verdict.hall] = SharedVerdict(
                 verdict.failing,
                 verdict.held_back,
                 verdict.took_ms / 1000,
@@ -169,7 +169,7 @@
         return not (self.failing or self.held_back or self.took)
 
 
-class HealthDesk:
+class HealthAggregator:
     """Aggregates the outcomes that gateways report to a planner and sends verdicts to them.
 
     Implements `parts.PlannerPart`.
@@ -256,7 +256,9 @@
         """Drop the outcomes of a replica."""
         self._pool.forget(replica)
 
-    def doubt_s(self, replica: str, follower: Follower, doubted: t.Container[str]) -> float:
+    def failure_penalty_s(
+        self, replica: str, follower: Follower, doubted: t.Container[str]
+    ) -> float:
         """Return the additional cost of a request on an engine that fails requests, in seconds.
 
         Parameters
@@ -268,7 +270,7 @@
         doubted : container of str
             Names of replicas that fail this gateway's requests.
         """
-        cost_s = DOUBTED_S if replica in doubted else 0.0
+        cost_s = SUSPECT_COST_S if replica in doubted else 0.0
         for hall in {"", follower.hall}:
             finding = self._findings.get((replica, hall))
             if finding is not None and finding.prober != follower.instance:
@@ -276,7 +278,7 @@
                 cost_s = max(cost_s, EJECTED_COST_S * finding.held_back)
         return cost_s
 
-    def ejected_s(self, replica: str) -> float:
+    def ejection_penalty_s(self, replica: str) -> float:
         """Return the additional cost of placing weights on an ejected engine, in seconds."""
         finding = self._findings.get((replica, ""))
         return EJECTED_COST_S * finding.held_back if finding is not None else 0.0
@@ -320,7 +322,7 @@
             return self._members
         self._members_version = version
         self._members = {}
-        covers_engineless = self._state.home_service == self._service
+        covers_engineless = self._state.coordinating_service == self._service
         for rep in self._state.replicas.values():
             is_engineless = covers_engineless and not self._state.has_engines(rep.service)
             if not rep.leaving and (rep.service == self._service or is_engineless):
--- a/packages/gateway/src/gradelug_gateway/spacing.py
+++ b/packages/gateway/src/gradelug_gateway/spacing.py
@@ -12,7 +12,7 @@
 """Lower bound of the poll interval, in seconds."""
 
 
-def store_spacing_s(bounds: Bounds) -> float:
+def store_poll_interval_s(bounds: Bounds) -> float:
     """Return the longest poll interval that keeps the bounds, in seconds."""
     max_s = min(bounds.notice_s - NOTICE_MARGIN_S, bounds.revoke_s * RENEW_FRACTION)
     return max(MIN_POLL_INTERVAL_S, max_s)
--- a/packages/gateway/src/gradelug_gateway/standing.py
+++ b/packages/gateway/src/gradelug_gateway/standing.py
@@ -22,7 +22,7 @@
 """Time after the start when checking ends, in seconds; other metrics show what is missing later."""
 
 
-class Part(Enum):
+class StartupPart(Enum):
     """A part of the state that an instance needs to serve."""
 
     CONFIGURATION = "configuration"
@@ -36,7 +36,7 @@
     """Load of the engines, reported by a planner."""
 
 
-class Standing:
+class StartupProgress:
     """Records when each part of the state became available.
 
     Parameters
@@ -50,19 +50,19 @@
     __slots__ = ("_clock", "_checks", "_started_at", "_missing_s")
 
     def __init__(
-        self, clock: t.Callable[[], float], checks: t.Mapping[Part, t.Callable[[], bool]]
+        self, clock: t.Callable[[], float], checks: t.Mapping[StartupPart, t.Callable[[], bool]]
     ) -> None:
         self._clock = clock
         self._checks = checks
         self._started_at = clock()
-        self._missing_s: dict[Part, float] = {}
+        self._missing_s: dict[StartupPart, float] = {}
 
     @property
     def is_complete(self) -> bool:
         """Whether every part has been available."""
         return len(self._missing_s) == len(self._checks)
 
-    def without_s(self, part: Part) -> float:
+    def missing_s(self, part: StartupPart) -> float:
         """Return how long after the start a part was missing, in seconds.
 
         For a part that is still missing, the time since the start.
@@ -70,7 +70,7 @@
         known_s = self._missing_s.get(part)
         return known_s if known_s is not None else self._clock() - self._started_at
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Record and log the parts that became available since the last call."""
         for part, is_known in self._checks.items():
             if part in self._missing_s or not is_known():
@@ -82,13 +82,13 @@
         """Check until all parts are available or the time limit has passed."""
         until = self._started_at + MAX_WATCH_S
         while not self.is_complete and self._clock() < until:
-            self.look()
+            self.poll()
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def part_looks(
+def startup_checks(
     state: FleetState, mirror: Mirror, directory: Directory, services: t.Collection[str]
-) -> dict[Part, t.Callable[[], bool]]:
+) -> dict[StartupPart, t.Callable[[], bool]]:
     """Return a check for each part of the state that returns whether it is available.
 
     Parameters
@@ -116,9 +116,9 @@
         return is_followed() or any(rep.holdings for rep in state.replicas.values())
 
     return {
-        Part.CONFIGURATION: has_config,
-        Part.REPLICAS: lambda: mirror.revision > 0,
-        Part.LEADER: has_planners,
-        Part.HOLDINGS: has_holdings,
-        Part.LOADS: is_followed,
+        StartupPart.CONFIGURATION: has_config,
+        StartupPart.REPLICAS: lambda: mirror.revision > 0,
+        StartupPart.LEADER: has_planners,
+        StartupPart.HOLDINGS: has_holdings,
+        StartupPart.LOADS: is_followed,
     }
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/storenews.py
@@ -17,23 +17,23 @@
 from gradelug_wire import placement_pb2 as pb
 
 from .feed import Feed
-from .freshness import Freshness
+from .freshness import ConfigFreshness
 from .model import AdapterKey, FleetState, Replica
 
 log = logbook.Logger("storenews")
-TELL_SPACING_S = 0.3
+PUBLISHER_POLL_INTERVAL_S = 0.3
 """Interval at which a planner polls the store, in seconds."""
 MAX_REPLICAS_PER_MESSAGE = 256
 """Maximum number of replicas listed in one message to a gateway that connects without a copy of the
 store, some 25 KB: messages in transit to 300 gateways at once fit in a few MB."""
 MAX_CONFIG_BYTES = 8_388_608
 """Limit of a decompressed configuration; entries of the store hold up to 1 MB."""
-LEAST_FOLLOWERS = 16
+MIN_FOLLOWERS = 16
 """Gateways needed for a planner to distribute changes: with fewer, its own polling would cost as
 many calls as theirs."""
 
 
-class StoreTeller:
+class StorePublisher:
     """Collects the store changes that a planner has not sent to its gateways yet.
 
     Parameters
@@ -68,7 +68,7 @@
         feed: Feed,
         mirror: Mirror,
         clock: t.Callable[[], float],
-        freshness: Freshness,
+        freshness: ConfigFreshness,
         forwards_config: bool = True,
     ) -> None:
         self._forwards_config = forwards_config
@@ -81,7 +81,7 @@
         self._published_config = 0
         self._has_baseline = False
 
-    def news(self) -> pb.StoreNews | None:
+    def next_update(self) -> pb.StoreNews | None:
         """Return the changes since the last call, None while the store does not respond.
 
         The first call returns no replicas and versions: what exists by then is sent to each
@@ -103,7 +103,7 @@
             known = self._published_replicas.get(name)
             if known is rep:
                 continue
-            if known is None or _essence(known) != _essence(rep):
+            if known is None or _published_fields(known) != _published_fields(rep):
                 update.replicas.append(self._encode(rep))
         removed = self._published_replicas.keys() - state.replicas.keys()
         update.replicas.extend(
@@ -120,7 +120,7 @@
         self._published_config = self._config_version(state)
         return update
 
-    def listing(self, since: int, is_first: bool) -> tuple[pb.StoreNews, int]:
+    def next_listing_page(self, since: int, is_first: bool) -> tuple[pb.StoreNews, int]:
         """Return the next page of all that was sent so far, for a gateway that lacks it.
 
         Parameters
@@ -193,7 +193,7 @@
         )
 
 
-class StoreListener:
+class StoreSubscriber:
     """Applies store changes that a planner sends, so that this instance can pause its own polling.
 
     Parameters
@@ -221,7 +221,7 @@
         clock: t.Callable[[], float],
         poll_interval_s: float,
         can_pause: t.Callable[[], bool],
-        freshness: Freshness,
+        freshness: ConfigFreshness,
     ) -> None:
         self._feed = feed
         self._freshness = freshness
@@ -235,7 +235,7 @@
         """Store revision up to which this instance has the state of all replicas, 0 for none."""
         return self._mirror.revision
 
-    def take(self, update: pb.StoreNews, clock_offset_s: float = math.inf) -> None:
+    def apply_update(self, update: pb.StoreNews, clock_offset_s: float = math.inf) -> None:
         """Apply an update from a planner.
 
         Parameters
@@ -248,14 +248,14 @@
         """
         state = self._feed.state
         for fact in update.replicas:
-            self._feed.take_told(fact.replica, fact.revision, _decode(fact, state))
+            self._feed.apply_remote_replica(fact.replica, fact.revision, _decode(fact, state))
         for version in update.versions:
             key = AdapterKey(version.model, version.adapter)
             self._feed.apply_remote_version(key, version.version)
         if update.HasField("config_entry"):
             self._apply_config(update.config_entry)
         self._feed.notify_remote_changes()
-        self._freshness.note_told(update.config, update.proven_ms / 1000 - clock_offset_s)
+        self._freshness.note_remote_proof(update.config, update.proven_ms / 1000 - clock_offset_s)
         if self._can_pause():
             pause_until = self._clock() - update.age_ms / 1000 + self._poll_interval_s
             self._mirror.rest_until(min(pause_until, self._freshness.renew_at))
@@ -277,7 +277,7 @@
         self._feed.apply_remote_config(KvEntry(entry.key, value, entry.revision))
 
 
-def _essence(rep: Replica) -> tuple[str, str, str, bool, int, int]:
+def _published_fields(rep: Replica) -> tuple[str, str, str, bool, int, int]:
     return rep.service, rep.address, rep.hall, rep.leaving, rep.slots, rep.born
 
 
--- a/tests/grown_fleet.py
+++ b/tests/grown_fleet.py
@@ -39,7 +39,7 @@
 
     def __init__(self):
         self.reports = 0
-        self.most_reports = 0
+        self.max_concurrent_reports = 0
         self.in_progress = 0
         self.holdings = {}
 
@@ -52,7 +52,7 @@
     async def report(self, replica):
         self.reports += 1
         self.in_progress += 1
-        self.most_reports = max(self.most_reports, self.in_progress)
+        self.max_concurrent_reports = max(self.max_concurrent_reports, self.in_progress)
         await asyncio.sleep(0.005)
         self.in_progress -= 1
         held = (Holding(AdapterKey("base-model"), 1), *self.holdings[replica.name])
@@ -139,7 +139,7 @@
         """Handle a message; for tests to override."""
 
 
-class GrownFleet:
+class SimulatedFleet:
     """Gateways and engines of one planner.
 
     Parameters
@@ -234,7 +234,7 @@
     import tracemalloc
 
     tracemalloc.start()
-    fleet = GrownFleet(gateways, engines, starts_per_s)
+    fleet = SimulatedFleet(gateways, engines, starts_per_s)
     at_join = tracemalloc.get_traced_memory()[0]
     await fleet.play(2.0)
     joined = fleet.count("bytes")
@@ -264,7 +264,7 @@
         "answered": fleet.count("answered"),
         "refused": fleet.count("refused"),
         "cpu_s_per_s": round(took / seconds, 3),
-        "most_reports": fleet.orders.most_reports,
+        "most_reports": fleet.orders.max_concurrent_reports,
         **{f"{name}_ms": took for name, took in timed.items()},
     }
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,7 +8,7 @@
 from gradelug_coordination import LeaseKeeper
 from gradelug_gateway import daemon as gateway_daemon
 from gradelug_gateway.budgets import RetryBudgets
-from gradelug_gateway.freshness import Freshness
+from gradelug_gateway.freshness import ConfigFreshness
 from gradelug_runtime import clock as clock_module
 from gradelug_runtime import process as process_module
 from gradelug_runtime.clock import SteadyLoop, run, steady_s
@@ -73,7 +73,9 @@
     async def main():
         clock = asyncio.get_running_loop().time
         mirror = mock.Mock(proven_at=clock(), looked_at=clock())
-        freshness = Freshness(mirror, mock.Mock(is_readable=True), clock, SUSPENDED_S - 1.0)
+        freshness = ConfigFreshness(
+            mirror, mock.Mock(is_config_readable=True), clock, SUSPENDED_S - 1.0
+        )
         was_proven = freshness.is_proven()
         suspend()
         return was_proven, freshness.is_proven()
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -156,12 +156,12 @@
         return self.feed.state.replicas["r"]
 
     def test_nothing_that_comes_later_takes_it_back(self):
-        assert self.feed.take_leaving("r", 7, "answer")
-        assert not self.feed.take_leaving("r", 7, "planner")
+        assert self.feed.mark_leaving("r", 7, "answer")
+        assert not self.feed.mark_leaving("r", 7, "planner")
         self.mirror.show(2)
         self.feed.refresh()
         assert self.replica.leaving
-        self.feed.take_told("r", 9, Replica("r", "s", "10.0.0.1:80", "z", born=7))
+        self.feed.apply_remote_replica("r", 9, Replica("r", "s", "10.0.0.1:80", "z", born=7))
         assert self.replica.leaving
 
     def test_what_the_store_said_is_not_taken_back_by_an_older_entry(self):
@@ -172,7 +172,7 @@
         assert self.replica.leaving
 
     def test_it_comes_back_after_its_entry_had_lapsed(self):
-        self.feed.take_leaving("r", 7, "answer")
+        self.feed.mark_leaving("r", 7, "answer")
         del self.mirror.entries["servers/r"]
         self.feed.refresh()
         assert "r" not in self.feed.state.replicas
@@ -181,18 +181,18 @@
         assert self.replica.leaving
 
     def test_another_life_begins_without(self):
-        self.feed.take_leaving("r", 7, "answer")
+        self.feed.mark_leaving("r", 7, "answer")
         self.mirror.show(2, born=8)
         self.feed.refresh()
         assert not self.replica.leaving
 
     def test_word_of_an_earlier_life_does_not_concern_the_present_one(self):
-        self.feed.take_leaving("r", 6, "answer")
+        self.feed.mark_leaving("r", 6, "answer")
         assert not self.replica.leaving
 
     def test_a_request_that_was_placed_before_is_not_sent(self):
         chosen = self.replica
-        self.feed.take_leaving("r", 7, "answer")
+        self.feed.mark_leaving("r", 7, "answer")
         del self.mirror.entries["servers/r"]
         self.feed.refresh()
         assert self.feed.state.is_leaving(chosen)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -8,7 +8,12 @@
 from gradelug_coordination.mirror import MOST_REST_S
 from gradelug_gateway.followers import Followers
 from gradelug_gateway.freshness import CLOCK_MARGIN_S, MIN_POLL_INTERVAL_S, RENEW_FRACTION
-from gradelug_gateway.storenews import LEAST_FOLLOWERS, TELL_SPACING_S, StoreListener, StoreTeller
+from gradelug_gateway.storenews import (
+    MIN_FOLLOWERS,
+    PUBLISHER_POLL_INTERVAL_S,
+    StorePublisher,
+    StoreSubscriber,
+)
 from gradelug_standins.kv import MemoryKv
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
@@ -62,12 +67,12 @@
         self.version = 0
         self.published_at = {}
         """When the store acknowledged each version."""
-        self.planner = Gateway(self.kv, TELL_SPACING_S)
+        self.planner = Gateway(self.kv, PUBLISHER_POLL_INTERVAL_S)
         self.gateway = Gateway(self.kv, SPACING_S)
         instance, planner = self.gateway, self.planner
         self.offset_s = offset_s
         """How far the planner's clock is ahead of the gateway's, in seconds."""
-        self.subscriber = StoreListener(
+        self.subscriber = StoreSubscriber(
             instance.feed,
             instance.mirror,
             instance.clock,
@@ -75,11 +80,11 @@
             lambda: True,
             instance.freshness,
         )
-        publisher = StoreTeller(planner.feed, planner.mirror, planner.clock, planner.freshness)
+        publisher = StorePublisher(planner.feed, planner.mirror, planner.clock, planner.freshness)
         self.publisher = publisher
         self.followers = Followers({}, planner.clock, publisher)
         self.follower = self.followers.join("g", "g:1")
-        for number in range(LEAST_FOLLOWERS):
+        for number in range(MIN_FOLLOWERS):
             self.followers.join(f"g{number}", "h:1")
         self.uplink_s = self.downlink_s = 0.001
         self.clock_offset_s = math.inf
@@ -127,7 +132,7 @@
             clock_offset_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
             self.clock_offset_s = min(self.clock_offset_s, clock_offset_s)
         if message.HasField("store"):
-            self.subscriber.take(message.store, self.clock_offset_s)
+            self.subscriber.apply_update(message.store, self.clock_offset_s)
 
     async def _watch(self):
         """Check continuously whether a request would be admitted and under which version."""
--- a/tests/test_grown_start.py
+++ b/tests/test_grown_start.py
@@ -5,7 +5,7 @@
 
 import logbook
 import pytest
-from grown_fleet import GrownFleet
+from grown_fleet import SimulatedFleet
 from world import new_loop
 
 GATEWAYS = (50, 150, 300)
@@ -18,7 +18,7 @@
 """Number of engines whose state is requested concurrently."""
 
 
-class Fleet(GrownFleet):
+class Fleet(SimulatedFleet):
     """A simulated fleet that records when each gateway got its first answer."""
 
     def __init__(self, *args, **kwargs):
@@ -60,7 +60,7 @@
         messages = fleet.count("messages") / gateways
         firsts = sorted(fleet.first_answer_s.values())
         unknown, refused = fleet.planner.unknown_engines, fleet.count("refused")
-        most = fleet.orders.most_reports
+        most = fleet.orders.max_concurrent_reports
         await fleet.stop()
         return sent_bytes, messages, firsts, unknown, refused, most
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,7 +4,7 @@
 
 import logbook
 import pytest
-from grown_fleet import GrownFleet
+from grown_fleet import SimulatedFleet
 from world import new_loop
 
 GATEWAYS = (50, 150, 370)
@@ -19,7 +19,7 @@
     """Return bytes at the connection, and bytes and messages per second, each for one gateway."""
 
     async def scenario():
-        fleet = GrownFleet(gateways, engines, 1.0, may_scope=may_scope)
+        fleet = SimulatedFleet(gateways, engines, 1.0, may_scope=may_scope)
         await fleet.play(2.0)
         joined = fleet.count("bytes") / gateways
         fleet.reset()
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -13,8 +13,8 @@
     Holding,
     Repeat,
     Replica,
+    ReportedLoad,
     Request,
-    ToldLoad,
 )
 from gradelug_policy.engine_room import EngineEstimator
 from gradelug_policy.kept_parts import CACHE_TTL_S, PromptPart, prefix_chain
@@ -58,7 +58,7 @@
                 def chain(self, req, owner):
                     seen.append(req.parts)
 
-            bench.fleet.kept = RecordingCache(bench.clock)
+            bench.fleet.prefix_cache = RecordingCache(bench.clock)
             bench.client(4000, ADAPTER + HEADERS % text)
             await asyncio.sleep(0.1)
             assert seen == [parts]
@@ -226,8 +226,8 @@
     for name in ("e0", "e1", "e2"):
         state.replicas[name] = Replica(name, "llm", f"{name}:1", "hall", born=1)
     fleet = Fleet(state, "hall", clock, has_room=has_room, kept=Kept(clock, is_on))
-    fleet.set_homes("llm", KEY, {"e0": 1, "e1": 1, "e2": 1})
-    fleet.note_lives()
+    fleet.set_weight_locations("llm", KEY, {"e0": 1, "e1": 1, "e2": 1})
+    fleet.detect_restarts()
     return fleet
 
 
@@ -264,7 +264,7 @@
     def test_a_longer_queue_outweighs_cached_prefixes(self):
         fleet = new_fleet()
         home = fleet.choose(fleet.usable("llm"), work=WORK).name
-        fleet.load(home).others = ToldLoad(3, 0, (4_000,))
+        fleet.load(home).others = ReportedLoad(3, 0, (4_000,))
         assert fleet.choose(fleet.usable("llm"), work=WORK).name != home
 
     def test_sent_and_reported_prefixes_are_credited(self):
@@ -282,14 +282,14 @@
         fleet = new_fleet()
         fleet.kept.note_sent("e0", WORK, 60_000, 1)
         fleet.state.replicas["e0"] = Replica("e0", "llm", "e0:1", "hall", born=2)
-        fleet.note_lives()
+        fleet.detect_restarts()
         assert fleet.kept.at("e0", WORK).kept_tokens == 0
 
     def test_prefixes_are_dropped_only_with_removed_weights(self):
         fleet = new_fleet()
         for name in ("e0", "e1"):
             fleet.kept.note_sent(name, WORK, 60_000, 1)
-        fleet.set_homes("llm", KEY, {"e0": 1, "e1": 2})
+        fleet.set_weight_locations("llm", KEY, {"e0": 1, "e1": 2})
         assert fleet.kept.at("e0", WORK).kept_tokens == 1_210
         assert fleet.kept.at("e1", WORK).kept_tokens == 0
         fleet.set_holdings("e0", {})
@@ -300,7 +300,7 @@
         [
             lambda fleet: fleet.set_holdings("e0", {KEY: 2}),
             lambda fleet: fleet.add_holding("e0", KEY, 2),
-            lambda fleet: fleet.set_homes("llm", KEY, {"e0": 2}),
+            lambda fleet: fleet.set_weight_locations("llm", KEY, {"e0": 2}),
         ],
         ids=["holdings", "answer", "homes"],
     )
@@ -342,7 +342,7 @@
     def test_queues_count_uncached_tokens_and_return_to_zero(self):
         async def scenario():
             bench = Bench(route(Repeat.RESUME, True, 2, "llm"), [[[STREAM]]], HELD, engine=True)
-            bench.fleet.kept = Kept(bench.clock)
+            bench.fleet.prefix_cache = Kept(bench.clock)
             for _ in range(2):
                 bench.client(4000, ADAPTER + HEADERS % PREFIX)
                 await asyncio.sleep(0.05)
@@ -352,7 +352,7 @@
                 server.transport.write(event(1) + END)
             await asyncio.sleep(0.1)
             assert sum(load.queued) == 0
-            parts = bench.fleet.kept.parts
+            parts = bench.fleet.prefix_cache.parts
             assert (parts.shared, parts.credited) == (2_420, 1_210)
 
         run(scenario)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -7,7 +7,7 @@
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.link import QUIET_S, REPLACED_S, PlannerLink
-from gradelug_gateway.model import AdapterKey, FleetState, ToldLoad
+from gradelug_gateway.model import AdapterKey, FleetState, ReportedLoad
 from gradelug_gateway.pacing import FLUSH_S, NEWS_S
 from gradelug_gateway.search import PlannerAddress, Search
 from gradelug_wire import placement_pb2 as pb
@@ -171,7 +171,7 @@
             told = pb.Load(replica="e0", starting=3, running=2, queued=[100, 700])
             link._take(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", load=told)]))
             await asking
-            assert link._fleet.load("e0").others == ToldLoad(2, 2, (100, 200))
+            assert link._fleet.load("e0").others == ReportedLoad(2, 2, (100, 200))
             (load,) = link._message(False).loads
             assert (load.replica, load.starting) == ("e0", 0)
             assert not link._message(False).loads
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,8 +11,15 @@
 from gradelug_gateway.feed import Feed
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.holders import EngineIndex
-from gradelug_gateway.model import AdapterKey, EngineReport, FleetState, Holding, Replica, ToldLoad
-from gradelug_gateway.storenews import _decode, _essence
+from gradelug_gateway.model import (
+    AdapterKey,
+    EngineReport,
+    FleetState,
+    Holding,
+    Replica,
+    ReportedLoad,
+)
+from gradelug_gateway.storenews import _decode, _published_fields
 from gradelug_platform.entries import PlatformEntries
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
@@ -111,7 +118,7 @@
         writers = StoreWriters()
         writers.revision = 7
         writers.write("i-1", b"{")
-        writers.feed.take_told("i-1", 7, Replica("i-1", "llm", "10.0.0.1:80", "z"))
+        writers.feed.apply_remote_replica("i-1", 7, Replica("i-1", "llm", "10.0.0.1:80", "z"))
         assert not writers.state.replicas
 
     @settings(derandomize=True, deadline=None, max_examples=200)
@@ -170,16 +177,16 @@
         state = FleetState()
         fleet = Fleet(state, "z", lambda: 0.0)
         state.replicas["i-1"] = Replica("i-1", "llm", "10.0.0.1:80", "z", born=1)
-        assert fleet.note_lives() == []
+        assert fleet.detect_restarts() == []
         fleet.set_holdings("i-1", {A1: 1})
         fleet.health("i-1").note(True, 0.0)
-        fleet.load("i-1").others = ToldLoad(3, 2, (900,))
+        fleet.load("i-1").others = ReportedLoad(3, 2, (900,))
         state.replicas["i-1"] = Replica("i-1", "llm", "10.0.0.1:80", "z", born=2)
-        assert [rep.born for rep in fleet.note_lives()] == [2]
+        assert [rep.born for rep in fleet.detect_restarts()] == [2]
         assert fleet.holders("llm", A1) == []
         assert fleet.health("i-1").rate(0.0) == 0.0
-        assert fleet.load("i-1").others == ToldLoad()
-        assert fleet.note_lives() == []
+        assert fleet.load("i-1").others == ReportedLoad()
+        assert fleet.detect_restarts() == []
 
     def test_update_of_a_new_incarnation_carries_no_holdings(self):
         state = FleetState()
@@ -188,7 +195,7 @@
         fact = pb.ReplicaFact(replica="i-1", service="llm", address="10.0.0.1:80", hall="z", born=2)
         update = _decode(fact, state)
         assert (update.born, update.orders) == (2, 0)
-        assert _essence(update) != _essence(old)
+        assert _published_fields(update) != _published_fields(old)
 
     def test_earlier_start_time_is_a_new_incarnation(self):
         engine = Engine(Replica("i-1", "llm", "10.0.0.1:80", "z", born=5), SPEC)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 import pytest
-from gradelug_gateway.health import ToldFinding
+from gradelug_gateway.health import SharedVerdict
 from gradelug_gateway.model import Repeat
 from gradelug_policy.outcomes import Ended, Source
 from gradelug_policy.plain import PlainShares, PlainView, replica_weights
@@ -353,13 +353,13 @@
     def test_ejected_replica_receives_only_a_probe_from_the_designated_gateway(self):
         async def scenario():
             bench = Bench(route(Repeat.FREELY), [[[OK]] * 20, [[OK]] * 20])
-            findings = bench.fleet.health("s0").told
-            findings[""] = ToldFinding(0.5, 1.0, 0.0, False, bench.clock() + 3.0)
+            findings = bench.fleet.health("s0").shared_verdicts
+            findings[""] = SharedVerdict(0.5, 1.0, 0.0, False, bench.clock() + 3.0)
             for _ in range(5):
                 bench.client()
                 await asyncio.sleep(0.05)
             assert not bench.received("s0")
-            findings[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
+            findings[""] = SharedVerdict(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
             for _ in range(3):
                 bench.client()
             await asyncio.sleep(0.05)
@@ -370,8 +370,8 @@
     def test_nonrepeatable_request_is_not_used_as_a_probe(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 20, [[OK]] * 20])
-            findings = bench.fleet.health("s0").told
-            findings[""] = ToldFinding(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
+            findings = bench.fleet.health("s0").shared_verdicts
+            findings[""] = SharedVerdict(0.5, 1.0, 0.0, True, bench.clock() + 3.0)
             bench.client()
             await asyncio.sleep(0.05)
             assert not bench.received("s0")
@@ -381,7 +381,7 @@
     def test_findings_expire(self):
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[OK]] * 20, [[OK]] * 20])
-            bench.fleet.health("s0").told[""] = ToldFinding(
+            bench.fleet.health("s0").shared_verdicts[""] = SharedVerdict(
                 0.5, 1.0, 0.0, False, bench.clock() + 3.0
             )
             await asyncio.sleep(3.1)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -15,7 +15,7 @@
     FleetState,
     OrderOutcome,
     Replica,
-    ToldLoad,
+    ReportedLoad,
 )
 from gradelug_gateway.placement import Duty
 from gradelug_gateway.planner import Planner
@@ -472,13 +472,13 @@
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
             engine = bench.planner.engines["e0"]
-            engine.take_load(1, ToldLoad(2, 1, (5, 7)))
-            engine.take_load(2, ToldLoad(1, 4, (1, 0, 3)))
-            engine.take_load(1, ToldLoad(1, 2, (5,)))
-            assert engine.load() == ToldLoad(2, 6, (6, 0, 3))
+            engine.take_load(1, ReportedLoad(2, 1, (5, 7)))
+            engine.take_load(2, ReportedLoad(1, 4, (1, 0, 3)))
+            engine.take_load(1, ReportedLoad(1, 2, (5,)))
+            assert engine.load() == ReportedLoad(2, 6, (6, 0, 3))
             engine.forget_gateway(2)
             engine.forget_gateway(9)
-            assert engine.load() == ToldLoad(1, 2, (5, 0, 0))
+            assert engine.load() == ReportedLoad(1, 2, (5, 0, 0))
             await bench.stop()
 
         run(scenario)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -8,7 +8,7 @@
 import pytest
 from gradelug_config.exceptions import InvalidConfig
 from gradelug_coordination import KvEntry, Mirror
-from gradelug_gateway.feed import LAPSED_GRACE_S, Feed, MalformedEntry, NewestVersion
+from gradelug_gateway.feed import EXPIRED_ENTRY_GRACE_S, Feed, MalformedEntry, NewestVersion
 from gradelug_gateway.model import (
     AdapterKey,
     EngineReport,
@@ -207,7 +207,7 @@
         mirror.show(entry("servers/i-1", SERVER))
         mirror.show(missing=["servers/i-1"])
         assert state.replicas
-        self.now = LAPSED_GRACE_S + 0.1
+        self.now = EXPIRED_ENTRY_GRACE_S + 0.1
         feed.refresh()
         assert not state.replicas
 
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -464,7 +464,7 @@
 def test_slot_hold_time_starts_at_the_first_event():
     async def scenario():
         world = RunWorld()
-        room = world.fleet.room = EngineEstimator(world.fleet.speeds)
+        room = world.fleet.engine_estimator = EngineEstimator(world.fleet.speeds)
         client = await begin(world)
         await asyncio.sleep(4.0)
         assert is_whole(client)
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -15,14 +15,14 @@
 )
 from gradelug_gateway.holders import EngineIndex
 from gradelug_gateway.link import PlannerLink
-from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ToldLoad
+from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
 from gradelug_gateway.openings import CANDIDATES, KEEPERS, Openings
 from gradelug_gateway.pending import merge_news, merge_store
 from gradelug_gateway.planner import SYNCS_AT_ONCE, SYNCS_WAITING
 from gradelug_gateway.scope import MOST_KEYS, SCOPE_S
 from gradelug_policy.cells import Cells
 from gradelug_wire import placement_pb2 as pb
-from grown_fleet import SPEC, GrownFleet
+from grown_fleet import SPEC, SimulatedFleet
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
@@ -246,7 +246,9 @@
                 key = AdapterKey("m", f"b{step}-{number}")
                 model.followers.note_use(model.follower, key)
                 model.place(f"e{number}", key)
-                model.engines[f"e{number}"].take_load(model.follower.number, ToldLoad(0, step + 1))
+                model.engines[f"e{number}"].take_load(
+                    model.follower.number, ReportedLoad(0, step + 1)
+                )
             model.follower.send(pb.FromPlanner(orders=[pb.EngineOrder(ticket=step)]))
             model.follower.answer(pb.Answer(ticket=step))
             model.tell(0.2)
@@ -336,7 +338,7 @@
         assert len(told) == MOST_HOMES
         near, far = next(iter(told)), next(name for name in model.engines if name not in told)
         for name in (near, far):
-            model.engines[name].take_load(77, ToldLoad(0, 5))
+            model.engines[name].take_load(77, ReportedLoad(0, 5))
         model.remove(far, key)
         model.tell(2.0)
         (message,) = model.read()
@@ -351,9 +353,9 @@
     def test_a_gateway_is_told_what_runs_where_it_runs_something(self):
         model = Model(gateways=60)
         model.read()
-        model.engines["e0"].take_load(model.follower.number, ToldLoad(0, 1))
+        model.engines["e0"].take_load(model.follower.number, ReportedLoad(0, 1))
         for number in (0, 1):
-            model.engines[f"e{number}"].take_load(77, ToldLoad(0, 5))
+            model.engines[f"e{number}"].take_load(77, ReportedLoad(0, 5))
         model.tell()
         (message,) = model.read()
         assert [(load.replica, load.running) for load in message.loads] == [("e0", 6)]
@@ -374,7 +376,7 @@
 
     def test_a_base_model_that_all_engines_hold_is_told_in_part(self):
         async def scenario():
-            fleet = GrownFleet(3, 400, 0.0)
+            fleet = SimulatedFleet(3, 400, 0.0)
             await fleet.play(3.0)
             told = []
             for gateway in fleet.gateways:
@@ -436,10 +438,10 @@
             state.replicas["b"] = Replica("b", "other", "b:1", "hall")
             fleet = Fleet(state, "hall", lambda: 0.0)
             key = KEYS[0]
-            fleet.set_homes("llm", key, {"a": 1})
-            fleet.set_homes("other", key, {"b": 1})
+            fleet.set_weight_locations("llm", key, {"a": 1})
+            fleet.set_weight_locations("other", key, {"b": 1})
             assert [rep.name for rep in fleet.holders("llm", key)] == ["a"]
-            fleet.forget_homes("llm")
+            fleet.clear_weight_locations("llm")
             assert not fleet.holders("llm", key)
             assert [rep.name for rep in fleet.holders("other", key)] == ["b"]
 
@@ -475,16 +477,16 @@
         fleet = Fleet(state, "hall", lambda: 0.0)
         fleet.is_scoped = True
         assert not fleet.holders("llm", KEYS[0])
-        assert [rep.name for rep in fleet.reported("llm", KEYS[0])] == ["a"]
+        assert [rep.name for rep in fleet.self_reported_holders("llm", KEYS[0])] == ["a"]
         state.versions[KEYS[0]] = 3
-        assert not fleet.reported("llm", KEYS[0])
+        assert not fleet.self_reported_holders("llm", KEYS[0])
 
 
 @pytest.mark.parametrize("engines", [300, 1200])
 class TestDecisions:
     def test_the_engines_looked_at_for_a_load_do_not_grow_with_all(self, engines, monkeypatch):
         async def scenario():
-            fleet = GrownFleet(2, engines, 0.0)
+            fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
             looked = []
             find = Openings._find
@@ -503,7 +505,7 @@
 
     def test_engines_that_keep_an_adapter_are_looked_at_wherever_they_are(self, engines):
         async def scenario():
-            fleet = GrownFleet(2, engines, 0.0)
+            fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
             key = AdapterKey("base-model", "adapter-kept")
             names = list(fleet.planner.engines)[::100]
@@ -517,7 +519,7 @@
 
     def test_an_adapter_finds_the_only_engine_with_room(self, engines):
         async def scenario():
-            fleet = GrownFleet(2, engines, 0.0)
+            fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
             for name, engine in fleet.planner.engines.items():
                 engine.synced = name == "engine-hall-1-life-00007"
@@ -535,7 +537,7 @@
         """A new planner opened 2,517 connections at once."""
 
         async def scenario():
-            fleet = GrownFleet(1, 1000, 0.0)
+            fleet = SimulatedFleet(1, 1000, 0.0)
             asked = []
             report = fleet.orders.report
 
@@ -546,9 +548,9 @@
             fleet.orders.report = note
             late = "engine-hall-0-life-00999"
             fleet.planner.refresh()
-            fleet.planner.engines[late].take_load(1, ToldLoad(0, 1))
+            fleet.planner.engines[late].take_load(1, ReportedLoad(0, 1))
             await asyncio.sleep(2.0)
-            assert fleet.orders.most_reports <= SYNCS_AT_ONCE
+            assert fleet.orders.max_concurrent_reports <= SYNCS_AT_ONCE
             assert asked.index(late) <= 2 * SYNCS_WAITING
             assert all(engine.synced for engine in fleet.planner.engines.values())
             await fleet.stop()
@@ -559,7 +561,7 @@
         """After the loss of all instances requests waited for the reports of 3,000 engines."""
 
         async def scenario():
-            fleet = GrownFleet(1, 300, 0.0, tells=True)
+            fleet = SimulatedFleet(1, 300, 0.0, tells=True)
             (gateway,) = fleet.gateways
             never = asyncio.Event()
 
@@ -584,7 +586,7 @@
 
     def test_engines_that_give_no_report_keep_no_other_waiting(self):
         async def scenario():
-            fleet = GrownFleet(1, 900, 0.0)
+            fleet = SimulatedFleet(1, 900, 0.0)
             report = fleet.orders.report
 
             async def some(replica):
--- a/tests/test_serving_room.py
+++ b/tests/test_serving_room.py
@@ -7,7 +7,7 @@
 from gradelug_gateway.engine_speeds import PauseTally
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.link import PlannerLink
-from gradelug_gateway.model import FleetState, Repeat, Replica, Service, Snapshot, ToldLoad
+from gradelug_gateway.model import FleetState, Repeat, Replica, ReportedLoad, Service, Snapshot
 from gradelug_http import ServerLimits
 from gradelug_policy.engine_room import EQUAL_URGENCY, EngineEstimator
 from gradelug_policy.reading import LATE_URGENCY, PrefillSpeeds, RequestWork
@@ -31,7 +31,7 @@
 def new_bench(scripts, has_room=True):
     bench = Bench(route(Repeat.RESUME, True, 2, "llm", 10.0), scripts, HELD, engine=True)
     if has_room:
-        bench.fleet.room = EngineEstimator(bench.fleet.speeds)
+        bench.fleet.engine_estimator = EngineEstimator(bench.fleet.speeds)
         bench.fleet.pauses["llm"] = PauseTally()
     return bench
 
@@ -40,12 +40,14 @@
     @pytest.mark.parametrize(("has_room", "chosen"), [(True, "e1"), (False, "e0")])
     def test_engine_with_a_free_slot_is_chosen_despite_longer_prefill(self, has_room, chosen):
         fleet = new_fleet(has_room)
-        fleet.load("e0").others = ToldLoad(0, BATCH + 2, ())
-        fleet.load("e1").others = ToldLoad(2, 0, (0, 2_000))
+        fleet.load("e0").others = ReportedLoad(0, BATCH + 2, ())
+        fleet.load("e1").others = ReportedLoad(2, 0, (0, 2_000))
         found = fleet.choose(fleet.usable("llm"), work=WORK)
         assert found.name == chosen
 
-    @pytest.mark.parametrize("load", [ToldLoad(0, BATCH), ToldLoad(0, 1, (), MEMORY - 1_000)])
+    @pytest.mark.parametrize(
+        "load", [ReportedLoad(0, BATCH), ReportedLoad(0, 1, (), MEMORY - 1_000)]
+    )
     def test_full_engine_counts_as_late(self, load):
         for has_room in (True, False):
             fleet = new_fleet(has_room)
@@ -57,7 +59,7 @@
     def test_slow_engine_is_avoided(self):
         fleet = new_fleet()
         replicas = fleet.usable("llm")
-        fleet.load("e1").others = ToldLoad(2, 0, (0, 3_000))
+        fleet.load("e1").others = ReportedLoad(2, 0, (0, 3_000))
         assert fleet.choose(replicas, work=WORK).name == "e0"
         fleet.room.paces.take("e0", 5.0, 5.0)
         assert fleet.choose(replicas, work=WORK).name == "e1"
@@ -79,9 +81,9 @@
         run(scenario)
 
     def test_urgency_is_equal_where_slots_are_the_bottleneck(self):
-        assert new_fleet().equalled("llm", WORK).urgency == EQUAL_URGENCY
-        assert new_fleet(False).equalled("llm", WORK) == WORK
-        assert new_fleet().equalled("plain", WORK) == WORK
+        assert new_fleet().with_equal_urgency("llm", WORK).urgency == EQUAL_URGENCY
+        assert new_fleet(False).with_equal_urgency("llm", WORK) == WORK
+        assert new_fleet().with_equal_urgency("plain", WORK) == WORK
 
     def test_planner_and_its_gateway_share_run_times_but_not_slowness(self):
         room = EngineEstimator(PrefillSpeeds())
@@ -137,7 +139,7 @@
                 bench.fleet.speeds._speeds["llm"].tokens_per_s = 20_000.0
                 for _ in range(100):
                     room.note_run("llm", 1.0)
-                bench.fleet.load("s0").others = ToldLoad(0, running, ())
+                bench.fleet.load("s0").others = ReportedLoad(0, running, ())
                 bench.client(8000, ADAPTER + PROMPT % 400)
                 await asyncio.sleep(0.05)
                 header = b"X-Gradelug-Request-Priority: %d\r\n" % urgency
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -18,12 +18,12 @@
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.settings import Feature
 from gradelug_gateway.sharedhealth import (
-    DOUBTED_S,
     EJECTED_COST_S,
     RESEND_INTERVAL_S,
+    SUSPECT_COST_S,
     VERDICT_TTL_S,
-    EndsTeller,
-    HealthDesk,
+    HealthAggregator,
+    OutcomeReporter,
 )
 from gradelug_http import ServerLimits
 from gradelug_policy.residency import LoadRateLimiter
@@ -57,7 +57,7 @@
     def __init__(self, state, name, hall, clock, service="llm", home="llm"):
         self.name, self.hall = name, hall
         self.fleet = Fleet(state, hall, clock)
-        self.part = EndsTeller(service, name, self.fleet, clock, lambda: home == service)
+        self.part = OutcomeReporter(service, name, self.fleet, clock, lambda: home == service)
 
     def message(self):
         message = pb.FromGateway()
@@ -71,7 +71,7 @@
     def __init__(self, gateways=9, service="llm", state=None):
         self.now = 0.0
         self.state = state or new_state()
-        self.desk = HealthDesk(service, self.state, {}, lambda: 0.2)
+        self.desk = HealthAggregator(service, self.state, {}, lambda: 0.2)
         followers = self.all_followers = Followers({}, self.clock)
         self.gateways = [
             Gateway(self.state, f"g{number}", HALLS[number % 3], self.clock, service)
@@ -215,14 +215,14 @@
     def test_an_ejected_engine_costs_more_than_a_suspect_one_except_for_its_prober(self):
         conns = Connections()
         first = conns.followers[0]
-        assert conns.desk.doubt_s("e1", first, ()) == 0.0
-        assert conns.desk.doubt_s("e1", first, ("e1",)) == DOUBTED_S
+        assert conns.desk.failure_penalty_s("e1", first, ()) == 0.0
+        assert conns.desk.failure_penalty_s("e1", first, ("e1",)) == SUSPECT_COST_S
         conns.fail("e1")
-        assert conns.desk.doubt_s("e1", first, ()) >= EJECTED_COST_S
-        assert conns.desk.ejected_s("e1") == EJECTED_COST_S
+        assert conns.desk.failure_penalty_s("e1", first, ()) >= EJECTED_COST_S
+        assert conns.desk.ejection_penalty_s("e1") == EJECTED_COST_S
         for _ in range(8):
             conns.step()
-        costs = [conns.desk.doubt_s("e1", follower, ()) for follower in conns.followers]
+        costs = [conns.desk.failure_penalty_s("e1", follower, ()) for follower in conns.followers]
         assert costs.count(0.0) == 1
 
     def test_a_few_failures_shift_no_requests_to_other_engines(self):
@@ -233,7 +233,7 @@
             conns.step()
         follower = conns.followers[0]
         assert conns.desk._findings[("e1", "")].failing > 0.05
-        assert conns.desk.doubt_s("e1", follower, ()) == 0.0
+        assert conns.desk.failure_penalty_s("e1", follower, ()) == 0.0
 
     def test_a_disconnected_gateway_is_no_source(self):
         conns = Connections()
@@ -320,7 +320,7 @@
         engines = {name: Engine(rep, SPEC) for name, rep in conns.state.replicas.items()}
         for engine in engines.values():
             engine.take_use(1, AdapterKey("m", "a"), int(in_use))
-        conns.desk = HealthDesk("llm", conns.state, engines, lambda: 0.2)
+        conns.desk = HealthAggregator("llm", conns.state, engines, lambda: 0.2)
         rng = random.Random(4)
         for _ in range(20):
             for number in range(6):
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -437,7 +437,7 @@
         fleet.state.change += 1
         weights = run_weights.RunWeights(fleet, None, lambda: 0.0)
         versions = WeightVersions(1, 1)
-        fleet.set_homes("llm", FLEET_KEY, {"e0": 1, "e1": 2})
+        fleet.set_weight_locations("llm", FLEET_KEY, {"e0": 1, "e1": 2})
         holders = weights.holders("llm", versions, FLEET_KEY)
         assert [rep.name for rep in holders] == ["e0"]
         fleet.state.versions[FLEET_KEY] = 2
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 import pytest
 from crowded_store import CrowdedStore, fill, start_together
 from gradelug_gateway.settings import Feature
-from gradelug_gateway.standing import Part, Standing
+from gradelug_gateway.standing import StartupPart, StartupProgress
 from gradelug_http import Door, EarlyServer, ServerLimits
 from gradelug_platform import door
 from world import new_loop
@@ -152,22 +152,22 @@
 class TestStartupProgress:
     def test_each_part_is_logged_once_with_the_time_until_it_was_known(self):
         now, known = [10.0], set()
-        checks = {part: functools.partial(known.__contains__, part) for part in Part}
-        progress = Standing(lambda: now[0], checks)
+        checks = {part: functools.partial(known.__contains__, part) for part in StartupPart}
+        progress = StartupProgress(lambda: now[0], checks)
         with logbook.TestHandler() as logs:
             now[0] = 10.5
-            assert progress.without_s(Part.LEADER) == 0.5
-            known.add(Part.CONFIGURATION)
-            progress.look()
+            assert progress.missing_s(StartupPart.LEADER) == 0.5
+            known.add(StartupPart.CONFIGURATION)
+            progress.poll()
             now[0] = 12.0
-            known.update(Part)
-            progress.look()
+            known.update(StartupPart)
+            progress.poll()
             known.clear()
-            progress.look()
+            progress.poll()
         assert progress.is_complete
-        assert progress.without_s(Part.CONFIGURATION) == 0.5
-        assert {progress.without_s(part) for part in Part} == {0.5, 2.0}
-        assert len(logs.records) == len(Part)
+        assert progress.missing_s(StartupPart.CONFIGURATION) == 0.5
+        assert {progress.missing_s(part) for part in StartupPart} == {0.5, 2.0}
+        assert len(logs.records) == len(StartupPart)
 
 
 def read_concurrently(instances, entries, reads_per_s, silent_s=0.0):
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -16,7 +16,7 @@
     position,
 )
 from gradelug_coordination.kv import swap_surely
-from gradelug_gateway.feed import COPIED_GRACE_S, LAPSED_GRACE_S, Feed
+from gradelug_gateway.feed import EXPIRED_ENTRY_GRACE_S, STALE_RESTORE_GRACE_S, Feed
 from gradelug_gateway.model import FleetState
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.entries import PlatformEntries
@@ -366,7 +366,7 @@
         shown.show(1, a=3, b=4)
         assert shown.show(1, a=3) == ["a"]
         assert shown.show(2, a=3, b=4) == ["a"]
-        shown.now = COPIED_GRACE_S - 0.1
+        shown.now = STALE_RESTORE_GRACE_S - 0.1
         assert shown.show(2, a=3, b=4) == ["a"]
 
     def test_one_that_writes_its_entry_again_is_used(self):
@@ -381,7 +381,7 @@
         shown.show(1, a=3, b=4)
         shown.show(1, a=3)
         shown.show(2, a=3, b=4)
-        shown.now = COPIED_GRACE_S
+        shown.now = STALE_RESTORE_GRACE_S
         assert shown.show(2, a=3, b=4) == ["a", "b"]
 
     def test_one_that_the_copy_lacks_is_kept_until_it_had_time_to_write(self):
@@ -389,5 +389,5 @@
         shown.show(1, a=3, b=4)
         shown.mirror.missing = {"servers/b"}
         assert shown.show(2, a=3) == ["a", "b"]
-        shown.now = LAPSED_GRACE_S
+        shown.now = EXPIRED_ENTRY_GRACE_S
         assert shown.show(2, a=3) == ["a"]
--- a/tests/test_storenews.py
+++ b/tests/test_storenews.py
@@ -11,14 +11,14 @@
 from gradelug_coordination.mirror import MOST_REST_S
 from gradelug_gateway.feed import Feed, MalformedEntry, NewestVersion
 from gradelug_gateway.followers import Followers
-from gradelug_gateway.freshness import Freshness
+from gradelug_gateway.freshness import ConfigFreshness
 from gradelug_gateway.model import AdapterKey, FleetState, Replica, Snapshot
 from gradelug_gateway.storenews import (
-    LEAST_FOLLOWERS,
     MAX_REPLICAS_PER_MESSAGE,
-    TELL_SPACING_S,
-    StoreListener,
-    StoreTeller,
+    MIN_FOLLOWERS,
+    PUBLISHER_POLL_INTERVAL_S,
+    StorePublisher,
+    StoreSubscriber,
 )
 from gradelug_http import ServerLimits
 from gradelug_standins.kv import MemoryKv
@@ -79,20 +79,20 @@
         self.state = FleetState()
         self.mirror = Mirror(self.kv, "", random.Random(1), 0.5, spacing_s, is_polled=True)
         self.feed = Feed(self.mirror, Reader(), self.state, self.clock)
-        self.freshness = Freshness(self.mirror, self.feed, self.clock, bound_s)
+        self.freshness = ConfigFreshness(self.mirror, self.feed, self.clock, bound_s)
         self.task = asyncio.create_task(self.mirror.run())
 
 
 class Connection:
     """A planner and a gateway with a connection that delivers the planner's messages."""
 
-    def __init__(self, gateways=LEAST_FOLLOWERS):
+    def __init__(self, gateways=MIN_FOLLOWERS):
         self.kv = MemoryKv()
         self.revisions = {}
-        self.planner = Instance(self.kv, TELL_SPACING_S)
+        self.planner = Instance(self.kv, PUBLISHER_POLL_INTERVAL_S)
         self.gateway = Instance(self.kv, SPACING_S)
         instance = self.gateway
-        self.subscriber = StoreListener(
+        self.subscriber = StoreSubscriber(
             instance.feed,
             instance.mirror,
             instance.clock,
@@ -102,7 +102,7 @@
         )
         self.can_pause = True
         planner = self.planner
-        publisher = StoreTeller(planner.feed, planner.mirror, instance.clock, planner.freshness)
+        publisher = StorePublisher(planner.feed, planner.mirror, instance.clock, planner.freshness)
         self.publisher = publisher
         self.followers = Followers({}, instance.clock, publisher)
         self.follower = self.followers.join("g", "g:1")
@@ -117,7 +117,7 @@
             self.followers.tell_news(True)
             for message in self.follower.take_messages():
                 if self.is_sending and message.HasField("store"):
-                    self.subscriber.take(message.store)
+                    self.subscriber.apply_update(message.store)
 
     async def put(self, key, value):
         expected = self.revisions.get(key, 0)
@@ -189,7 +189,7 @@
             await conn.write_for(4.0)
             polls = conn.gateway.kv.polls
             broken = pb.ConfigEntry(key="config", revision=99, deflated=deflated)
-            conn.subscriber.take(pb.StoreNews(age_ms=1, config=9, config_entry=broken))
+            conn.subscriber.apply_update(pb.StoreNews(age_ms=1, config=9, config_entry=broken))
             await conn.write_for(1.0)
             assert conn.gateway.state.snapshot is None
             assert conn.gateway.kv.polls > polls
@@ -200,7 +200,7 @@
     @pytest.mark.parametrize("why", ["no updates", "planner lost the store", "owns engines", "few"])
     def test_without_updates_a_gateway_polls_at_its_own_interval(self, why):
         async def scenario():
-            conn = Connection(LEAST_FOLLOWERS - 1 if why == "few" else LEAST_FOLLOWERS)
+            conn = Connection(MIN_FOLLOWERS - 1 if why == "few" else MIN_FOLLOWERS)
             await conn.write_for(4.0)
             if why == "no updates":
                 conn.is_sending = False
@@ -239,16 +239,16 @@
     def test_an_older_polled_state_does_not_replace_a_newer_update(self):
         async def scenario():
             instance = Instance(MemoryKv(), SPACING_S)
-            instance.feed.take_told("e1", 9, Replica("e1", "llm", "e1:9", "hall"))
+            instance.feed.apply_remote_replica("e1", 9, Replica("e1", "llm", "e1:9", "hall"))
             instance.mirror.entries = {}
             for revision, address in ((8, "e1:9"), (10, "e1:10")):
                 value = json.dumps({"address": f"e1:{revision}"}).encode()
                 instance.mirror.entries["s/e1"] = KvEntry("s/e1", value, revision)
                 instance.feed.refresh()
                 assert instance.state.replicas["e1"].address == address
-            instance.feed.take_told("e1", 9, None)
+            instance.feed.apply_remote_replica("e1", 9, None)
             assert "e1" in instance.state.replicas
-            instance.feed.take_told("e1", 11, None)
+            instance.feed.apply_remote_replica("e1", 11, None)
             assert "e1" not in instance.state.replicas
             instance.task.cancel()
 
@@ -266,7 +266,7 @@
             await asyncio.sleep(2.0)
             received, since, pages = set(), 0, []
             while not pages or since:
-                page, since = conn.publisher.listing(since, not pages)
+                page, since = conn.publisher.next_listing_page(since, not pages)
                 pages.append(page)
                 received.update(fact.replica for fact in page.replicas)
             assert len(pages) == 3
@@ -276,7 +276,7 @@
             known = conn.planner.mirror.revision
             await conn.put("s/late", {"address": "l:1"})
             await asyncio.sleep(2.0)
-            page, since = conn.publisher.listing(known, True)
+            page, since = conn.publisher.next_listing_page(known, True)
             assert [fact.replica for fact in page.replicas] == ["late"]
             assert not since
             await conn.stop()
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from gradelug_gateway.fleet import FAILURE_COST
+from gradelug_gateway.fleet import FAILURE_COST_REQUESTS
 from gradelug_gateway.health import Health
 from gradelug_policy.doubts import DOUBTED_S, KEPT_S, Doubts, Telling
 from gradelug_policy.outcomes import Ended, Evidence, Source, rate
@@ -32,7 +32,7 @@
 
     def choose(self, source, rng, now):
         def cost(replica):
-            return FAILURE_COST * self._health(source, replica).rate(now) + rng.random()
+            return FAILURE_COST_REQUESTS * self._health(source, replica).rate(now) + rng.random()
 
         allowed = [r for r in REPLICAS if self._health(source, r).circuit.allows(now)]
         chosen = min(allowed or REPLICAS, key=cost)
@@ -94,7 +94,7 @@
 
         def cost(replica):
             own = self._health(source, replica).rate(now)
-            return FAILURE_COST * own + rng.random()
+            return FAILURE_COST_REQUESTS * own + rng.random()
 
         allowed = [
             replica
--- a/tools/health_load.py
+++ b/tools/health_load.py
@@ -17,7 +17,7 @@
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import Followers
 from gradelug_gateway.pacing import Pacing
-from gradelug_gateway.sharedhealth import EndsTeller, HealthDesk
+from gradelug_gateway.sharedhealth import HealthAggregator, OutcomeReporter
 from gradelug_wire import placement_pb2 as pb
 from test_sharedhealth import HALLS, new_state
 
@@ -48,11 +48,11 @@
     pacing.note_gateways(gateways)
     state = new_state(engines, 0)
     names = [name for name, rep in state.replicas.items() if rep.service == "llm"]
-    desk = HealthDesk("llm", state, dict.fromkeys(names, Busy()), lambda: pacing.flush_s)
+    desk = HealthAggregator("llm", state, dict.fromkeys(names, Busy()), lambda: pacing.flush_s)
     followers = Followers({}, clock)
     fleets = [Fleet(state, HALLS[number % 3], clock) for number in range(gateways)]
     tellers = [
-        EndsTeller("llm", f"g{number}", fleet, clock, lambda: True)
+        OutcomeReporter("llm", f"g{number}", fleet, clock, lambda: True)
         for number, fleet in enumerate(fleets)
     ]
     joined = [followers.join(f"g{number}", "") for number in range(gateways)]
--- a/tools/planner_load.py
+++ b/tools/planner_load.py
@@ -25,7 +25,7 @@
 from gradelug_gateway.placement import PlacementService
 from gradelug_gateway.search import PlannerAddress
 from gradelug_wire import placement_pb2 as pb
-from grown_fleet import RUN_S, GrownFleet
+from grown_fleet import RUN_S, SimulatedFleet
 from grpclib.server import Server
 
 PER_PROCESS = 100
@@ -61,7 +61,7 @@
 
 async def plan(gateways, engines, per_s, tells_all):
     """Plan for gateways in other processes; return the figures."""
-    fleet = GrownFleet(0, engines, 0.0, may_scope=not tells_all, tells=True)
+    fleet = SimulatedFleet(0, engines, 0.0, may_scope=not tells_all, tells=True)
     await asyncio.sleep(1.0)
     before_mb, most_mb = memory_mb(), 0.0
     server = Server([PlacementService({"llm": Held(fleet.planner)}, lambda service: None)])
