--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -19,7 +19,7 @@
 """Retry-After of a refusal for a stale configuration: another instance may have a newer proof."""
 
 
-class Admitter:
+class AdmissionControl:
     """Admits requests under the configuration that is in force when they arrive.
 
     Parameters
@@ -64,7 +64,7 @@
         """
         organisations = snapshot.organisations
         if not organisations:
-            return Admission(snapshot.version, None, shows_credentials=True)
+            return Admission(snapshot.version, None, forwards_credentials=True)
         if route.public:
             return Admission(snapshot.version, self._identify_sender(req, snapshot))
         if not self._freshness.is_proven():
--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/answering.py
@@ -10,7 +10,7 @@
 import logbook
 from gradelug_http import Incoming
 
-from .admitting import Admitter
+from .admitting import AdmissionControl
 from .exceptions import GATEWAY_TIMEOUT, Blocked, Failed, Limited, Refused
 from .fingerprints import shown
 from .job import Job
@@ -47,7 +47,7 @@
         self,
         dialect: Dialect,
         sender: Sender,
-        admitter: Admitter,
+        admitter: AdmissionControl,
         meters: Meters,
         clock: t.Callable[[], float],
     ) -> None:
@@ -95,7 +95,7 @@
             standing=exc.inputs.standing,
             tokens=exc.inputs.tokens,
             there=exc.inputs.level,
-            needed=exc.inputs.needed,
+            needed=exc.inputs.required,
             wait_s=round(job.deadline_at - self._clock(), 3),
             retry_s=round(exc.retry_after_s, 3),
             config=job.config,
--- a/packages/gateway/src/gradelug_gateway/budgets.py
+++ b/packages/gateway/src/gradelug_gateway/budgets.py
@@ -11,9 +11,9 @@
 
 from gradelug_policy import RetryWindow
 
-BUDGET_SHARE = 0.8
+BUDGET_FRACTION = 0.8
 """Fraction of the budget that is distributed; the remainder covers instances that start or stop."""
-GATEWAYS_GUESS = 200
+DEFAULT_GATEWAY_COUNT = 200
 """Number of instances that share the budget until a planner reports their count. It is the size of
 the largest deployment, since all instances may restart at once and retry what their failure
 interrupted. With a value of nine, 195 instances could spend 20 times the shared budget."""
@@ -61,7 +61,7 @@
         """
         if reported_count:
             if now - self._followed_at > FOLLOW_TIMEOUT_S:
-                self._counts = [(GATEWAYS_GUESS, now + COUNT_SETTLE_S)]
+                self._counts = [(DEFAULT_GATEWAY_COUNT, now + COUNT_SETTLE_S)]
             self._followed_at = now
             kept = [
                 (count, until)
@@ -73,7 +73,7 @@
                 (reported_count, now + self._window_s + FOLLOW_TIMEOUT_S + COUNT_SETTLE_S),
             ]
         if now - self._followed_at > FOLLOW_TIMEOUT_S or not self._counts:
-            return GATEWAYS_GUESS
+            return DEFAULT_GATEWAY_COUNT
         return self._counts[0][0]
 
 
@@ -97,13 +97,13 @@
     def __init__(
         self, ratio: float, extra: float, window_s: float, clock: t.Callable[[], float]
     ) -> None:
-        self._ratio = ratio * BUDGET_SHARE
-        self._extra = extra * BUDGET_SHARE
+        self._ratio = ratio * BUDGET_FRACTION
+        self._extra = extra * BUDGET_FRACTION
         self._window_s = window_s
         self._clock = clock
         self._windows: dict[str, RetryWindow] = {}
         self._share = 0.0
-        self.share_among(GATEWAYS_GUESS)
+        self.share_among(DEFAULT_GATEWAY_COUNT)
 
     def share_among(self, gateways: int) -> None:
         """Divide the additional retries among instances.
@@ -138,7 +138,7 @@
         """
         return self._window(service).try_retry(self._clock(), unrun)
 
-    def next_s(self, service: str) -> float:
+    def seconds_to_retry(self, service: str) -> float:
         """Return the time until a retry may be available, in seconds."""
         return self._window(service).next_s(self._clock())
 
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -97,5 +97,5 @@
             return math.inf
         load = self._fleet.load(rep.name)
         runs = load.starting + load.running + load.others.starting + load.others.running
-        copy = job.work.prompt_tokens + job.req.most_tokens
+        copy = job.work.prompt_tokens + job.req.max_answer_tokens
         return (runs * self._run_statistics(rep.service).mean_tokens + copy) / spec.kv_tokens
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -24,7 +24,7 @@
 from gradelug_runtime.process import Tasks
 from grpclib.server import Server
 
-from .admitting import Admitter
+from .admitting import AdmissionControl
 from .budgets import GatewayCount, RetryBudgets
 from .departures import DepartureDesk, DepartureTeller
 from .directory import Directory
@@ -53,7 +53,7 @@
 from .runs import LastingRuns
 from .search import PlannerAddress
 from .sending import Sender
-from .serving import Serving
+from .serving import RequestPipeline
 from .settings import Feature, GatewaySettings
 from .share_tally import ShareTally, ShareTeller
 from .sharedhealth import OutcomeReporter
@@ -244,7 +244,7 @@
             self._poison.ends if has_guard else None,
             self._note_leaving,
         )
-        self._serving = Serving(
+        self._serving = RequestPipeline(
             dialect,
             self._fleet,
             self._directory,
@@ -253,7 +253,7 @@
             self._meters,
             self._clock,
             self._rng,
-            Admitter(self._freshness),
+            AdmissionControl(self._freshness),
             Quotas(self._directory.quota_home, self._clock, self._rng, shares),
             lambda: not self._mirror.is_lost,
             Feature.SHARED_HEALTH in settings.features,
--- a/packages/gateway/src/gradelug_gateway/exceptions.py
+++ b/packages/gateway/src/gradelug_gateway/exceptions.py
@@ -67,7 +67,7 @@
 
     tokens: int = 0
     level: int = 0
-    needed: int = 0
+    required: int = 0
     standing: str = ""
 
 
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -48,7 +48,7 @@
     __slots__ = (
         "busyness",
         "conn",
-        "event_at",
+        "last_event_at",
         "expected_s",
         "first_at",
         "job",
@@ -86,7 +86,7 @@
         self.is_released = False
         self.status = 0
         """HTTP status of the response; 0 until its head arrives."""
-        self.event_at = sent_at
+        self.last_event_at = sent_at
         """When the most recent event arrived; the time of sending until there is one."""
         self.first_at = sent_at
         self.pauses = 0
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -147,12 +147,12 @@
     def arrange(self, waiters: list[Waiter], now: float) -> list[Waiter]:
         """Return the waiting requests in the order in which they are to be answered."""
         self._saturated.clear()
-        self._waiting = sum(waiter.is_held for waiter in waiters)
+        self._waiting = sum(waiter.waits_for_capacity for waiter in waiters)
         if not self._waiting or not self._is_on:
             was_arranged, self._board = self._board is not None, None
             return sorted(waiters, key=_arrival) if was_arranged else waiters
         claims = [_claim(waiter, position) for position, waiter in enumerate(waiters)]
-        held = [claim for claim in claims if waiters[claim.number].is_held]
+        held = [claim for claim in claims if waiters[claim.number].waits_for_capacity]
         self._owners = len({claim.party.owner for claim in held})
         board = self._board = self._shares.board(held, self._current_weights(), now)
         self._claimed = frozenset(
@@ -180,7 +180,7 @@
         """
         if not is_placed or not self.yields(waiter):
             return False
-        waiter.is_held = True
+        waiter.waits_for_capacity = True
         return True
 
     def can_skip(self, waiter: Waiter, now: float) -> bool:
@@ -188,7 +188,7 @@
         if waiter.key not in self._saturated or now >= waiter.target_at or not self.yields(waiter):
             return False
         # Held requests are not counted as waiting for a load.
-        waiter.is_held = True
+        waiter.waits_for_capacity = True
         return True
 
     def max_hold_s(self, waiter: Waiter) -> float:
@@ -257,7 +257,7 @@
         """Refuse requests that cannot be served in time within their share; return the others."""
         queues: dict[Party, list[Waiter]] = {}
         for waiter in waiters:
-            if waiter.is_held and self.yields(waiter):
+            if waiter.waits_for_capacity and self.yields(waiter):
                 queues.setdefault(_party(waiter), []).append(waiter)
         late: set[int] = set()
         for party, queue in queues.items():
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -16,7 +16,7 @@
 from .directory import Directory
 from .exceptions import Refused
 from .fleet import Fleet
-from .model import Copy, CopyKind, Replica
+from .model import KvCopy, KvCopyKind, Replica
 from .moves import MoveOutcome, MoveReply
 from .ports import RunTransport
 from .runs import LastingRuns, Run
@@ -202,7 +202,7 @@
                     run.copy_failed = True
                     return
             if self._is_active(run) and self._try_retry(run.job.service.name):
-                run.job.is_paid = True
+                run.job.has_reserved_retry = True
                 await self._stop_and_resume(run, target, copy_handle)
             elif copy_handle:
                 await self._transport.free(target, copy_handle)
@@ -212,7 +212,7 @@
     async def _stop_and_resume(self, run: Run, target: Replica, copy_handle: str) -> None:
         """Stop a run, which moves the rest of its memory, so that it can be resumed there."""
         run.handover = asyncio.get_running_loop().create_future()
-        found: Copy | None = None
+        found: KvCopy | None = None
         try:
             reply = await self._request_move(run, target, last=True)
             if reply.outcome is MoveOutcome.COPIED and reply.handle:
@@ -276,8 +276,8 @@
         return run in self._lasting.runs.get(run.replica.name, ())
 
 
-def _copy(run: Run, target: Replica, handle: str = "") -> Copy:
-    return Copy(CopyKind.MOVED, run.replica.address, handle, target, run.versions)
+def _copy(run: Run, target: Replica, handle: str = "") -> KvCopy:
+    return KvCopy(KvCopyKind.MOVED, run.replica.address, handle, target, run.versions)
 
 
 def _is_movable(run: Run) -> bool:
--- a/packages/gateway/src/gradelug_gateway/idle_connections.py
+++ b/packages/gateway/src/gradelug_gateway/idle_connections.py
@@ -8,7 +8,7 @@
 from gradelug_http.pool import MOST_IDLE
 from gradelug_policy.connections import idle_share
 
-from .budgets import GATEWAYS_GUESS
+from .budgets import DEFAULT_GATEWAY_COUNT
 from .model import FleetState
 
 SCORES = 2.0**64
@@ -44,7 +44,7 @@
         if most is None:
             return MOST_IDLE
         draw = score(self._instance, address) / SCORES
-        return idle_share(most, self._instances() or GATEWAYS_GUESS, draw)
+        return idle_share(most, self._instances() or DEFAULT_GATEWAY_COUNT, draw)
 
     def _look_up(self) -> dict[str, int]:
         snapshot = self._state.snapshot
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -10,7 +10,7 @@
 from gradelug_policy.reading import RequestWork
 
 from .fingerprints import fingerprint
-from .model import Copy, Repeat, Request, Route, Service
+from .model import KvCopy, Repeat, Request, Route, Service
 from .organisations import Principal
 from .quotas import Charge
 from .streams import EventAssembler
@@ -52,7 +52,7 @@
 
     config: int = 0
     principal: Principal | None = None
-    shows_credentials: bool = False
+    forwards_credentials: bool = False
 
     @property
     def owner(self) -> str:
@@ -87,7 +87,7 @@
 
     __slots__ = (
         "absent",
-        "absences",
+        "absent_count",
         "was_planner_asked",
         "backup",
         "charge",
@@ -95,7 +95,7 @@
         "config",
         "copy",
         "deadline_at",
-        "event_at",
+        "last_event_at",
         "events",
         "excluded",
         "failure",
@@ -103,7 +103,7 @@
         "inc",
         "may_have_run",
         "weights_in_use_at",
-        "is_paid",
+        "has_reserved_retry",
         "placed_s",
         "principal",
         "rank",
@@ -113,9 +113,9 @@
         "route",
         "sends",
         "service",
-        "shows_credentials",
+        "forwards_credentials",
         "tried",
-        "used",
+        "resumed_copy",
         "work",
     )
 
@@ -131,7 +131,7 @@
         self.inc = inc
         self.config = admission.config
         self.principal = admission.principal
-        self.shows_credentials = admission.shows_credentials
+        self.forwards_credentials = admission.forwards_credentials
         self.rank = admission.rank(route)
         """Urgency; 0 is the most urgent."""
         self.charge: Charge | None = None
@@ -150,7 +150,7 @@
         """Names of the replicas that failed or refused it."""
         self.absent = ""
         """Name of a replica that lacks the weights, until this is reported to the planner."""
-        self.absences = 0
+        self.absent_count = 0
         """How often a replica reported that it lacks the weights."""
         self.was_planner_asked = False
         """Whether the planner was already considered for a better replica than the local choice."""
@@ -168,17 +168,17 @@
         self.placed_s = 0.0
         self.work = work
         """Prompt size, urgency and memory that it takes at an engine."""
-        self.backup: Copy | None = None
+        self.backup: KvCopy | None = None
         """The replicated KV cache of its run, updated while the run is in progress."""
-        self.copy: Copy | None = None
+        self.copy: KvCopy | None = None
         """The saved KV cache from which its run is to continue."""
         self.weights_in_use_at = ""
         """Name of the engine whose weights are reserved for its KV cache between two attempts."""
-        self.is_paid = False
+        self.has_reserved_retry = False
         """Whether the retry for its next attempt has already been taken from the budget."""
-        self.used: Copy | None = None
+        self.resumed_copy: KvCopy | None = None
         """The saved KV cache from which its last attempt continued."""
-        self.event_at = req.arrived_at
+        self.last_event_at = req.arrived_at
         """When its last event arrived, by the event loop's clock."""
 
     @property
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -79,7 +79,7 @@
     async def is_gone(self, job: Job, replica: Replica) -> bool:
         """Return whether a run that its engine does not report has ended, and is not queued."""
         report = await self._transport.word(replica)
-        has_ended = is_gone(report, job.req.id, self._clock() - job.event_at)
+        has_ended = is_gone(report, job.req.id, self._clock() - job.last_event_at)
         log.info(
             "engine reports no such run",
             id=job.req.id,
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -15,7 +15,7 @@
 from gradelug_policy.replica_limits import LimitFact, LimitRecord, LimitWord
 from gradelug_policy.replica_room import LEAST_RATE, OWN_PART, OwnTurns
 
-from .budgets import GATEWAYS_GUESS
+from .budgets import DEFAULT_GATEWAY_COUNT
 from .model import Replica
 
 log = logbook.Logger("limits")
@@ -130,7 +130,7 @@
         """When this instance offers requests to a replica that could go elsewhere."""
         self._own: dict[str, OwnTurns] = {}
         """When it may send to a replica without having asked."""
-        self.sharers = GATEWAYS_GUESS
+        self.sharers = DEFAULT_GATEWAY_COUNT
         """How many instances send to replicas."""
         self._sent: deque[tuple[float, str]] = deque()
         """Sendings of this instance to replicas with a limit."""
--- a/packages/gateway/src/gradelug_gateway/model.py
+++ b/packages/gateway/src/gradelug_gateway/model.py
@@ -10,8 +10,8 @@
 from .replicas import Replica as Replica
 from .replicas import ReportedLoad as ReportedLoad
 from .requests import Attempt as Attempt
-from .requests import Copy as Copy
-from .requests import CopyKind as CopyKind
+from .requests import KvCopy as KvCopy
+from .requests import KvCopyKind as KvCopyKind
 from .requests import Request as Request
 from .requests import Verdict as Verdict
 from .services import BaseModel as BaseModel
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -50,7 +50,7 @@
 from .sharedhealth import SUSPECT_COST_S, HealthAggregator
 from .storenews import StorePublisher
 from .upkeep import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
-from .waiting import Waiter, WaitingLine
+from .waiting import Waiter, WeightQueue
 
 log = logbook.Logger("planner")
 DEMAND_HALF_LIFE_S = 4.0
@@ -196,7 +196,7 @@
         self._clock = clock
         self.loading = Loader(self, owner, transport, clock, spec.max_concurrent_loads)
         """Carries out the loads that are decided here."""
-        self._line = WaitingLine(self.popularity, clock(), self.loading.pace.rate)
+        self._line = WeightQueue(self.popularity, clock(), self.loading.pace.rate)
         self._upkeep = Maintenance(self, spec, window, clock)
         self._spec = spec
         self._sync_semaphore = asyncio.Semaphore(SYNCS_AT_ONCE)
@@ -413,7 +413,7 @@
         self.followers.note_use(waiter.follower, waiter.key)
         is_deferred = self.fair_queue.defers(waiter, bool(self.index.with_key(waiter.key)))
         if is_deferred or not self._try_answer(waiter, now):
-            if not waiter.is_held:
+            if not waiter.waits_for_capacity:
                 self.popularity.note(waiter.key.text, now)
             self._line.waiters.append(waiter)
 
@@ -470,12 +470,12 @@
         if self.term is None:
             return
         ordered = self.fair_queue.put_over_share_last(
-            self._line.in_order(now, self.loading.pace.load_s), now
+            self._line.by_urgency(now, self.loading.pace.load_s), now
         )
         queued = self._start_loads(ordered, now) if ordered else []
         self.has_queue = bool(queued)
         self._line.throughput.note_queue(self.has_queue, now)
-        self._line.refuse_hopeless(queued, now, self.loading.pace.load_s)
+        self._line.refuse_late(queued, now, self.loading.pace.load_s)
         self._last_decision_s = self._clock() - now
 
     def _start_loads(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
@@ -497,7 +497,7 @@
     def _try_answer(self, waiter: Waiter, now: float) -> bool:
         best: Engine | None = None
         min_cost, max_cached_tokens = math.inf, 0
-        waiter.is_held = False
+        waiter.waits_for_capacity = False
         holders, newest = self._holders(waiter), self.state.versions.get(waiter.key, 0)
         ready_names = (
             name for name, engine in holders if engine.holds(waiter.key) and waiter.may_use(name)
@@ -579,7 +579,7 @@
             return False
         if now + min_cost_s <= waiter.target_at and not is_full:
             return False
-        waiter.is_held = is_full
+        waiter.waits_for_capacity = is_full
         if self._is_loading(waiter):
             return True
         if self._engine_estimator is not None and not self._may_try_redirect(waiter.key, now):
@@ -656,7 +656,7 @@
 
     def held(self) -> int:
         """Return how many requests are held until an engine has capacity."""
-        return sum(waiter.is_held for waiter in self._line.waiters)
+        return sum(waiter.waits_for_capacity for waiter in self._line.waiters)
 
     def openings(self) -> Openings:
         """Return the engines that can load an adapter now."""
--- a/packages/gateway/src/gradelug_gateway/requests.py
+++ b/packages/gateway/src/gradelug_gateway/requests.py
@@ -58,7 +58,7 @@
     key: AdapterKey | None = None
     wait_s: float = math.inf
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_answer_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     last_event: int = 0
     credentials: tuple[bytes, ...] = field(default=(), repr=False)
@@ -97,12 +97,12 @@
     rank: int
     after_event: int
     principal: Principal | None = None
-    shows_credentials: bool = False
+    forwards_credentials: bool = False
     backup: str = ""
-    copy: Copy | None = None
+    copy: KvCopy | None = None
 
 
-class CopyKind(Enum):
+class KvCopyKind(Enum):
     """How the KV cache of a run was saved."""
 
     STOPPED = "stopped"
@@ -114,12 +114,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Copy:
+class KvCopy:
     """The saved KV cache of a run, from which the same request can continue once.
 
     Parameters
     ----------
-    kind : CopyKind
+    kind : KvCopyKind
         How it was saved.
     source : str
         ``IP:port`` of the engine that ran it.
@@ -129,22 +129,22 @@
         The replica that stores it.
     versions : WeightVersions
         Versions of the weights that computed it.
-    kept_at : float
+    weights_confirmed_at : float
         A time at which the holder had these weights loaded, by the event loop's clock.
     elsewhere : Replica or None
         Another engine that stores the same KV cache; None if there is none.
-    was_loaded : bool
+    were_weights_loaded : bool
         Whether weights were loaded at the holder in order to continue this run.
     """
 
-    kind: CopyKind
+    kind: KvCopyKind
     source: str
     ident: str
     holder: Replica
     versions: WeightVersions = WeightVersions()
-    kept_at: float = -math.inf
-    elsewhere: Replica | None = None
-    was_loaded: bool = False
+    weights_confirmed_at: float = -math.inf
+    other_holder: Replica | None = None
+    were_weights_loaded: bool = False
 
 
 class Verdict(Enum):
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -22,7 +22,7 @@
 
 from .fleet import Fleet
 from .job import Job
-from .model import AdapterKey, Copy, CopyKind, Replica
+from .model import AdapterKey, KvCopy, KvCopyKind, Replica
 from .ports import RunTransport
 
 log = logbook.Logger("run weights")
@@ -49,7 +49,7 @@
     if job.copy is not None:
         return job.copy.versions.adapter if key.adapter else job.copy.versions.model
     newest = fleet.state.versions.get(key, UNKNOWN_VERSION)
-    if job.absences >= MAX_ABSENCES:
+    if job.absent_count >= MAX_ABSENCES:
         return newest
     return max(newest, fleet.known_version(replica.name, key) or UNKNOWN_VERSION)
 
@@ -149,7 +149,7 @@
             namings.superseded_for_s(key, versions.adapter, self._clock()), self._version_s
         )
 
-    def can_load(self, copy: Copy, key: AdapterKey | None) -> bool:
+    def can_load(self, copy: KvCopy, key: AdapterKey | None) -> bool:
         """Return whether a load on the engine that keeps a copy can provide its weights.
 
         It cannot if the engine reported newer weights, whose announcement may not have arrived
@@ -157,9 +157,11 @@
         """
         held = self.held(copy.holder, key)
         newer = held.model > copy.versions.model or held.adapter > copy.versions.adapter
-        return not (newer or copy.was_loaded) and is_loadable(copy.versions, self.newest(key))
+        return not (newer or copy.were_weights_loaded) and is_loadable(
+            copy.versions, self.newest(key)
+        )
 
-    async def is_usable(self, job: Job, copy: Copy) -> bool:
+    async def is_usable(self, job: Job, copy: KvCopy) -> bool:
         """Return whether a run may be resumed from a copy on the engine that keeps it.
 
         The engine is queried for its base model version if the request cannot name it. The version
@@ -176,7 +178,7 @@
             return versions.model != UNKNOWN_VERSION or newest == UNKNOWN_VERSION
         if versions.adapter == UNKNOWN_VERSION and self.newest(key).adapter != UNKNOWN_VERSION:
             return False
-        if self._clock() - copy.kept_at < RECENT_STOP_S:
+        if self._clock() - copy.weights_confirmed_at < RECENT_STOP_S:
             return True
         held = await self._query_model_version(copy.holder, key.model)
         kept = held is not None and is_same_version(versions.model, held, newest)
@@ -200,18 +202,18 @@
                 return next((held.version for held in holdings if held.key == key), None)
         return None
 
-    def give_up(self, copy: Copy) -> None:
+    def give_up(self, copy: KvCopy) -> None:
         """Free the memory of a copy that will not be resumed, in the background.
 
         Backup copies are left alone: engines free those by themselves.
         """
-        if copy.kind is CopyKind.BACKUP:
+        if copy.kind is KvCopyKind.BACKUP:
             return
         task = asyncio.get_running_loop().create_task(self._release(copy))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _release(self, copy: Copy) -> None:
+    async def _release(self, copy: KvCopy) -> None:
         log.info(
             "memory released",
             replica=copy.holder.name,
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -38,7 +38,7 @@
 from .job import Job
 from .left_runs import AbandonedRun, AbandonedRuns
 from .metrics import Meters
-from .model import Copy, CopyKind, Repeat, Replica
+from .model import KvCopy, KvCopyKind, Repeat, Replica
 from .moves import MoveOutcome
 from .ports import RunTransport
 from .run_weights import RunWeights
@@ -87,9 +87,9 @@
         self.first_at: float | None = None
         """Time at which the first event was received."""
         self.events_before = job.events.last_event
-        self.handover: asyncio.Future[Copy | None] | None = None
+        self.handover: asyncio.Future[KvCopy | None] | None = None
         """Resolves to the copy at another engine once its own engine has stopped it."""
-        self.stopped: Copy | None = None
+        self.stopped: KvCopy | None = None
         """The memory kept when the run was stopped because its stream had stalled."""
         self.stop_outcome: MoveOutcome | None = None
         """Outcome of the last stop request to its engine."""
@@ -101,7 +101,7 @@
         """Whether its engine failed to copy its memory to another engine."""
         self.has_weight_mismatch = False
         """Whether it was resumed under weights other than those that produced its memory."""
-        self.resumed_from: Copy | None = None
+        self.resumed_from: KvCopy | None = None
         """The copy of its memory from which it is resumed."""
         self.versions = job.copy.versions if job.copy is not None else WeightVersions()
         """Versions of the weights that produced its memory."""
@@ -221,12 +221,12 @@
                 replica=run.replica.name,
                 why=reported_version.unreadable,
             )
-        used = run.job.used
+        used = run.job.resumed_copy
         if used is None:
             self._set_versions(run, run.versions.with_reported(reported_version))
         elif compare_versions(used.versions, reported_version) == "other":
             run.has_weight_mismatch = True
-            self._meters.went_on(used.kind.value, self._clock() - run.job.event_at, "other")
+            self._meters.went_on(used.kind.value, self._clock() - run.job.last_event_at, "other")
             raise ResponseBroken(
                 f"engine has base model {reported_version.version}, memory has {used.versions.text}"
             )
@@ -260,9 +260,9 @@
         if run.first_at is None:
             run.first_at = now
             self.runs.setdefault(run.replica.name, set()).add(run)
-            if job.used is not None:
-                self._note_resumed(run, job.used, now)
-        job.event_at = now
+            if job.resumed_copy is not None:
+                self._note_resumed(run, job.resumed_copy, now)
+        job.last_event_at = now
         run.is_abandoned = False
 
     def end(self, run: Run) -> None:
@@ -295,7 +295,7 @@
         """Return the expected remaining duration of a run, in seconds."""
         spec = run.job.service.engine
         generated_tokens = run.events * spec.copy_terms.event_tokens if spec is not None else 0
-        remaining_tokens = max(0, run.job.req.most_tokens - generated_tokens)
+        remaining_tokens = max(0, run.job.req.max_answer_tokens - generated_tokens)
         return remaining_tokens * self.run_statistics(run.replica.service).token_s
 
     async def recover(self, run: Run) -> None:
@@ -327,7 +327,7 @@
             # resumption by 0.5 to 0.7 s on engines that have dropped it.
             had_events = run.first_at is not None
             may_have_queued = had_events and may_be_queued(
-                self._clock() - job.event_at, job.route.gap_s
+                self._clock() - job.last_event_at, job.route.gap_s
             )
             job.copy = await self._stop_run(run)
             if may_have_queued and self._can_resume_elsewhere(job):
@@ -361,7 +361,7 @@
     async def _await_requeued(self, run: Run) -> None:
         """Retry the stop of a run that its engine may have requeued, while the caller waits."""
         job = run.job
-        until = min(job.deadline_at, job.event_at + job.route.patience_s)
+        until = min(job.deadline_at, job.last_event_at + job.route.patience_s)
         while run.stop_outcome is MoveOutcome.NO_RUN and self._clock() < until:
             if await self._confirm_ended(run):
                 return
@@ -380,7 +380,7 @@
         """Make sure that a run resumed elsewhere does not continue on its former engine."""
         job, spec = run.job, run.job.service.engine
         has_certainly_ended = run.is_gone or run.stop_outcome is MoveOutcome.UNREACHED
-        has_new_copy = job.copy is not None and job.copy is not job.used
+        has_new_copy = job.copy is not None and job.copy is not job.resumed_copy
         if has_new_copy or has_certainly_ended or not self._can_resume_elsewhere(job):
             return
         if spec is None or not spec.moves:
@@ -406,7 +406,7 @@
         has_events = run.first_at is not None or (run.request_has_events and run.job.may_repeat())
         return spec is not None and spec.moves and known and has_events
 
-    async def _stop_run(self, run: Run) -> Copy | None:
+    async def _stop_run(self, run: Run) -> KvCopy | None:
         """Stop a run on its engine and return the memory that is kept of it, if any."""
         job, source = run.job, run.replica
         target = self._choose_stop_target(run)
@@ -432,11 +432,11 @@
             return None
         known = self._fleet.state.replicas.get(source.name)
         if reply.outcome is MoveOutcome.COPIED and (known is None or known.leaving):
-            return Copy(CopyKind.MOVED, source.address, reply.handle, target, run.versions)
+            return KvCopy(KvCopyKind.MOVED, source.address, reply.handle, target, run.versions)
         # The engine held the weights until it stopped the run; they may be replaced from now on.
         elsewhere = target if reply.outcome is MoveOutcome.COPIED else None
-        return Copy(
-            CopyKind.STOPPED,
+        return KvCopy(
+            KvCopyKind.STOPPED,
             source.address,
             reply.handle,
             source,
@@ -464,9 +464,9 @@
     def _break_record(self, service: str) -> BreakRecord:
         return self._records.setdefault(service, BreakRecord())
 
-    def _note_resumed(self, run: Run, copy: Copy, now: float) -> None:
+    def _note_resumed(self, run: Run, copy: KvCopy, now: float) -> None:
         job = run.job
-        pause_s = now - job.event_at
+        pause_s = now - job.last_event_at
         weights = compare_versions(copy.versions, run.reported)
         self._meters.went_on(copy.kind.value, pause_s, weights)
         log.info(
@@ -481,12 +481,12 @@
             pause_s=round(pause_s, 3),
         )
 
-    def _choose_backup(self, job: Job, replica: Replica) -> Copy | None:
+    def _choose_backup(self, job: Job, replica: Replica) -> KvCopy | None:
         spec = job.service.engine
         if spec is None or not spec.backups or job.route.repeat is not Repeat.NEVER:
             return None
         now = self._clock()
-        remaining_s = job.req.most_tokens * self.run_statistics(replica.service).token_s
+        remaining_s = job.req.max_answer_tokens * self.run_statistics(replica.service).token_s
         if not should_copy(
             self._break_record(replica.service).risk(replica.name, remaining_s, now), remaining_s
         ):
@@ -495,4 +495,4 @@
         target = self.targets.choose(job, replica, versions, MAX_COPY_MEMORY_FRACTION)
         if target is None:
             return None
-        return Copy(CopyKind.BACKUP, replica.address, job.req.id, target, versions)
+        return KvCopy(KvCopyKind.BACKUP, replica.address, job.req.id, target, versions)
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -31,7 +31,7 @@
 from .job import Job, Outcome
 from .limits import Demand
 from .metrics import Meters
-from .model import AdapterKey, Attempt, CopyKind, Repeat, Replica, Verdict
+from .model import AdapterKey, Attempt, KvCopyKind, Repeat, Replica, Verdict
 from .poison import PoisonGuard
 from .ports import Dialect
 from .replica_ends import EndWatch
@@ -192,7 +192,7 @@
                 retry_s=round(denial.retry_s, 3),
             )
             return Outcome.LIMITED
-        job.used = job.copy
+        job.resumed_copy = job.copy
         now = self._clock()
         health = self._fleet.health(replica.name)
         health.circuit.note_start(now)
@@ -266,7 +266,7 @@
                 why=str(exc),
                 stage=exchange.stage.value,
                 sent_s=round(self._clock() - exchange.sent_at, 3),
-                quiet_s=round(self._clock() - exchange.event_at, 3),
+                quiet_s=round(self._clock() - exchange.last_event_at, 3),
                 held_up_s=round(job.inc.held_up_s, 3),
             )
             if not is_caller_stalled and (conn.is_silenced or health.last_received_at < now):
@@ -302,7 +302,7 @@
         The planner may replace weights that are not in use.
         """
         copy = job.copy
-        if copy is not None and copy is not job.used and copy.kind is CopyKind.STOPPED:
+        if copy is not None and copy is not job.resumed_copy and copy.kind is KvCopyKind.STOPPED:
             job.weights_in_use_at = replica.name
         else:
             self._directory.note_end(replica.name, key)
@@ -442,7 +442,7 @@
             work.urgency,
             job.events.last_event,
             job.principal,
-            job.shows_credentials,
+            job.forwards_credentials,
             job.backup.holder.address if job.backup is not None and job.copy is None else "",
             job.copy,
         )
@@ -544,7 +544,7 @@
             return Outcome.DONE
         if verdict is Verdict.ABSENT:
             job.absent = replica.name
-            job.absences += 1
+            job.absent_count += 1
             return Outcome.ABSENT
         return Outcome.FULL if verdict is Verdict.FULL else Outcome.NOT_RUN
 
@@ -563,7 +563,7 @@
             else:
                 self._note_running(exchange)
                 exchange.first_at = self._clock()
-            exchange.event_at = self._clock()
+            exchange.last_event_at = self._clock()
             if exchange.run is not None and self._lasting is not None:
                 self._lasting.note_change(exchange.run, self._dialect.event_weights(events))
                 self._lasting.note_event(exchange.run)
@@ -628,7 +628,7 @@
         events : int
             Number of events that arrived together, among which the pause is divided.
         """
-        pause_s = self._clock() - exchange.event_at
+        pause_s = self._clock() - exchange.last_event_at
         gap_s = exchange.job.route.gap_s
         if gap_s and pause_s > gap_s:
             exchange.pauses += 1
@@ -653,7 +653,7 @@
 
     def _update_speed(self, exchange: Exchange) -> None:
         service, work = exchange.replica.service, exchange.work
-        if not work.prompt_tokens or exchange.job.used is not None:
+        if not work.prompt_tokens or exchange.job.resumed_copy is not None:
             return
         took_s = self._clock() - exchange.sent_at
         self._meters.estimate(exchange.job.route.name, took_s, exchange.expected_s)
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -14,7 +14,7 @@
 import logbook
 from gradelug_http import ClientGone, Incoming
 
-from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, Admitter
+from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, AdmissionControl
 from .answering import DEFAULT_RETRY_AFTER_S, ErrorResponder
 from .authentication import renew
 from .budgets import RetryBudgets
@@ -23,7 +23,7 @@
 from .fleet import Fleet
 from .job import Job, Outcome
 from .metrics import Meters
-from .model import AdapterKey, Copy, CopyKind, Repeat, Replica, Request, Service
+from .model import AdapterKey, KvCopy, KvCopyKind, Repeat, Replica, Request, Service
 from .patience import WaitPolicy
 from .plain import PlainPlacer
 from .ports import BadRequest, Dialect
@@ -53,7 +53,7 @@
 """Maximum number of attempts per request, whatever their outcomes."""
 
 
-class Serving:
+class RequestPipeline:
     """Runs callers' requests from admission to the answer.
 
     Parameters
@@ -121,7 +121,7 @@
         meters: Meters,
         clock: t.Callable[[], float],
         rng: random.Random,
-        admitter: Admitter,
+        admitter: AdmissionControl,
         quotas: Quotas,
         expects_config: t.Callable[[], bool] = lambda: False,
         uses_shared_health: bool = True,
@@ -206,7 +206,7 @@
 
     def _release_kv_copy(self, job: Job) -> None:
         """Release the saved KV cache of a request that ended without using it."""
-        if self._lasting is not None and job.copy is not None and job.copy is not job.used:
+        if self._lasting is not None and job.copy is not None and job.copy is not job.resumed_copy:
             self._lasting.weights.give_up(job.copy)
 
     async def _await_config(self, req: Request) -> None:
@@ -272,7 +272,7 @@
         job.charge = await self._quotas.take(
             job.principal.organisation,
             req.prompt_tokens,
-            req.most_tokens,
+            req.max_answer_tokens,
             min(job.deadline_at, req.arrived_at + route.target_s),
             applicant,
         )
@@ -396,7 +396,7 @@
                 if job.copy is None and not job.may_repeat():
                     raise
 
-    async def _place_at_kv_copy(self, job: Job, copy: Copy, key: AdapterKey) -> Replica:
+    async def _place_at_kv_copy(self, job: Job, copy: KvCopy, key: AdapterKey) -> Replica:
         """Return the engine that holds a run's saved KV cache, once it has the weights loaded."""
         holder = copy.holder
         rest_s = self._fleet.rests.left_s(holder)
@@ -405,7 +405,7 @@
         if rest_s:
             await asyncio.sleep(rest_s)
         weights = self._lasting.weights if self._lasting is not None else None
-        holds = copy.kind is CopyKind.STOPPED or (
+        holds = copy.kind is KvCopyKind.STOPPED or (
             weights is not None and weights.holds(holder, copy.versions, key)
         )
         if holds and job.absent != holder.name:
@@ -415,7 +415,7 @@
                 "the weights of the saved KV cache cannot be loaded", DEFAULT_RETRY_AFTER_S
             )
         replica = await self._ask_planner(job, key, (), (holder.name,))
-        job.copy = replace(copy, was_loaded=True)
+        job.copy = replace(copy, were_weights_loaded=True)
         return replica
 
     def _should_ask_planner(self, job: Job, replica: Replica) -> bool:
@@ -481,7 +481,7 @@
         service, unrun = job.service.name, job.is_unrun
         until = job.req.arrived_at + job.route.target_s if unrun else -math.inf
         while not self._budgets.try_retry(service, unrun):
-            if self._clock() + self._budgets.next_s(service) >= until:
+            if self._clock() + self._budgets.seconds_to_retry(service) >= until:
                 # The caller's own retry is a new request and takes nothing from the budget.
                 raise Refused("the retry budget is exhausted", DEFAULT_RETRY_AFTER_S)
             await asyncio.sleep(POLL_S)
@@ -506,7 +506,7 @@
         """
         if self._lasting is None or not self._lasting.is_lasting(job) or outcome is Outcome.RAN:
             return False
-        was_used_last = job.copy is not None and job.copy is job.used
+        was_used_last = job.copy is not None and job.copy is job.resumed_copy
         if was_used_last and job.copy is not None and outcome is Outcome.UNKNOWN:
             # A saved KV cache can be used only once, and this one may have been.
             job.copy = None
@@ -516,9 +516,9 @@
             job.copy, job.backup = job.backup, None
         if job.copy is None or job.sends >= MAX_SENDS:
             return False
-        if not job.is_paid and not self._budgets.try_retry(job.service.name):
+        if not job.has_reserved_retry and not self._budgets.try_retry(job.service.name):
             return False
-        job.is_paid = False
+        job.has_reserved_retry = False
         job.events.restart()
         log.info(
             "run goes on",
@@ -528,7 +528,7 @@
             memory=job.copy.versions.text,
             after=outcome.value,
             last_event=job.events.last_event,
-            pause_s=round(self._clock() - job.event_at, 3),
+            pause_s=round(self._clock() - job.last_event_at, 3),
         )
         return True
 
@@ -538,16 +538,16 @@
             return False
         return self._lasting.weights.can_load(job.copy, job.req.key)
 
-    def _drop_kv_copy(self, job: Job, copy: Copy) -> None:
+    def _drop_kv_copy(self, job: Job, copy: KvCopy) -> None:
         """Discard a saved KV cache and fall back to another one of the run, if there is one."""
-        if copy.elsewhere is not None:
+        if copy.other_holder is not None:
             job.copy = replace(
                 copy,
-                kind=CopyKind.MOVED,
-                holder=copy.elsewhere,
-                kept_at=-math.inf,
+                kind=KvCopyKind.MOVED,
+                holder=copy.other_holder,
+                weights_confirmed_at=-math.inf,
                 elsewhere=None,
-                was_loaded=False,
+                were_weights_loaded=False,
             )
             return
         if self._lasting is not None:
@@ -560,7 +560,7 @@
             job.sends += 1
         elif outcome is Outcome.STALE:
             # The retry taken from the budget was not used.
-            job.is_paid = True
+            job.has_reserved_retry = True
         elif outcome is Outcome.ABSENT:
             await asyncio.sleep(ABSENT_RETRY_DELAY_S)
         else:
@@ -571,7 +571,7 @@
                 check_backoff(self._fleet, job)
         if self._try_continue_run(job, outcome):
             return
-        if job.used is not None and outcome is not Outcome.RAN:
+        if job.resumed_copy is not None and outcome is not Outcome.RAN:
             # The continued run had already started, and its result is unknown.
             outcome = Outcome.UNKNOWN
         may_have_run = outcome in (Outcome.UNKNOWN, Outcome.RAN)
@@ -593,9 +593,9 @@
             if job.route.repeat is not Repeat.RESUME:
                 raise Failed("the route allows no further replica")
             job.excluded.clear()
-        if outcome is not Outcome.NOT_SENT and not job.is_paid:
+        if outcome is not Outcome.NOT_SENT and not job.has_reserved_retry:
             await self._take_retry(job)
-        job.is_paid = False
+        job.has_reserved_retry = False
         log.info(
             "retrying request",
             id=job.req.id,
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -30,7 +30,7 @@
 def mark(req: Request) -> int:
     """Return a number that all tries of a request have in common, and few others."""
     weights = req.key.text if req.key is not None else ""
-    sizes = f"{weights} {req.prompt_tokens} {req.most_tokens} {len(req.body)}"
+    sizes = f"{weights} {req.prompt_tokens} {req.max_answer_tokens} {len(req.body)}"
     return zlib.crc32(sizes.encode(), zlib.crc32(req.target)) or 1
 
 
@@ -45,16 +45,18 @@
 
     def work(self, rank: int, req: Request, chain: PrefixChain | None = None) -> RequestWork:
         """Return what a request of some urgency asks of an engine."""
-        return RequestWork(req.prompt_tokens, min(rank, LATE_URGENCY - 1), req.most_tokens, chain)
+        return RequestWork(
+            req.prompt_tokens, min(rank, LATE_URGENCY - 1), req.max_answer_tokens, chain
+        )
 
     def value(self, route: Route, rank: int, req: Request) -> float:
         """Return what an answer in time is worth, 1 for an ordinary request of rank 0."""
-        size = req.prompt_tokens + OUTPUT_WEIGHT * req.most_tokens
+        size = req.prompt_tokens + OUTPUT_WEIGHT * req.max_answer_tokens
         mean = self._mean_size.get(route.name, size)
         self._mean_size[route.name] = mean + MEAN_WEIGHT * (size - mean)
         part = 1 - SIZE_PART + SIZE_PART * (size / mean if mean else 1.0)
         # Places are what is scarce, and a long request holds one for long.
-        place_s = PLACE_S + PLACE_S_PER_TOKEN * req.most_tokens
+        place_s = PLACE_S + PLACE_S_PER_TOKEN * req.max_answer_tokens
         return RANK_FACTOR**rank * min(MAX_SIZE_FACTOR, part) / place_s**PLACE_WEIGHT
 
     def longest_wait(self, route: str, wait_s: float) -> float:
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/waiting.py
@@ -56,11 +56,20 @@
         Current time by the event loop's clock.
     """
 
-    __slots__ = ("ask", "asked_at", "follower", "is_held", "key", "target_at", "until", "work")
+    __slots__ = (
+        "ask",
+        "asked_at",
+        "follower",
+        "waits_for_capacity",
+        "key",
+        "target_at",
+        "until",
+        "work",
+    )
 
     def __init__(self, follower: Follower, ask: pb.Ask, now: float) -> None:
         self.follower = follower
-        self.is_held = False
+        self.waits_for_capacity = False
         """Whether its weights are loaded and it waits only for capacity at their engine."""
         self.ask = ask
         self.key = AdapterKey(ask.model, ask.adapter)
@@ -193,7 +202,7 @@
         return max(MIN_LOADS_PER_S, self._begun / max(self._busy_s, MIN_BUSY_SPAN_S))
 
 
-class WaitingLine:
+class WeightQueue:
     """All requests that wait for weights at the engines of a service.
 
     Parameters
@@ -234,7 +243,7 @@
         """Remove all requests of a gateway."""
         self.waiters = [waiter for waiter in self.waiters if waiter.follower is not follower]
 
-    def in_order(self, now: float, load_s: float) -> list[Waiter]:
+    def by_urgency(self, now: float, load_s: float) -> list[Waiter]:
         """Return one waiter for each kind of weights, the most urgent first.
 
         Parameters
@@ -247,7 +256,7 @@
         wanted: dict[AdapterKey, Waiter] = {}
         urgency: dict[AdapterKey, float] = Counter()  # type: ignore[assignment]
         for waiter in self.waiters:
-            if waiter.is_held:
+            if waiter.waits_for_capacity:
                 continue
             wanted.setdefault(waiter.key, waiter)
             urgency[waiter.key] += _gain(waiter, now, load_s)
@@ -255,7 +264,7 @@
             urgency[key] += DEMAND_HORIZON_S * self._popularity.rate(key.text, now)
         return sorted(wanted.values(), key=lambda waiter: -urgency[waiter.key])
 
-    def refuse_hopeless(self, queued: t.Iterable[AdapterKey], now: float, load_s: float) -> None:
+    def refuse_late(self, queued: t.Iterable[AdapterKey], now: float, load_s: float) -> None:
         """Refuse requests whose weights cannot be loaded before their callers time out.
 
         Parameters
@@ -276,7 +285,7 @@
         for waiter in self.waiters:
             ready_at = ready.get(waiter.key)
             served = ready_at is None or ready_at + LOAD_TO_FIRST_EVENT_S < waiter.until
-            if ready_at is None or served or waiter.ask.begun or waiter.is_held:
+            if ready_at is None or served or waiter.ask.begun or waiter.waits_for_capacity:
                 kept.append(waiter)
             else:
                 waiter.refuse(ready_at - now, now)
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -7,8 +7,8 @@
 import re
 from pipes import Network, RawClient, join
 
-from gradelug_gateway.admitting import Admitter
-from gradelug_gateway.budgets import BUDGET_SHARE, RetryBudgets
+from gradelug_gateway.admitting import AdmissionControl
+from gradelug_gateway.budgets import BUDGET_FRACTION, RetryBudgets
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.exceptions import Refused
 from gradelug_gateway.fleet import Fleet
@@ -29,7 +29,7 @@
 from gradelug_gateway.quotas import Quotas
 from gradelug_gateway.runs import LastingRuns
 from gradelug_gateway.sending import Sender
-from gradelug_gateway.serving import Serving
+from gradelug_gateway.serving import RequestPipeline
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.runs import PlatformRuns
@@ -117,7 +117,7 @@
         self.fleet = Fleet(self.state, "hall", clock)
         meters = self.meters = Meters()
         dialect = PlatformDialect()
-        budgets = RetryBudgets(0.0, budget / BUDGET_SHARE, 1000.0, clock)
+        budgets = RetryBudgets(0.0, budget / BUDGET_FRACTION, 1000.0, clock)
         budgets.share_among(1)
         pool = HttpPool(clock, self.net.dial)
         directory = self.directory = PlacingDirectory(self, self.fleet)
@@ -141,7 +141,7 @@
             budgets.has_retry,
             lasting=self.lasting,
         )
-        self.serving = Serving(
+        self.serving = RequestPipeline(
             dialect,
             self.fleet,
             directory,
@@ -150,7 +150,7 @@
             meters,
             clock,
             random.Random(1),
-            Admitter(ProvenConfig()),
+            AdmissionControl(ProvenConfig()),
             Quotas(lambda: None, clock, random.Random(1), LocalShares()),
             lasting=self.lasting,
         )
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -3,8 +3,8 @@
 import pytest
 from gradelug_gateway.budgets import (
     COUNT_SETTLE_S,
+    DEFAULT_GATEWAY_COUNT,
     FOLLOW_TIMEOUT_S,
-    GATEWAYS_GUESS,
     GatewayCount,
     RetryBudgets,
 )
@@ -53,7 +53,7 @@
         """After a power failure, the first instance counted again took the whole budget."""
         count = GatewayCount(WINDOW_S)
         reported = {0.0: 1, 0.5: 40, 1.0: 85, 2.9: 85}
-        assert [count.note(reported[at], at) for at in reported] == [GATEWAYS_GUESS] * 4
+        assert [count.note(reported[at], at) for at in reported] == [DEFAULT_GATEWAY_COUNT] * 4
         assert count.note(85, COUNT_SETTLE_S + 0.1) == 85
 
     def test_higher_count_applies_at_once_and_lower_count_after_a_window(self):
@@ -71,9 +71,9 @@
         for step in range(10):
             count.note(9, step / 2)
         assert count.note(0, 5.0) == 9
-        assert count.note(0, 4.5 + FOLLOW_TIMEOUT_S + 0.1) == GATEWAYS_GUESS
+        assert count.note(0, 4.5 + FOLLOW_TIMEOUT_S + 0.1) == DEFAULT_GATEWAY_COUNT
         again = [count.note(9, 9.0 + step / 2) for step in range(8)]
-        assert again.count(GATEWAYS_GUESS) / 2 == COUNT_SETTLE_S
+        assert again.count(DEFAULT_GATEWAY_COUNT) / 2 == COUNT_SETTLE_S
         assert again[-1] == 9
 
 
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gradelug_coordination import KvEntry
-from gradelug_gateway.model import Attempt, Copy, CopyKind, Replica, Request
+from gradelug_gateway.model import Attempt, KvCopy, KvCopyKind, Replica, Request
 from gradelug_gateway.moves import MoveOutcome
 from gradelug_http import HttpPool, ResponseHead
 from gradelug_platform.dialect import PlatformDialect
@@ -160,7 +160,7 @@
 
     @pytest.mark.parametrize("after", [0, 7])
     def test_a_run_goes_on_from_its_memory_after_its_last_event(self, after):
-        copy = Copy(CopyKind.MOVED, SOURCE.address, "h1", TARGET)
+        copy = KvCopy(KvCopyKind.MOVED, SOURCE.address, "h1", TARGET)
         sent = self.headers(copy=copy, after_event=after)
         assert sent[b"Kv-From"] == b"10.0.0.1:80/h1"
         assert sent[b"Last-Event-Id"] == b"%d" % after
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from gradelug_gateway.budgets import BUDGET_SHARE
+from gradelug_gateway.budgets import BUDGET_FRACTION
 from gradelug_gateway.model import Repeat
 from test_serving import FULL, OK, Bench, route, run, status
 
@@ -12,7 +12,7 @@
         async def scenario():
             bench = Bench(route(Repeat.NEVER), [[[FULL]], [[OK]]], budget=0.0)
             budgets = bench.serving._budgets
-            budgets._ratio = 1.1 * BUDGET_SHARE
+            budgets._ratio = 1.1 * BUDGET_FRACTION
             budgets._window_s = 0.5
             client = bench.client()
             await asyncio.sleep(0.07)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -5,8 +5,8 @@
 from pipes import Network, RawClient, RawServer, join
 
 import pytest
-from gradelug_gateway.admitting import Admitter
-from gradelug_gateway.budgets import BUDGET_SHARE, RetryBudgets
+from gradelug_gateway.admitting import AdmissionControl
+from gradelug_gateway.budgets import BUDGET_FRACTION, RetryBudgets
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.exceptions import Refused
 from gradelug_gateway.fleet import Fleet
@@ -25,7 +25,7 @@
 )
 from gradelug_gateway.quotas import Quotas
 from gradelug_gateway.sending import Sender
-from gradelug_gateway.serving import FIRST_CONFIG_WAIT_S, Serving
+from gradelug_gateway.serving import FIRST_CONFIG_WAIT_S, RequestPipeline
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_policy.quotas import LocalShares
@@ -138,11 +138,11 @@
         self.home = None
         self.directory = StubDirectory(self.fleet)
         dialect, meters = PlatformDialect(), Meters()
-        budgets = RetryBudgets(0.0, budget / BUDGET_SHARE, 1000.0, clock)
+        budgets = RetryBudgets(0.0, budget / BUDGET_FRACTION, 1000.0, clock)
         budgets.share_among(1)
         pool = HttpPool(clock, self.net.dial)
         sender = Sender(dialect, self.fleet, self.directory, pool, meters, clock, budgets.has_retry)
-        self.serving = Serving(
+        self.serving = RequestPipeline(
             dialect,
             self.fleet,
             self.directory,
@@ -151,7 +151,7 @@
             meters,
             clock,
             random.Random(1),
-            Admitter(self.freshness),
+            AdmissionControl(self.freshness),
             Quotas(self._home, clock, random.Random(1), LocalShares()),
             lambda: self.expects_config,
             uses_shared_health,
