--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -28,7 +28,7 @@
 """Minimum request rate for another copy; below it a load costs more than it saves."""
 
 
-class Copies:
+class AdapterReplication:
     """Loads adapters of one planner on further engines where that saves waiting time.
 
     Parameters
@@ -54,7 +54,7 @@
         """Record that a request for an adapter has started."""
         self._requested[key] = None
 
-    def bring(self, now: float) -> None:
+    def load_copies(self, now: float) -> None:
         """Start the loads of the copies that save most waiting time."""
         planner = self._planner
         if planner.term is None or now < planner.look_from:
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -28,7 +28,7 @@
 from .budgets import GatewayCount, RetryBudgets
 from .departures import DepartureDesk, DepartureTeller
 from .directory import Directory
-from .engine_speeds import PauseTally, SpeedTeller
+from .engine_speeds import PauseTally, SpeedReporter
 from .executing import Executor
 from .feed import EXPIRED_ENTRY_GRACE_S, EntryReader, Feed
 from .fleet import Fleet
@@ -36,7 +36,7 @@
 from .gauges import Observed, add_daemon_gauges
 from .handover import Handover
 from .idle_connections import IdleConnections
-from .kept import Kept
+from .kept import PrefixCache
 from .limit_facts import planner_for
 from .limit_teller import LimitTeller
 from .limits import ReplicaLimits
@@ -50,7 +50,7 @@
 from .quotas import Quotas
 from .relay import OrderRelay
 from .rests import ReplicaRests
-from .runs import LastingRuns
+from .runs import RunRecovery
 from .search import PlannerAddress
 from .sending import Sender
 from .serving import RequestPipeline
@@ -145,7 +145,7 @@
         has_room = Feature.ENGINE_ROOM in settings.features
         # Instances that draw alike would choose alike.
         rng = random.Random(settings.name)
-        kept = Kept(self._clock, Feature.KEPT_PARTS in settings.features)
+        kept = PrefixCache(self._clock, Feature.KEPT_PARTS in settings.features)
         limits = ReplicaLimits(
             self._clock,
             random.Random(settings.name),
@@ -209,7 +209,7 @@
         self._tally = ShareTally(self._clock, self._meters, self._has_organisations)
         lasting = self._handover = None
         if runs is not None and Feature.LASTING_RUNS in settings.features:
-            lasting = LastingRuns(
+            lasting = RunRecovery(
                 self._fleet,
                 runs,
                 self._meters,
@@ -377,7 +377,7 @@
         fleet = self._fleet
         if fleet.engine_estimator is not None:
             tally = fleet.pauses.setdefault(service, PauseTally())
-            yield SpeedTeller(
+            yield SpeedReporter(
                 service, tally, fleet.engine_estimator.paces, fleet.speeds, self._clock
             )
         if Feature.FAIR_SHARES in self.settings.features:
@@ -536,7 +536,7 @@
             self._fleet.forget_gone()
             self._serving.forget_gone()
             if self._lasting is not None:
-                self._lasting.forget_gone()
+                self._lasting.forget_removed_engines()
             self._pool.prune({rep.address for rep in self._state.replicas.values()})
             told = self._directory.gateways if self._follows() else 0
             count = self._gateways.note(told, self._clock())
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -242,7 +242,7 @@
             elif replica is not None:
                 if answer.has_room:
                     self._fleet.limits.add_permit(replica.name)
-                self._fleet.prefix_cache.note_told(
+                self._fleet.prefix_cache.note_reported(
                     replica.name, wish.work.chain, answer.kept_tokens
                 )
                 return replica
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -60,7 +60,7 @@
         }
 
 
-class SpeedTeller:
+class SpeedReporter:
     """Reports observed pauses to the planner and receives slow engines; a `parts.GatewayPart`.
 
     Parameters
@@ -110,7 +110,7 @@
                 self._paces.set_slowness(reported.replica, usual / reported.tokens_per_s, now)
 
 
-class SpeedDesk:
+class SpeedAggregator:
     """Aggregates the pauses that gateways report into slow engines; a `parts.PlannerPart`.
 
     Parameters
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -24,7 +24,7 @@
 
 from .engine_speeds import PauseTally
 from .health import Health
-from .kept import Kept
+from .kept import PrefixCache
 from .limits import ReplicaLimits
 from .model import AdapterKey, EngineSpec, FleetState, Holding, Replica, ReportedLoad
 from .pacing import FRESH_S, NEWS_S
@@ -102,7 +102,7 @@
         clock: t.Callable[[], float],
         rng: random.Random | None = None,
         has_room: bool = False,
-        kept: Kept | None = None,
+        kept: PrefixCache | None = None,
         limits: ReplicaLimits | None = None,
         rests: ReplicaRests | None = None,
     ) -> None:
@@ -110,7 +110,7 @@
         self.rests = rests or ReplicaRests(clock)
         self.limits = limits or ReplicaLimits(clock)
         self.hall = hall
-        self.prefix_cache = kept or Kept(clock, False)
+        self.prefix_cache = kept or PrefixCache(clock, False)
         self._clock = clock
         self._rng = rng or random.Random(0)
         self._health: dict[str, Health] = {}
@@ -173,7 +173,7 @@
         if load is not None:
             # This instance's requests there end when their connections break.
             load.others = ReportedLoad()
-            load.told_running = 0
+            load.reported_running = 0
 
     def set_weight_locations(self, service: str, key: AdapterKey, versions: dict[str, int]) -> None:
         """Replace the replicas of a service on which weights are usable.
@@ -395,7 +395,9 @@
         # Equal costs fall to the same engine each time, which keeps its prompt cache in use.
         costs_s = [
             (self._selection_cost_s(rep, work_at, now), number, rep)
-            for number, (rep, work_at) in enumerate(self.prefix_cache.at_each(usable, work, speed))
+            for number, (rep, work_at) in enumerate(
+                self.prefix_cache.work_at_each(usable, work, speed)
+            )
         ]
         return min(costs_s)[2] if costs_s else None
 
@@ -408,7 +410,7 @@
         outdated state would all select that one.
         """
         costs_s = [(rep, WAIT_PER_REQUEST_S * self.cost(rep, now, work)) for rep in usable]
-        mark = self.prefix_cache.mark(work, len(usable), self._rng)
+        mark = self.prefix_cache.selection_digest(work, len(usable), self._rng)
         if mark is None or not usable:
             return choose_weighted(costs_s, self.state_age_s, self._rng)
         named = [(rep.name, cost_s) for rep, cost_s in costs_s]
@@ -459,7 +461,7 @@
         displace another: the planner may know an engine with free capacity.
         """
         now, busy = self._clock(), self.load(replica.name).busyness()
-        work_at = self.prefix_cache.at(replica.name, work)
+        work_at = self.prefix_cache.work_at(replica.name, work)
         is_late = now + self.expected_s(replica, busy, work_at) > target_at
         return is_late or self.is_full(replica, work)
 
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -19,8 +19,8 @@
 from .model import KvCopy, KvCopyKind, Replica
 from .moves import MoveOutcome, MoveReply
 from .ports import RunTransport
-from .runs import LastingRuns, Run
-from .wishes import begun_wish
+from .runs import Run, RunRecovery
+from .wishes import started_stream_request
 
 log = logbook.Logger("handover")
 TICK_S = 0.1
@@ -46,7 +46,7 @@
         The engines and their state.
     directory : Directory
         Finds engines with the weights of a run.
-    lasting : LastingRuns
+    lasting : RunRecovery
         Tracks the active runs.
     transport : RunTransport
         Asks engines to move runs.
@@ -76,7 +76,7 @@
         self,
         fleet: Fleet,
         directory: Directory,
-        lasting: LastingRuns,
+        lasting: RunRecovery,
         transport: RunTransport,
         try_retry: t.Callable[[str], bool],
         clock: t.Callable[[], float],
@@ -261,7 +261,7 @@
             found = await self._directory.place(
                 service,
                 key,
-                wish=begun_wish(job, self._clock()),
+                wish=started_stream_request(job, self._clock()),
                 excluded=(run.replica.name,),
                 only=None,
                 absent="",
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/kept.py
@@ -37,7 +37,7 @@
 random sample would seldom include an engine that has the prefixes cached."""
 
 
-class Kept:
+class PrefixCache:
     """Estimates how much of a prompt an engine has cached.
 
     Parameters
@@ -63,12 +63,12 @@
             return None
         return prefix_chain(req.key.text, owner, req.parts)
 
-    def at(self, replica: str, work: RequestWork) -> RequestWork:
+    def work_at(self, replica: str, work: RequestWork) -> RequestWork:
         """Return the work of a request on a given engine, less the tokens cached there."""
         cached = self.parts.estimate_cached_tokens(replica, work.chain, self._clock())
         return work if cached == work.kept_tokens else replace(work, kept_tokens=cached)
 
-    def at_each(
+    def work_at_each(
         self, replicas: t.Collection[Replica], work: RequestWork, speed: float
     ) -> list[tuple[Replica, RequestWork]]:
         """Return the work of a request on each of some engines, for a choice among them.
@@ -85,26 +85,28 @@
         speed : float
             Prefill speed of the engines, in tokens a second.
         """
-        home = self.home(work, (rep.name for rep in replicas))
-        return [(rep, self.at_least(rep.name, work, home, speed)) for rep in replicas]
+        home = self.preferred_engine(work, (rep.name for rep in replicas))
+        return [(rep, self.work_at_preferred(rep.name, work, home, speed)) for rep in replicas]
 
-    def home(self, work: RequestWork, replicas: t.Iterable[str]) -> str:
+    def preferred_engine(self, work: RequestWork, replicas: t.Iterable[str]) -> str:
         """Return the home of a request's chain among some engines; empty if there is none."""
         if work.chain is None:
             return ""
         names = list(replicas)
         return preferred_engine(work.chain, names) if len(names) < HOME_ENGINE_LIMIT else ""
 
-    def at_least(self, replica: str, work: RequestWork, home: str, speed: float) -> RequestWork:
+    def work_at_preferred(
+        self, replica: str, work: RequestWork, home: str, speed: float
+    ) -> RequestWork:
         """Return the work of a request on an engine, assuming that its home has it cached."""
-        known = self.at(replica, work)
+        known = self.work_at(replica, work)
         if work.chain is None or replica != home:
             return known
         return replace(
             work, kept_tokens=preferred_engine_tokens(work.chain, known.kept_tokens, speed)
         )
 
-    def mark(self, work: RequestWork, engines: int, rng: random.Random) -> int | None:
+    def selection_digest(self, work: RequestWork, engines: int, rng: random.Random) -> int | None:
         """Return the digest that selects an engine for a request; None for a random choice."""
         if work.chain is None:
             return None
@@ -129,7 +131,7 @@
         self.parts.note_sent(replica, work.prompt_tokens, memory_tokens)
         self.parts.note(replica, work.chain, self._clock())
 
-    def note_told(self, replica: str, chain: PrefixChain | None, tokens: int) -> None:
+    def note_reported(self, replica: str, chain: PrefixChain | None, tokens: int) -> None:
         """Record how many tokens of a chain an engine has cached, as reported by a planner."""
         self.parts.note(replica, chain, self._clock(), tokens)
 
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/left_runs.py
@@ -1,6 +1,6 @@
 """Stops abandoned runs, so that no request runs on two engines at once.
 
-An engine may keep or requeue a run whose stream broke. `LastingRuns` passes such a run on when its
+An engine may keep or requeue a run whose stream broke. `RunRecovery` passes such a run on when its
 request is to be resumed. Its engine is then polled, most often right after the request was sent to
 another engine, until it has stopped the run or certainly has none.
 """
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -472,10 +472,10 @@
             subtract_queue(subtract_queue(told.queued, own.queued), booked.queued),
             max(0, told.memory_tokens - own.memory - booked.memory),
         )
-        if told.running > load.told_running:
+        if told.running > load.reported_running:
             # Some instance had a first event from it.
             self._fleet.health(told.replica).last_received_at = self._clock()
-        load.told_running = told.running
+        load.reported_running = told.running
 
     def _take_booking(self, answer: pb.Answer) -> None:
         """Take over the state of the replica that an answer names, less what is booked there."""
--- a/packages/gateway/src/gradelug_gateway/moves.py
+++ b/packages/gateway/src/gradelug_gateway/moves.py
@@ -11,7 +11,7 @@
 
     COPIED = "copied"
     """The memory was copied to the target engine."""
-    NO_ROOM = "no room"
+    NO_CAPACITY = "no room"
     """The target has no capacity; if the run was stopped, its engine keeps the memory."""
     NO_RUN = "no run"
     """The engine is not running the request."""
--- a/packages/gateway/src/gradelug_gateway/patience.py
+++ b/packages/gateway/src/gradelug_gateway/patience.py
@@ -12,7 +12,7 @@
 from .limits import Demand
 from .model import Replica
 from .values import RequestValues
-from .wishes import PATIENCE_MARGIN_S
+from .wishes import START_MARGIN_S
 
 RETURNING_WAIT_FRACTION = 0.97
 """A request with less than this fraction of its route's usual wait time is a caller's retry."""
@@ -49,7 +49,7 @@
     def placement_deadline(self, job: Job) -> float:
         """Return until when a request waits to be placed, by the event loop's clock."""
         latest_at = min(job.deadline_at, job.req.arrived_at + job.route.patience_s)
-        return latest_at - PATIENCE_MARGIN_S
+        return latest_at - START_MARGIN_S
 
     def demand(self, job: Job, replica: Replica) -> Demand:
         """Return the urgency and the longest wait of a request for capacity at a replica."""
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -26,15 +26,15 @@
 from gradelug_policy.residency import LoadCandidate, LoadRateLimiter, choose_load_engine
 from gradelug_wire import placement_pb2 as pb
 
-from .copies import Copies
+from .copies import AdapterReplication
 from .departures import DepartureDesk
-from .engine_speeds import SpeedDesk
+from .engine_speeds import SpeedAggregator
 from .engines import Engine, Phase, Place
 from .fair_line import FairQueue
 from .fleet import engine_capacity_of
 from .followers import Follower, Followers, encode_load
 from .holders import EngineIndex, reports_any
-from .kept import Kept, sample_holders
+from .kept import PrefixCache, sample_holders
 from .limit_desk import LimitDesk
 from .loading import DEFAULT_VERSION, Loader, PlannedLoad
 from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
@@ -148,7 +148,7 @@
         self.is_outranked = False
         """Whether an engine has seen a greater fencing token than this planner's."""
         self.engines: dict[str, Engine] = {}
-        self._prefix_cache = Kept(clock)
+        self._prefix_cache = PrefixCache(clock)
         self.index = EngineIndex(self._prefix_cache.parts)
         """Looks up engines by the weights that they hold."""
         self._cells = Cells()
@@ -174,7 +174,7 @@
         )
         """Components that exchange further messages with the gateways."""
         if room is not None:
-            self.parts += (SpeedDesk(service, room.paces, speeds, self._is_prefilling),)
+            self.parts += (SpeedAggregator(service, room.paces, speeds, self._is_prefilling),)
         self.followers = Followers(
             self.engines,
             clock,
@@ -208,7 +208,7 @@
         """Time of the last search for another engine, by weights whose requests have a holder."""
         self.look_from = -math.inf
         """Time before which no such search begins, by the runtime's clock."""
-        self.copies = Copies(self, self._capacity, room) if room is not None else None
+        self.copies = AdapterReplication(self, self._capacity, room) if room is not None else None
         """Adds copies of adapters in demand; None without an `EngineEstimator`."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
@@ -506,13 +506,17 @@
         # of its prefix chain themselves.
         has_recent_updates = self.followers.pacing.news_s <= FRESH_S
         preferred_name = (
-            self._prefix_cache.home(waiter.work, ready_names) if has_recent_updates else ""
+            self._prefix_cache.preferred_engine(waiter.work, ready_names)
+            if has_recent_updates
+            else ""
         )
         for name, engine in holders:
             slot = engine.places.get(waiter.key)
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
                 continue
-            work = self._prefix_cache.at_least(name, waiter.work, preferred_name, self.speed)
+            work = self._prefix_cache.work_at_preferred(
+                name, waiter.work, preferred_name, self.speed
+            )
             cost = self._cost_s(engine, waiter, work) - prefill_delay_saved_s(
                 work.kept_tokens, self.speed
             )
@@ -523,7 +527,7 @@
                 best, min_cost = engine, cost
         if best is None:
             return False
-        work = self._prefix_cache.at(best.replica.name, waiter.work)
+        work = self._prefix_cache.work_at(best.replica.name, waiter.work)
         if self._should_wait(waiter, best, self._cost_s(best, waiter, work), now):
             return False
         slot = best.places[waiter.key]
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -12,7 +12,7 @@
 from .poison import Judge, PoisonGuard
 from .poison_desk import PoisonDesk, PoisonTeller
 from .poison_record import PoisonRecord
-from .replica_ends import EndWatch
+from .replica_ends import EndDetector
 
 
 class PoisonControl:
@@ -50,13 +50,13 @@
         self._clock = clock
         self.guard = PoisonGuard(clock, self._judge, self._hurry)
         self.record = PoisonRecord(kv, mirror, clock)
-        self.ends = EndWatch(pool, state, clock, self.guard.note_end)
+        self.ends = EndDetector(pool, state, clock, self.guard.note_end)
 
     def look(self) -> None:
         """Follow what the platform tells: what is blocked, and which replicas are gone."""
         if self.record.look():
             self.guard.stored = self.record.findings
-        self.ends.look()
+        self.ends.poll()
 
     def teller(self, service: str) -> PoisonTeller:
         """Return what tells the planner of a service, if that is the one that all are told to."""
--- a/packages/gateway/src/gradelug_gateway/replica_ends.py
+++ b/packages/gateway/src/gradelug_gateway/replica_ends.py
@@ -14,9 +14,9 @@
 from .model import FleetState, Replica
 
 log = logbook.Logger("replica ends")
-CONNECT_S = 0.35
+CHECK_CONNECT_TIMEOUT_S = 0.35
 """An ended process refuses connections within a round trip; a lost packet is not waited for."""
-WORD_S = 8.0
+REMOVAL_REPORT_S = 8.0
 """Time within which the platform reports an unreachable replica as removed: its entry expires after
 three missed heartbeats (3.6 s), and instances of large fleets poll every 2.2 s."""
 NEW_CONN_IDLE_S = -1.0
@@ -37,7 +37,7 @@
         self.task: asyncio.Task[None] | None = None
 
 
-class EndWatch:
+class EndDetector:
     """Distinguishes the end of a replica from the end of a connection.
 
     Links reset connections, responses get lost, and replicas close connections that are read too
@@ -56,7 +56,7 @@
         Receives the incarnation of an ended replica, and the requests there with their weights.
     """
 
-    __slots__ = ("_clock", "_doubts", "_note_end", "_pool", "_state", "ended")
+    __slots__ = ("_clock", "_checks", "_note_end", "_pool", "_state", "ended")
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._state = state
         self._clock = clock
         self._note_end = note_end
-        self._doubts: dict[str, _EndCheck] = {}
+        self._checks: dict[str, _EndCheck] = {}
         self.ended = 0
         """Number of replicas that ended while they had requests of this gateway."""
 
@@ -79,9 +79,9 @@
         if known is None or known.leaving:
             # No request causes a planned end: it is announced, or the entry is removed first.
             return
-        check = self._doubts.get(_incarnation(replica))
+        check = self._checks.get(_incarnation(replica))
         if check is None:
-            check = self._doubts[_incarnation(replica)] = _EndCheck(replica, self._clock())
+            check = self._checks[_incarnation(replica)] = _EndCheck(replica, self._clock())
             check.task = asyncio.create_task(self._check(check))
         check.weights[mark] = max(weight, check.weights.get(mark, 0.0))
         if check.has_ended:
@@ -89,31 +89,33 @@
 
     def note_refused(self, replica: Replica) -> None:
         """Record that a replica refuses connections."""
-        check = self._doubts.get(_incarnation(replica))
+        check = self._checks.get(_incarnation(replica))
         if check is not None:
             self._confirm(check, "connection refused")
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Confirm ends that the platform reports, and drop checks that have expired."""
         now = self._clock()
-        for incarnation, check in list(self._doubts.items()):
+        for incarnation, check in list(self._checks.items()):
             known = self._state.replicas.get(check.replica.name)
             if known is None or known.born != check.replica.born:
                 self._confirm(check, "removed or restarted according to the platform")
-            if now - check.since > WORD_S:
-                del self._doubts[incarnation]
+            if now - check.since > REMOVAL_REPORT_S:
+                del self._checks[incarnation]
 
     async def _check(self, check: _EndCheck) -> None:
         """Open a connection to a replica: success clears it, a refusal confirms its end."""
         try:
-            conn = await self._pool.acquire(check.replica.address, CONNECT_S, NEW_CONN_IDLE_S)
+            conn = await self._pool.acquire(
+                check.replica.address, CHECK_CONNECT_TIMEOUT_S, NEW_CONN_IDLE_S
+            )
         except ConnectRefused:
             self._confirm(check, "connection refused")
         except ConnectFailed as exc:
             log.info("end of replica not confirmed", replica=check.replica.name, why=str(exc))
         else:
             conn.close()
-            self._doubts.pop(_incarnation(check.replica), None)
+            self._checks.pop(_incarnation(check.replica), None)
 
     def _confirm(self, check: _EndCheck, why: str) -> None:
         if check.has_ended:
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -13,7 +13,7 @@
 class ReplicaLoad:
     """Counts of requests at a replica: those of this instance and those reported by others."""
 
-    __slots__ = ("memory", "others", "running", "starting", "queued", "told_running")
+    __slots__ = ("memory", "others", "running", "starting", "queued", "reported_running")
 
     def __init__(self) -> None:
         self.memory = 0
@@ -26,7 +26,7 @@
         """Prompt tokens of the starting requests, by urgency."""
         self.others = ReportedLoad()
         """Load from other instances."""
-        self.told_running = 0
+        self.reported_running = 0
         """Running requests of all instances, as last reported by the planner."""
 
     def cost(self) -> float:
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -35,7 +35,7 @@
 """Links drop idle pooled connections silently; the second call opens a new one."""
 
 
-def asked_version(fleet: Fleet, job: Job, replica: Replica) -> int:
+def expected_version(fleet: Fleet, job: Job, replica: Replica) -> int:
     """Return the version that a replica must have for a request; `UNKNOWN_VERSION` for any.
 
     A request that is resumed from memory requires the version that produced it. Any other requires
@@ -149,7 +149,7 @@
             namings.superseded_for_s(key, versions.adapter, self._clock()), self._version_s
         )
 
-    def can_load(self, copy: KvCopy, key: AdapterKey | None) -> bool:
+    def can_load_versions(self, copy: KvCopy, key: AdapterKey | None) -> bool:
         """Return whether a load on the engine that keeps a copy can provide its weights.
 
         It cannot if the engine reported newer weights, whose announcement may not have arrived
@@ -202,7 +202,7 @@
                 return next((held.version for held in holdings if held.key == key), None)
         return None
 
-    def give_up(self, copy: KvCopy) -> None:
+    def release(self, copy: KvCopy) -> None:
         """Free the memory of a copy that will not be resumed, in the background.
 
         Backup copies are left alone: engines free those by themselves.
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -1,7 +1,7 @@
 """Recovery of streaming runs whose connection or engine is lost.
 
 `Sender` creates a `Run` for each recoverable request that it sends and reports its progress to
-`LastingRuns`, which keeps track of active runs, decides which of them are copied to another engine,
+`RunRecovery`, which keeps track of active runs, decides which of them are copied to another engine,
 and finds the copy of a run's memory from which a broken stream is resumed.
 """
 
@@ -66,7 +66,7 @@
         "sent_at",
         "copy_failed",
         "events_before",
-        "first_at",
+        "first_event_at",
         "handover",
         "has_weight_mismatch",
         "is_abandoned",
@@ -84,7 +84,7 @@
         self.job = job
         self.replica = replica
         self.sent_at = sent_at
-        self.first_at: float | None = None
+        self.first_event_at: float | None = None
         """Time at which the first event was received."""
         self.events_before = job.events.last_event
         self.handover: asyncio.Future[KvCopy | None] | None = None
@@ -114,9 +114,9 @@
         return self.job.events.last_event - self.events_before
 
     @property
-    def must_be_found(self) -> bool:
+    def needs_confirmed_stop(self) -> bool:
         """Whether abandoning it could end its request or leave two engines working on it."""
-        return self.first_at is not None or not self.job.may_repeat()
+        return self.first_event_at is not None or not self.job.may_repeat()
 
     @property
     def request_has_events(self) -> bool:
@@ -124,7 +124,7 @@
         return self.job.events.last_event > 0
 
 
-class LastingRuns:
+class RunRecovery:
     """Tracks the recoverable runs of this instance and resumes those whose stream breaks.
 
     Parameters
@@ -185,7 +185,7 @@
         self.runs: dict[str, set[Run]] = {}
         """Runs that have produced events, by replica name."""
 
-    def is_lasting(self, job: Job) -> bool:
+    def is_recoverable(self, job: Job) -> bool:
         """Return whether a request's run can be resumed after a break."""
         spec = job.service.engine
         return job.route.streaming and spec is not None and (spec.moves or spec.backups)
@@ -197,7 +197,7 @@
             job.backup = self._choose_backup(job, replica)
         return Run(job, replica, self._clock())
 
-    def note_asked(self, run: Run, version: int) -> None:
+    def note_expected_version(self, run: Run, version: int) -> None:
         """Record the weight version that a request named, which its engine verifies."""
         key = run.job.req.key
         if key is None or run.job.copy is not None or not version:
@@ -205,7 +205,7 @@
         model, adapter = (UNKNOWN_VERSION, version) if key.adapter else (version, UNKNOWN_VERSION)
         self._set_versions(run, WeightVersions(model, adapter))
 
-    def note_weights(self, run: Run, reported_version: ReportedVersion) -> None:
+    def note_reported_version(self, run: Run, reported_version: ReportedVersion) -> None:
         """Record the base model version that the engine of a run reports at its start.
 
         Raises
@@ -231,7 +231,7 @@
                 f"engine has base model {reported_version.version}, memory has {used.versions.text}"
             )
 
-    def note_change(self, run: Run, reported_version: ReportedVersion) -> None:
+    def note_version_change(self, run: Run, reported_version: ReportedVersion) -> None:
         """Record a base model version that an event of a run reports.
 
         The backup copy is discarded: all or part of it was made by the previous version.
@@ -257,8 +257,8 @@
         """Record that events of a run were received."""
         now = self._clock()
         job = run.job
-        if run.first_at is None:
-            run.first_at = now
+        if run.first_event_at is None:
+            run.first_event_at = now
             self.runs.setdefault(run.replica.name, set()).add(run)
             if job.resumed_copy is not None:
                 self._note_resumed(run, job.resumed_copy, now)
@@ -269,12 +269,12 @@
         """Record that a run's stream completed."""
         self._record_stream(run, broken=False)
         spec = run.job.service.engine
-        if run.first_at is None or spec is None:
+        if run.first_event_at is None or spec is None:
             return
         generated_tokens = run.events * spec.copy_terms.event_tokens
         tokens = run.job.work.prompt_tokens + generated_tokens
         self.run_statistics(run.replica.service).note(
-            tokens, generated_tokens, self._clock() - run.first_at
+            tokens, generated_tokens, self._clock() - run.first_event_at
         )
 
     def leave(self, run: Run) -> None:
@@ -315,7 +315,7 @@
         if run.stopped is not None:
             job.copy = run.stopped
             return
-        if run.first_at is None or self._clock() - run.first_at < COPY_READY_AFTER_S:
+        if run.first_event_at is None or self._clock() - run.first_event_at < COPY_READY_AFTER_S:
             # The copy has probably not arrived. An engine without it rejects the request, or runs
             # it from the start if it is one that loses responses.
             job.backup = None
@@ -325,7 +325,7 @@
         ):
             # A run without events was still in prefill or queued. Waiting for it would delay
             # resumption by 0.5 to 0.7 s on engines that have dropped it.
-            had_events = run.first_at is not None
+            had_events = run.first_event_at is not None
             may_have_queued = had_events and may_be_queued(
                 self._clock() - job.last_event_at, job.route.gap_s
             )
@@ -334,7 +334,7 @@
                 await self._await_requeued(run)
         self._watch_abandoned(run)
 
-    async def stop_silent(self, run: Run) -> bool:
+    async def stop_stalled(self, run: Run) -> bool:
         """Stop a stalled run; return whether its request can be resumed without running twice."""
         if run.handover is not None:
             return (await asyncio.shield(run.handover)) is not None
@@ -389,7 +389,7 @@
         if target is not None:
             self._abandoned.watch(AbandonedRun(job, run.replica, target, self._clock()))
 
-    def forget_gone(self) -> None:
+    def forget_removed_engines(self) -> None:
         """Discard the break records of engines that were removed."""
         for record in self._records.values():
             record.keep_only(self._fleet.state.replicas)
@@ -403,7 +403,9 @@
     def _can_request_stop(self, run: Run) -> bool:
         spec = run.job.service.engine
         known = run.replica.name in self._fleet.state.replicas
-        has_events = run.first_at is not None or (run.request_has_events and run.job.may_repeat())
+        has_events = run.first_event_at is not None or (
+            run.request_has_events and run.job.may_repeat()
+        )
         return spec is not None and spec.moves and known and has_events
 
     async def _stop_run(self, run: Run) -> KvCopy | None:
@@ -456,9 +458,9 @@
 
     def _record_stream(self, run: Run, broken: bool) -> None:
         now = self._clock()
-        lasted_s = now - (run.sent_at if run.first_at is None else run.first_at)
+        lasted_s = now - (run.sent_at if run.first_event_at is None else run.first_event_at)
         # A copy cannot help with a break before the first event.
-        counts = broken and run.first_at is not None
+        counts = broken and run.first_event_at is not None
         self._break_record(run.replica.service).note(run.replica.name, counts, lasted_s, now)
 
     def _break_record(self, service: str) -> BreakRecord:
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -34,9 +34,9 @@
 from .model import AdapterKey, Attempt, KvCopyKind, Repeat, Replica, Verdict
 from .poison import PoisonGuard
 from .ports import Dialect
-from .replica_ends import EndWatch
-from .run_weights import asked_version
-from .runs import LastingRuns
+from .replica_ends import EndDetector
+from .run_weights import expected_version
+from .runs import RunRecovery
 
 log = logbook.Logger("sending")
 T = t.TypeVar("T")
@@ -96,11 +96,11 @@
     max_idle_s : float
         Maximum idle time, in seconds, of a pooled connection that carries a request which must
         not run twice.
-    lasting : LastingRuns or None
+    lasting : RunRecovery or None
         Continues runs after their connection is lost; None disables that.
     guard : PoisonGuard or None
         Blocks requests that make replicas end; None for a guard of its own.
-    ends : EndWatch or None
+    ends : EndDetector or None
         Detects ended replicas; None disables that.
     note_leaving : callable
         Called with each replica whose response announces that it is shutting down.
@@ -131,9 +131,9 @@
         clock: t.Callable[[], float],
         has_retry: t.Callable[[str], bool] = lambda service: True,
         max_idle_s: float = math.inf,
-        lasting: LastingRuns | None = None,
+        lasting: RunRecovery | None = None,
         guard: PoisonGuard | None = None,
-        ends: EndWatch | None = None,
+        ends: EndDetector | None = None,
         note_leaving: t.Callable[[Replica], None] = lambda replica: None,
     ) -> None:
         self._note_leaving = note_leaving
@@ -220,7 +220,7 @@
             raise
         load = self._fleet.load(replica.name)
         key = job.req.key
-        work = self._fleet.prefix_cache.at(replica.name, self._with_urgency(job, replica))
+        work = self._fleet.prefix_cache.work_at(replica.name, self._with_urgency(job, replica))
         log.info(
             "placed",
             id=job.req.id,
@@ -228,7 +228,7 @@
             route=job.route.name,
             replica=replica.name,
             weights=key.text if key is not None else "",
-            asked=asked_version(self._fleet, job, replica),
+            asked=expected_version(self._fleet, job, replica),
             waited_s=round(job.placed_s, 3),
             cost=round(self._fleet.cost(replica, now), 2),
             ahead=load.busyness().tokens_ahead(job.work.urgency),
@@ -237,7 +237,7 @@
         )
         expected_s = self._fleet.expected_s(replica, load.busyness(), work)
         exchange = Exchange(job, replica, conn, work, load.busyness(), now, expected_s)
-        if self._lasting is not None and self._lasting.is_lasting(job):
+        if self._lasting is not None and self._lasting.is_recoverable(job):
             exchange.run = self._lasting.begin(job, replica)
         load.starting += 1
         load.queued[work.urgency] += work.prefill_tokens
@@ -385,7 +385,7 @@
         job, replica = exchange.job, exchange.replica
         attempt = self._attempt(job, replica, exchange.work)
         if exchange.run is not None and self._lasting is not None:
-            self._lasting.note_asked(exchange.run, attempt.version)
+            self._lasting.note_expected_version(exchange.run, attempt.version)
         try:
             exchange.conn.send(self._dialect.outgoing(job.req, attempt))
         except ConnectFailed:
@@ -408,7 +408,7 @@
             self._apply_response_signals(replica, head, sent_at)
         if verdict is Verdict.ANSWERED and job.route.streaming:
             if exchange.run is not None and self._lasting is not None:
-                self._lasting.note_weights(exchange.run, self._dialect.weights(head))
+                self._lasting.note_reported_version(exchange.run, self._dialect.weights(head))
             return await self._stream(exchange, head)
         body = await exchange.conn.body(MAX_RESPONSE_BYTES)
         exchange.release(self._pool, head)
@@ -438,7 +438,7 @@
         return Attempt(
             replica,
             left_s,
-            asked_version(self._fleet, job, replica),
+            expected_version(self._fleet, job, replica),
             work.urgency,
             job.events.last_event,
             job.principal,
@@ -491,7 +491,7 @@
 
     def _must_find_run(self, exchange: Exchange) -> bool:
         """Return whether abandoning a silent replica could fail a request or run it twice."""
-        return exchange.run is not None and exchange.run.must_be_found
+        return exchange.run is not None and exchange.run.needs_confirmed_stop
 
     async def _try_stop_run(self, exchange: Exchange) -> bool:
         """Stop a silent run if it can continue from its KV cache; return whether it was stopped.
@@ -502,7 +502,7 @@
         both.
         """
         lasting, run = self._lasting, exchange.run
-        return lasting is not None and run is not None and await lasting.stop_silent(run)
+        return lasting is not None and run is not None and await lasting.stop_stalled(run)
 
     def _silence_timeouts_s(self, exchange: Exchange) -> tuple[float | None, float | None]:
         job = exchange.job
@@ -510,7 +510,7 @@
             return SILENCE_TIMEOUT_TARGETS * job.route.target_s, None
         if job.route.repeat is Repeat.RESUME:
             return STREAM_SILENCE_TIMEOUT_S, BUSY_STREAM_SILENCE_TIMEOUT_S
-        if exchange.run is not None and exchange.run.first_at is not None:
+        if exchange.run is not None and exchange.run.first_event_at is not None:
             return SILENCE_TIMEOUT_GAPS * job.route.gap_s, STREAM_SILENCE_TIMEOUT_S
         return None, None
 
@@ -565,7 +565,7 @@
                 exchange.first_at = self._clock()
             exchange.last_event_at = self._clock()
             if exchange.run is not None and self._lasting is not None:
-                self._lasting.note_change(exchange.run, self._dialect.event_weights(events))
+                self._lasting.note_version_change(exchange.run, self._dialect.event_weights(events))
                 self._lasting.note_event(exchange.run)
             if not job.inc.started:
                 job.inc.begin(head.status, end_to_end(head.headers))
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -30,11 +30,11 @@
 from .quotas import Applicant, Quotas
 from .resting import check_backoff
 from .routing import RouteTable, choose_service
-from .runs import LastingRuns
+from .runs import RunRecovery
 from .sending import Sender
 from .share_tally import ShareTally
 from .values import RequestValues, mark
-from .wishes import begun_wish
+from .wishes import started_stream_request
 
 log = logbook.Logger("serving")
 ABSENT_RETRY_DELAY_S = 0.03
@@ -82,7 +82,7 @@
         Returns whether a first configuration is being fetched.
     uses_shared_health : bool
         Whether plain requests are balanced by the health data that all instances share.
-    lasting : LastingRuns or None
+    lasting : RunRecovery or None
         Continues interrupted runs from their saved KV cache; None disables that.
     tally : ShareTally or None
         Counts the engine use of each party.
@@ -125,7 +125,7 @@
         quotas: Quotas,
         expects_config: t.Callable[[], bool] = lambda: False,
         uses_shared_health: bool = True,
-        lasting: LastingRuns | None = None,
+        lasting: RunRecovery | None = None,
         tally: ShareTally | None = None,
     ) -> None:
         self._tally = tally or ShareTally(clock, meters, lambda: False)
@@ -207,7 +207,7 @@
     def _release_kv_copy(self, job: Job) -> None:
         """Release the saved KV cache of a request that ended without using it."""
         if self._lasting is not None and job.copy is not None and job.copy is not job.resumed_copy:
-            self._lasting.weights.give_up(job.copy)
+            self._lasting.weights.release(job.copy)
 
     async def _await_config(self, req: Request) -> None:
         """Wait for the first configuration while it is being fetched."""
@@ -410,7 +410,7 @@
         )
         if holds and job.absent != holder.name:
             return holder
-        if weights is None or not weights.can_load(copy, key):
+        if weights is None or not weights.can_load_versions(copy, key):
             raise Refused(
                 "the weights of the saved KV cache cannot be loaded", DEFAULT_RETRY_AFTER_S
             )
@@ -436,7 +436,7 @@
     def _build_wish(self, job: Job) -> Wish:
         route, req = job.route, job.req
         if job.inc.started:
-            return begun_wish(job, self._clock(), self._tally.party(job))
+            return started_stream_request(job, self._clock(), self._tally.party(job))
         return Wish(
             rank=job.rank,
             value=self._values.value(route, job.rank, req),
@@ -504,7 +504,7 @@
         bool
             Whether the run continues; False if no KV cache or no retry is available.
         """
-        if self._lasting is None or not self._lasting.is_lasting(job) or outcome is Outcome.RAN:
+        if self._lasting is None or not self._lasting.is_recoverable(job) or outcome is Outcome.RAN:
             return False
         was_used_last = job.copy is not None and job.copy is job.resumed_copy
         if was_used_last and job.copy is not None and outcome is Outcome.UNKNOWN:
@@ -536,7 +536,7 @@
         """Return whether loading weights at the engine with the KV cache lets the run continue."""
         if outcome is not Outcome.ABSENT or job.copy is None or self._lasting is None:
             return False
-        return self._lasting.weights.can_load(job.copy, job.req.key)
+        return self._lasting.weights.can_load_versions(job.copy, job.req.key)
 
     def _drop_kv_copy(self, job: Job, copy: KvCopy) -> None:
         """Discard a saved KV cache and fall back to another one of the run, if there is one."""
@@ -551,7 +551,7 @@
             )
             return
         if self._lasting is not None:
-            self._lasting.weights.give_up(copy)
+            self._lasting.weights.release(copy)
         job.copy, job.backup = job.backup, None
 
     async def _prepare_retry(self, job: Job, replica: Replica, outcome: Outcome) -> None:
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -189,7 +189,7 @@
     def _add_copies(self) -> None:
         planner, now = self._planner, self._clock()
         if planner.copies is not None:
-            planner.copies.bring(now)
+            planner.copies.load_copies(now)
         threshold = MAX_PREFILL_FRACTION_PER_COPY * planner.speed
         planner.hot = {key for key in planner.hot if planner.tokens.rate(key.text, now) > threshold}
         overloaded = [
--- a/packages/gateway/src/gradelug_gateway/wishes.py
+++ b/packages/gateway/src/gradelug_gateway/wishes.py
@@ -9,11 +9,11 @@
 
 STARTED_STREAM_VALUE = 3.0
 """Value of a started stream: an interruption costs its caller more than a refusal."""
-PATIENCE_MARGIN_S = 0.25
+START_MARGIN_S = 0.25
 """Minimum time between the arrival of the weights and the caller's timeout."""
 
 
-def begun_wish(job: Job, now: float, party: Party = NOBODY) -> Wish:
+def started_stream_request(job: Job, now: float, party: Party = NOBODY) -> Wish:
     """Return the placement request of a started stream whose caller awaits the next event.
 
     Parameters
@@ -26,7 +26,7 @@
         The owner and the kind of the request.
     """
     route = job.route
-    until = min(job.deadline_at, now + route.patience_s) - PATIENCE_MARGIN_S
+    until = min(job.deadline_at, now + route.patience_s) - START_MARGIN_S
     target_at = now + route.target_s
     return Wish(
         job.rank, STARTED_STREAM_VALUE, True, target_at, until, job.work, True, party, job.req.id
--- a/tests/run_engines.py
+++ b/tests/run_engines.py
@@ -121,7 +121,7 @@
                 conn.write(b"9\r\nid: 99\nda\r\n")
             conn.abort()
 
-    def hush(self):
+    def silence(self):
         """Silently drop all further data on its open connections."""
         for conn in list(self.server.connections):
             conn.transport.write = lambda data: None
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -27,7 +27,7 @@
     Snapshot,
 )
 from gradelug_gateway.quotas import Quotas
-from gradelug_gateway.runs import LastingRuns
+from gradelug_gateway.runs import RunRecovery
 from gradelug_gateway.sending import Sender
 from gradelug_gateway.serving import RequestPipeline
 from gradelug_http import HttpPool, ServerLimits
@@ -124,7 +124,7 @@
         runs = PlatformRuns(HttpPool(clock, self.net.dial))
         self.lasting = self.handover = None
         if lasting:
-            self.lasting = LastingRuns(
+            self.lasting = RunRecovery(
                 self.fleet, runs, meters, clock, budgets.has_retry, random.Random(1), version_s
             )
             self.handover = Handover(
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -1,6 +1,6 @@
 """Exchange of engine speeds between gateways and planners."""
 
-from gradelug_gateway.engine_speeds import PauseTally, SpeedDesk, SpeedTeller
+from gradelug_gateway.engine_speeds import PauseTally, SpeedAggregator, SpeedReporter
 from gradelug_gateway.followers import Follower
 from gradelug_policy.engine_pace import SlowEngineDetector
 from gradelug_policy.reading import PrefillSpeeds
@@ -20,11 +20,11 @@
     def __init__(self, gateways=8, engines=6):
         self.clock = Clock()
         self.speeds = PrefillSpeeds()
-        self.aggregator = SpeedDesk("llm", SlowEngineDetector(), self.speeds)
+        self.aggregator = SpeedAggregator("llm", SlowEngineDetector(), self.speeds)
         self.tallies = [PauseTally() for _ in range(gateways)]
         self.paces = [SlowEngineDetector() for _ in range(gateways)]
         self.reporters = [
-            SpeedTeller("llm", tally, paces, self.speeds, self.clock)
+            SpeedReporter("llm", tally, paces, self.speeds, self.clock)
             for tally, paces in zip(self.tallies, self.paces, strict=True)
         ]
         self.follower = Follower(1, "g", "")
@@ -80,7 +80,7 @@
 
 def test_pauses_during_prefill_do_not_make_an_engine_slow():
     pair = Pair()
-    pair.aggregator = SpeedDesk(
+    pair.aggregator = SpeedAggregator(
         "llm", SlowEngineDetector(), pair.speeds, lambda replica: replica == "e0"
     )
     for _ in range(10):
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -4,7 +4,7 @@
 
 import pytest
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.kept import Kept, decode_chain, encode_chain
+from gradelug_gateway.kept import PrefixCache, decode_chain, encode_chain
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import (
     AdapterKey,
@@ -54,7 +54,7 @@
             )
             seen = []
 
-            class RecordingCache(Kept):
+            class RecordingCache(PrefixCache):
                 def chain(self, req, owner):
                     seen.append(req.parts)
 
@@ -71,7 +71,7 @@
         assert decode_chain("m/a", encode_chain(None)) is None
 
 
-class KeptBench(PlannerBench):
+class PrefixCacheBench(PlannerBench):
     """A planner with two engines that both hold the same adapter."""
 
     async def answer(self, **more):
@@ -82,7 +82,7 @@
 
 class TestPlanner:
     def new_bench(self):
-        return KeptBench(spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
+        return PrefixCacheBench(spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
 
     def play(self, scenario):
         async def whole():
@@ -187,7 +187,7 @@
 
     def test_few_of_many_engines_cache_the_same_prefixes(self):
         async def scenario():
-            bench = KeptBench(80, spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
+            bench = PrefixCacheBench(80, spec=ROOM_SPEC, room=EngineEstimator(PrefillSpeeds()))
             await asyncio.sleep(1.0)
             replicas = set()
             for number in range(40):
@@ -225,7 +225,7 @@
     clock, state = Clock(), FleetState()
     for name in ("e0", "e1", "e2"):
         state.replicas[name] = Replica(name, "llm", f"{name}:1", "hall", born=1)
-    fleet = Fleet(state, "hall", clock, has_room=has_room, kept=Kept(clock, is_on))
+    fleet = Fleet(state, "hall", clock, has_room=has_room, kept=PrefixCache(clock, is_on))
     fleet.set_weight_locations("llm", KEY, {"e0": 1, "e1": 1, "e2": 1})
     fleet.detect_restarts()
     return fleet
@@ -342,7 +342,7 @@
     def test_queues_count_uncached_tokens_and_return_to_zero(self):
         async def scenario():
             bench = Bench(route(Repeat.RESUME, True, 2, "llm"), [[[STREAM]]], HELD, engine=True)
-            bench.fleet.prefix_cache = Kept(bench.clock)
+            bench.fleet.prefix_cache = PrefixCache(bench.clock)
             for _ in range(2):
                 bench.client(4000, ADAPTER + HEADERS % PREFIX)
                 await asyncio.sleep(0.05)
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -86,7 +86,7 @@
             client = world.ask("q1")
             await asyncio.sleep(1.55)
             first = runner(world, "q1")
-            first.hush()
+            first.silence()
             await asyncio.sleep(3.0)
             assert is_whole(client)
             assert world.ledger.runs_started == {"q1": 2}
@@ -112,7 +112,7 @@
             world = RunWorld(repeat=Repeat.RESUME, replicas=3)
             client = await begin(world)
             first = runner(world, "q1")
-            first.hush()
+            first.silence()
             first.ignores_calls = True
             await asyncio.sleep(5.0)
             assert is_whole(client)
@@ -169,7 +169,7 @@
             client = world.ask("q1")
             await asyncio.sleep(0.02)
             first = runner(world, "q1")
-            first.hush()
+            first.silence()
             await asyncio.sleep(1.6)
             second = next(one for one in world.engines_running("q1") if one is not first)
             second.reset()
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -4,7 +4,7 @@
 
 import pytest
 from engine_model import SLOTS
-from gradelug_gateway.engine_speeds import SpeedDesk
+from gradelug_gateway.engine_speeds import SpeedAggregator
 from gradelug_gateway.engines import Phase
 from gradelug_gateway.model import AdapterKey, BaseModel, EngineSpec
 from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S, EngineEstimator
@@ -118,7 +118,7 @@
             assert await bench.answered_replica(ticket, 0.02) == holder
             await asyncio.sleep(1.0)
             assert bench.holders("a") == [holder]
-            assert not any(isinstance(part, SpeedDesk) for part in bench.planner.parts)
+            assert not any(isinstance(part, SpeedAggregator) for part in bench.planner.parts)
             await bench.stop()
 
         run(scenario)
@@ -170,7 +170,7 @@
             planner, key = bench.planner, AdapterKey("m", "a")
             for is_waiting, copies in ((True, 1), (False, 2)):
                 planner.has_queue = is_waiting
-                planner.copies.bring(bench.clock())
+                planner.copies.load_copies(bench.clock())
                 assert sum(key in engine.places for engine in planner.engines.values()) == copies
             await bench.stop()
 
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -67,7 +67,7 @@
             (404, MoveOutcome.NO_RUN),
             (409, MoveOutcome.BUSY),
             (421, MoveOutcome.NO_RUN),
-            (503, MoveOutcome.NO_ROOM),
+            (503, MoveOutcome.NO_CAPACITY),
             (500, MoveOutcome.LOST),
         ],
     )
@@ -78,7 +78,7 @@
 
     def test_a_run_that_was_stopped_without_room_elsewhere_has_its_handle(self):
         reply, _ = move([[answer(503, b'{"handle":"h2","CreateRevision":3}')]])
-        assert (reply.outcome, reply.handle) == (MoveOutcome.NO_ROOM, "h2")
+        assert (reply.outcome, reply.handle) == (MoveOutcome.NO_CAPACITY, "h2")
 
     @pytest.mark.parametrize("script", [[["reset"]], [[]]])
     def test_silence_leaves_it_in_doubt(self, script):
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -21,7 +21,7 @@
 )
 from gradelug_gateway.poison_desk import REPEAT_S, PoisonDesk, PoisonTeller
 from gradelug_gateway.poison_record import KEY, PoisonRecord
-from gradelug_gateway.replica_ends import WORD_S, EndWatch
+from gradelug_gateway.replica_ends import REMOVAL_REPORT_S, EndDetector
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_policy.poison import BEGUN, GATHER_S, WAITING, EndLedger
 from gradelug_standins.kv import MemoryKv
@@ -163,7 +163,7 @@
         self.state.replicas["e1"] = self.replica
         clock = asyncio.get_running_loop().time
         pool = HttpPool(clock, self.net.dial)
-        self.watch = EndWatch(pool, self.state, clock, lambda *told: self.found.append(told))
+        self.watch = EndDetector(pool, self.state, clock, lambda *told: self.found.append(told))
         if replies is not None:
             self.net.servers[self.replica.address] = lambda: RawServer(replies)
 
@@ -191,7 +191,7 @@
             for _ in range(3):
                 ends.watch.note_broken(ends.replica, A, BEGUN)
                 await asyncio.sleep(0.1)
-            ends.watch.look()
+            ends.watch.poll()
             assert ends.found == []
             assert ends.net.dialled == ["10.0.1.1:80"] * 3
 
@@ -216,12 +216,12 @@
             ends.watch._pool._dial = ends.never
             ends.watch.note_broken(ends.replica, A, BEGUN)
             await asyncio.sleep(3.0)
-            ends.watch.look()
+            ends.watch.poll()
             assert ends.found == []
             del ends.state.replicas["e1"]
             if is_reborn:
                 ends.state.replicas["e1"] = Replica("e1", "llm", "10.0.1.1:80", "h", born=8)
-            ends.watch.look()
+            ends.watch.poll()
             assert ends.found == [("e1@7", {A: BEGUN})]
 
         run(scenario)
@@ -231,9 +231,9 @@
             ends = Ends()
             ends.watch._pool._dial = ends.never
             ends.watch.note_broken(ends.replica, A, BEGUN)
-            await asyncio.sleep(WORD_S + 0.1)
-            ends.watch.look()
-            assert not ends.watch._doubts
+            await asyncio.sleep(REMOVAL_REPORT_S + 0.1)
+            ends.watch.poll()
+            assert not ends.watch._checks
             assert ends.found == []
 
         run(scenario)
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -42,7 +42,7 @@
             assert refused is lacks_at_first
             world.enter(other)
             world.state.versions[RUN_KEY] = 2
-            first.hush()
+            first.silence()
             await asyncio.sleep(5.0)
             assert not world.ledger.wrong
             assert events(client)[0] == list(range(1, EVENTS + 1))
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -98,7 +98,7 @@
 
     @rule(at=st.integers(0, 3))
     def silence_engine(self, at):
-        self.act(self.engine(at).hush)
+        self.act(self.engine(at).silence)
 
     @rule(at=st.integers(0, 3), delay_s=st.sampled_from([0.05, 0.2]))
     def delay(self, at, delay_s):
@@ -164,7 +164,7 @@
         self.wait(0.1)
         for engine in engines:
             if then != "wait":
-                self.act(engine.reset if then == "reset" else engine.hush)
+                self.act(engine.reset if then == "reset" else engine.silence)
         self.wait(1.5)
 
     @rule(at=st.integers(0, 3), has_capacity=st.booleans())
@@ -202,7 +202,7 @@
             self.act(lambda: broken.notice(2.0))
             self.act(self.add)
         else:
-            self.act(broken.hush if how == "hush" else broken.reset)
+            self.act(broken.silence if how == "hush" else broken.reset)
         self.wait(delay_s)
         engines = list(world.engines.values())
         engines_to_order = {
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -149,7 +149,7 @@
             world = RunWorld()
             client = await begin(world)
             first = runner(world, "q1")
-            first.hush()
+            first.silence()
             await asyncio.sleep(1.3)
             assert runner(world, "q1") is first
             await asyncio.sleep(3.0)
@@ -178,7 +178,7 @@
             first = runner(world, "q1")
             for engine in world.engines.values():
                 engine.has_capacity = engine is first
-            first.hush()
+            first.silence()
             await asyncio.sleep(4.0)
             assert_resumed(client)
 
@@ -257,7 +257,7 @@
         async def scenario():
             world = RunWorld()
             client = await begin(world)
-            runner(world, "q1").hush()
+            runner(world, "q1").silence()
             await asyncio.sleep(0.3)
             client.transport.close()
             await asyncio.sleep(2.0)
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -47,7 +47,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world, model)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.publish_version(renewed, 2)
             await asyncio.sleep(6.0)
@@ -64,7 +64,7 @@
             world = RunWorld()
             client, first = await begin(world, model)
             world.state.versions[renewed] = 2
-            first.hush()
+            first.silence()
             await asyncio.sleep(5.0)
             assert not world.ledger.wrong
             assert events(client)[0] == ALL
@@ -78,7 +78,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.state.versions[MODEL] = 2
             first.start(first.unload(MODEL))
@@ -93,7 +93,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.state.versions[MODEL] = 2
             for engine in world.engines.values():
@@ -113,7 +113,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(5.0)
             assert is_whole(client)
             assert world.directory.uses[first.name, KEY] == [0, 1, 2, 1, 0]
@@ -124,7 +124,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.publish_version(KEY, 2)
             await asyncio.sleep(0.5)
@@ -138,7 +138,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.publish_version(MODEL, 2)
             await asyncio.sleep(3.0)
@@ -151,7 +151,7 @@
         async def scenario():
             world = RunWorld(repeat=Repeat.RESUME)
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.publish_version(MODEL, 2)
             await asyncio.sleep(6.0)
@@ -167,7 +167,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             # Not announced to this gateway; only the entry of the engine shows it.
             world.newest = lambda key: 2 if key == KEY else 1
 
@@ -191,7 +191,7 @@
             client, first = await begin(world)
             for engine in world.engines.values():
                 engine.has_capacity = False
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.state.versions[KEY] = 2
             first.start(first.unload(KEY))
@@ -209,7 +209,7 @@
                 world = RunWorld()
                 client, first = await begin(world)
                 first.reported_base = 2
-                first.hush()
+                first.silence()
                 budgets = type(world.serving._budgets)
                 answers = itertools.chain([True], itertools.repeat(False))
                 with mock.patch.object(budgets, "try_retry", side_effect=answers):
@@ -222,7 +222,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             budgets = type(world.serving._budgets)
             with mock.patch.object(budgets, "try_retry", return_value=False):
                 await asyncio.sleep(4.0)
@@ -237,7 +237,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await begin(world)
-            first.hush()
+            first.silence()
             await asyncio.sleep(1.6)
             (again,) = world.lasting.runs[runner(world, "q1").name]
             assert (again.versions.model, again.versions.adapter) == (1, 1)
@@ -255,7 +255,7 @@
             client = world.ask("q1")
             await asyncio.sleep(0.8)
             first = runner(world, "q1")
-            first.hush()
+            first.silence()
             world.newest = lambda key: 2 if key == KEY else 1
 
             async def renew():
@@ -281,7 +281,7 @@
                 world = RunWorld()
                 client, first = await begin(world)
                 first.copy_s = copy_s
-                first.hush()
+                first.silence()
                 world.newest = lambda key: 2 if key == MODEL else 1
 
                 async def renew():
@@ -568,7 +568,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await self.begin_and_change(world, "one")
-            first.hush()
+            first.silence()
             await asyncio.sleep(5.0)
             assert not world.ledger.wrong
             assert (first.name, "from", 200) in world.ledger.asked
@@ -583,7 +583,7 @@
         async def scenario():
             world = RunWorld()
             client, first = await self.begin_and_change(world, "one")
-            first.hush()
+            first.silence()
             await asyncio.sleep(0.9)
             world.state.versions[MODEL] = 3
             first.start(first.unload(MODEL))
