--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -57,25 +57,25 @@
     def load_copies(self, now: float) -> None:
         """Start the loads of the copies that save most waiting time."""
         planner = self._planner
-        if planner.term is None or now < planner.look_from:
+        if planner.term is None or now < planner.next_placement_at:
             return
-        if planner.has_queue or not planner.loading.may_use_store():
+        if planner.has_pending_loads or not planner.loader.may_use_store():
             # Weights that no engine holds yet take precedence.
             return
         gains = self._gains(now)
         wanted = [key for key, gain_s in gains.items() if gain_s > STORE_COST_S]
         if not wanted:
             return
-        openings = planner.openings()
+        openings = planner.load_targets()
         for key in sorted(wanted, key=lambda key: -gains[key])[:MAX_COPIES]:
-            uses = planner.uses(key, now)
+            uses = planner.expected_uses(key, now)
             min_wait_s = min(planner.wait_s(engine, RequestWork()) for engine in self._holders(key))
             max_wait_s = min_wait_s + gains[key] / uses
             if planner.load(key, now, openings, lambda name: True, max_wait_s, uses=uses):
                 log.info(
                     "loading further copy of adapter", weights=key.text, gain_s=round(gains[key], 2)
                 )
-        planner.rest_from(now)
+        planner.defer_placement(now)
 
     def _gains(self, now: float) -> dict[AdapterKey, float]:
         """Return the waiting time that a copy of each frequently used adapter saves, in seconds."""
@@ -93,14 +93,14 @@
         if len(holders) == len(planner.engines):
             return 0.0
         busy = [engine.busyness() for engine in holders]
-        rate, load_s = planner.popularity.rate(key.text, now), planner.loading.pace.load_s
+        rate, load_s = planner.popularity.rate(key.text, now), planner.loader.pace.load_s
         return copy_gain_s(busy, rate, load_s, self._terms, self._room.hold_s(planner.service))
 
     def _holders(self, key: AdapterKey) -> list[Engine]:
         """Return the engines that hold an adapter or are loading it."""
         found = [
             engine
-            for engine in self._planner.index.with_key(key).values()
+            for engine in self._planner.index.engines_holding(key).values()
             if engine.places[key].phase in (Phase.LOADING, Phase.READY)
         ]
         # A rate-limited engine has too little capacity to count beside other holders.
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -52,7 +52,7 @@
 
     LOADING = "loading"
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     """No new requests; unloaded when its requests have ended."""
     UNLOADING = "unloading"
     """Unload ordered; the engine still runs requests that use the weights."""
@@ -74,7 +74,7 @@
     until: float
 
 
-class Place:
+class WeightSlot:
     """Weights that an engine holds, loads or unloads, with their phase."""
 
     __slots__ = (
@@ -192,7 +192,7 @@
         """Return the load from all gateways."""
         return self._total_load
 
-    def take_load(self, gateway: int, load: ReportedLoad) -> None:
+    def update_load(self, gateway: int, load: ReportedLoad) -> None:
         """Set the load that one gateway reports.
 
         The total is updated by the difference, since each decision reads it for each engine.
@@ -217,7 +217,7 @@
         prompt = (0,) * work.urgency + (work.prefill_tokens,)
         queued = add_queues((load.queued, prompt))
         memory = load.memory + work.memory_tokens
-        self.take_load(gateway, ReportedLoad(load.starting + 1, load.running, queued, memory))
+        self.update_load(gateway, ReportedLoad(load.starting + 1, load.running, queued, memory))
 
     def busyness(self) -> EngineLoad:
         """Return the engine's load in the form that the policies use."""
@@ -229,7 +229,7 @@
         """Numbers of the gateways with requests on the engine."""
         return self._loads_by_gateway.keys()
 
-    def take_use(self, gateway: int, key: AdapterKey, active: int) -> None:
+    def update_use(self, gateway: int, key: AdapterKey, active: int) -> None:
         """Set how many requests of one gateway use some weights."""
         counts = self.active.setdefault(key, Counter())
         if active:
@@ -264,7 +264,7 @@
         """Accept no new requests for a base model and its adapters."""
         for key, slot in self.places.items():
             if key.model == base.model and slot.phase is Phase.READY:
-                slot.phase = Phase.LEAVING
+                slot.phase = Phase.DRAINING
 
     def drop_model(self, base: AdapterKey) -> None:
         """Remove a base model that was unloaded, with its adapters."""
@@ -284,7 +284,7 @@
         """Tell whether a base model is ready for requests."""
         return self.holds(AdapterKey(model))
 
-    def adapters(self) -> t.Iterator[tuple[AdapterKey, Place]]:
+    def adapters(self) -> t.Iterator[tuple[AdapterKey, WeightSlot]]:
         """Yield the adapters on the engine, in any phase."""
         return ((key, slot) for key, slot in self.places.items() if key.adapter)
 
@@ -350,7 +350,7 @@
         return [
             key
             for key, slot in self.adapters()
-            if slot.phase in (Phase.READY, Phase.LEAVING)
+            if slot.phase in (Phase.READY, Phase.DRAINING)
             and not self.request_count(key)
             and now - slot.used_at >= MIN_IDLE_BEFORE_EVICTION_S
         ]
@@ -359,7 +359,7 @@
         """Tell whether the host memory holds an adapter at a version."""
         return Holding(key, version) in self.cached
 
-    def remember(self, holding: Holding) -> None:
+    def add_cached(self, holding: Holding) -> None:
         """Add an adapter to the host cache, dropping the oldest ones beyond its size."""
         self.cached.pop(holding, None)
         self.cached[holding] = None
@@ -377,13 +377,13 @@
         """Tell whether an adapter is missing while its base model is ready."""
         return key not in self.places and self.has_model(key.model)
 
-    def take_out(self, text: str) -> AdapterKey:
+    def evict(self, text: str) -> AdapterKey:
         """Remove an adapter, given by its text, so that another can be loaded; return its key."""
         key = next(candidate for candidate in self.places if candidate.text == text)
         del self.places[key]
         return key
 
-    def discard(self, key: AdapterKey, slot: Place) -> None:
+    def discard(self, key: AdapterKey, slot: WeightSlot) -> None:
         """Remove weights after a failed load, unless another slot has replaced the given one."""
         if self.places.get(key) is slot:
             del self.places[key]
@@ -391,9 +391,9 @@
     def forget_gateway(self, gateway: int) -> None:
         """Remove all requests of a gateway."""
         if gateway in self._loads_by_gateway:
-            self.take_load(gateway, EMPTY_LOAD)
+            self.update_load(gateway, EMPTY_LOAD)
         for key in [key for key, counts in self.active.items() if gateway in counts]:
-            self.take_use(gateway, key, 0)
+            self.update_use(gateway, key, 0)
 
     def assume_registered_holdings(self, now: float) -> None:
         """Assume that the engine holds the weights listed in the platform's store.
@@ -402,27 +402,27 @@
         replica rejects as missing are dropped.
         """
         for holding in self.replica.holdings:
-            slot = self.places[holding.key] = Place(holding.version, Phase.READY, now)
+            slot = self.places[holding.key] = WeightSlot(holding.version, Phase.READY, now)
             slot.ready_at = -math.inf
 
     def take_report(self, report: EngineReport, now: float) -> None:
         """Apply an engine's report."""
         self.orders = report.orders
-        slots: dict[AdapterKey, Place] = {}
+        slots: dict[AdapterKey, WeightSlot] = {}
         for holding in report.holdings:
             old = self.places.get(holding.key)
             if old is not None and old.phase is Phase.UNLOADING:
                 slots[holding.key] = old
                 continue
-            slot = Place(holding.version, Phase.READY, now)
+            slot = WeightSlot(holding.version, Phase.READY, now)
             if old is not None:
                 slot.used_at = old.used_at
             slots[holding.key] = slot
         for holding in report.loading:
-            slots[holding.key] = Place(holding.version, Phase.LOADING, now)
+            slots[holding.key] = WeightSlot(holding.version, Phase.LOADING, now)
         self.places.replace(slots)
         for holding in report.cached:
-            self.remember(holding)
+            self.add_cached(holding)
         self.synced = not report.busy and not report.loading
 
     async def give(
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -432,7 +432,7 @@
     def _choosers(self, engine: Engine) -> t.Iterator[int]:
         """Yield the gateways that may send requests there without a question."""
         for key in engine.places:
-            if len(self._index.with_key(key)) <= MOST_HOMES:
+            if len(self._index.engines_holding(key)) <= MOST_HOMES:
                 yield from self._scopes.watchers(key)
 
     def _note_homes(self) -> None:
@@ -522,7 +522,7 @@
         """Return the versions of weights that can be used, by engine."""
         return {
             name: engine.places[key].version
-            for name, engine in self._index.with_key(key).items()
+            for name, engine in self._index.engines_holding(key).items()
             if engine.places[key].phase is Phase.READY
         }
 
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -175,7 +175,7 @@
     gauge(
         "engines_unknown",
         "Engines planned for that have not given their state",
-        lambda: sum(planner.unknown_engines for planner in seen.planners()),
+        lambda: sum(planner.unsynced_engine_count for planner in seen.planners()),
     )
     gauge(
         "gateways_behind",
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -9,7 +9,7 @@
 from .model import AdapterKey, Holding, Replica
 
 if t.TYPE_CHECKING:
-    from .engines import Engine, Place
+    from .engines import Engine, WeightSlot
 
 V = t.TypeVar("V")
 
@@ -41,7 +41,7 @@
         self.kept = kept or PrefixCacheTracker()
         """Cached prompt prefixes, lost when an engine drops the weights or restarts."""
 
-    def with_key(self, key: AdapterKey) -> t.Mapping[str, Engine]:
+    def engines_holding(self, key: AdapterKey) -> t.Mapping[str, Engine]:
         """Return the engines with some weights in any phase, by name."""
         return self._by_key.get(key, {})
 
@@ -109,7 +109,7 @@
         self.base_model_count = 0
         """Number of base models among the weights."""
 
-    def __setitem__(self, key: AdapterKey, slot: Place) -> None:
+    def __setitem__(self, key: AdapterKey, slot: WeightSlot) -> None:
         previous = self.get(key)
         if previous is None:
             self.base_model_count += not key.adapter
@@ -123,7 +123,7 @@
         self.base_model_count -= not key.adapter
         self._index.note_removed(self._engine, key)
 
-    def replace(self, slots: t.Mapping[AdapterKey, Place]) -> None:
+    def replace(self, slots: t.Mapping[AdapterKey, WeightSlot]) -> None:
         """Replace all weights by those that an engine reports."""
         for key in [key for key in self if key not in slots]:
             del self[key]
--- a/packages/gateway/src/gradelug_gateway/loading.py
+++ b/packages/gateway/src/gradelug_gateway/loading.py
@@ -13,7 +13,7 @@
 from gradelug_policy.pace import StorePace
 from gradelug_policy.residency import STORE_COST_S, LoadCosts
 
-from .engines import REPORT_LAG_S, Engine, Phase, Place
+from .engines import REPORT_LAG_S, Engine, Phase, WeightSlot
 from .model import AdapterKey, Holding, OrderOutcome, Term
 from .ports import OrderTransport
 
@@ -57,7 +57,7 @@
     term: Term
     engine: Engine
     key: AdapterKey
-    slot: Place
+    slot: WeightSlot
     victim: AdapterKey | None
     cached: bool
 
@@ -135,7 +135,7 @@
             engine.synced = False
         self._planner.followers.mark(replica)
 
-    def extend_load(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+    def extend_load(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         """Wait longer for a load: the engine answered that the adapter is missing."""
         now = self._clock()
         if slot.store_loads_at_start:
@@ -151,7 +151,7 @@
             engine.synced = False
             return
         # In use by a request not reported yet; the engine unloads it when its requests end.
-        slot = engine.places[key] = Place(0, Phase.UNLOADING, self._clock())
+        slot = engine.places[key] = WeightSlot(0, Phase.UNLOADING, self._clock())
         self._planner.start(self._await_unload(engine, key, slot))
 
     async def order(
@@ -181,7 +181,7 @@
                     await asyncio.sleep(REPORT_RETRY_DELAY_S)
                     return
                 if engine.update_incarnation(report.born):
-                    self._planner.begin_life(engine, report.born)
+                    self._planner.replace_incarnation(engine, report.born)
                     return
                 engine.take_report(report, self._clock())
             log.info(
@@ -238,7 +238,7 @@
                 slot.store_loads_at_start, slot.was_store_saturated, self._clock()
             )
 
-    async def _await_unload(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+    async def _await_unload(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         """Free the slot of an adapter once the engine reports that it is unloaded."""
         engines, name = self._planner.engines, engine.replica.name
         while engines.get(name) is engine and engine.places.get(key) is slot:
@@ -250,15 +250,15 @@
                 engine.discard(key, slot)
                 self._planner.schedule_decision()
 
-    async def _make_ready(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+    async def _make_ready(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         await asyncio.sleep(max(0.0, slot.ready_at - self._clock()))
         self._set_ready(engine, key, slot)
 
-    def _set_ready(self, engine: Engine, key: AdapterKey, slot: Place) -> None:
+    def _set_ready(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         if engine.places.get(key) is not slot:
             return
         slot.phase = Phase.READY
         slot.ready_at = slot.used_at = self._clock()
-        engine.remember(Holding(key, slot.version))
+        engine.add_cached(Holding(key, slot.version))
         self._planner.followers.mark(engine.replica.name)
         self._planner.decide()
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -19,9 +19,9 @@
 
 MAX_UNSAMPLED_ENGINES = 64
 """Up to this many engines are all considered for each load, which takes 0.5 ms."""
-CANDIDATES = 32
+MAX_CANDIDATES = 32
 """Of more engines, this many are considered: their best is nearly the best of all."""
-KEEPERS = 16
+MAX_CACHED_CANDIDATES = 16
 """Additional candidates that hold the adapter in host memory."""
 
 
@@ -48,11 +48,11 @@
     """Return on how many engines an adapter is ready or loading."""
     return sum(
         engine.places[key].phase in (Phase.LOADING, Phase.READY)
-        for engine in index.with_key(key).values()
+        for engine in index.engines_holding(key).values()
     )
 
 
-class Openings:
+class LoadTargets:
     """The engines that can load an adapter at one moment, inspected on first access.
 
     Parameters
@@ -107,9 +107,11 @@
         if len(self._engines) <= MAX_UNSAMPLED_ENGINES:
             return list(self._available(self._engines, key, may_use))
         caching = self._index.engines_caching(Holding(key, version))
-        found = dict(itertools.islice(self._available(caching, key, may_use), KEEPERS))
+        found = dict(
+            itertools.islice(self._available(caching, key, may_use), MAX_CACHED_CANDIDATES)
+        )
         others = self._available(self._cells.ranked_engines(key.text), key, may_use)
-        found.update(itertools.islice(others, CANDIDATES))
+        found.update(itertools.islice(others, MAX_CANDIDATES))
         return list(found.items())
 
     def has_slot_for(self, name: str, rate: float) -> bool:
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -29,7 +29,7 @@
 from .copies import AdapterReplication
 from .departures import DepartureDesk
 from .engine_speeds import SpeedAggregator
-from .engines import Engine, Phase, Place
+from .engines import Engine, Phase, WeightSlot
 from .fair_line import FairQueue
 from .fleet import engine_capacity_of
 from .followers import Follower, Followers, encode_load
@@ -38,7 +38,7 @@
 from .limit_desk import LimitDesk
 from .loading import DEFAULT_VERSION, Loader, PlannedLoad
 from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
-from .openings import Openings
+from .openings import LoadTargets
 from .pacing import FRESH_S
 from .parts import PlannerPart
 from .poison_desk import PoisonDesk
@@ -78,8 +78,8 @@
 HOLDER_SAMPLE_SIZE = 32
 """Where more engines hold the same weights, as for a base model, this many are sampled for a
 request: the best of the sample is nearly the best of all."""
-SYNCS_AT_ONCE = 64
-SYNCS_WAITING = 128
+MAX_CONCURRENT_SYNCS = 64
+MAX_PENDING_SYNCS = 128
 """Limits on state synchronisation: engines queried at a time, and engines selected to be queried,
 those in use first. A new planner would otherwise connect to all engines at once, and requests would
 wait behind the reports of unused ones. If there are more engines than may be queried at a time,
@@ -194,26 +194,26 @@
         self._transport = transport
         self._relay = transport if isinstance(transport, OrderRelay) else None
         self._clock = clock
-        self.loading = Loader(self, owner, transport, clock, spec.max_concurrent_loads)
+        self.loader = Loader(self, owner, transport, clock, spec.max_concurrent_loads)
         """Carries out the loads that are decided here."""
-        self._line = WeightQueue(self.popularity, clock(), self.loading.pace.rate)
-        self._upkeep = Maintenance(self, spec, window, clock)
+        self._queue = WeightQueue(self.popularity, clock(), self.loader.pace.rate)
+        self._maintenance = Maintenance(self, spec, window, clock)
         self._spec = spec
-        self._sync_semaphore = asyncio.Semaphore(SYNCS_AT_ONCE)
+        self._sync_semaphore = asyncio.Semaphore(MAX_CONCURRENT_SYNCS)
         self._syncing: set[str] = set()
         """Names of engines whose state is being queried, or is about to be."""
         self._engine_estimator = room
         self._capacity = engine_capacity_of(spec)
         self._redirect_tried_at: dict[AdapterKey, float] = {}
         """Time of the last search for another engine, by weights whose requests have a holder."""
-        self.look_from = -math.inf
+        self.next_placement_at = -math.inf
         """Time before which no such search begins, by the runtime's clock."""
         self.copies = AdapterReplication(self, self._capacity, room) if room is not None else None
         """Adds copies of adapters in demand; None without an `EngineEstimator`."""
         self.refill = Refill(self, Feature.REFILL in features)
         self._tasks: set[asyncio.Task[None]] = set()
         self._decision_timer: asyncio.TimerHandle | None = None
-        self.has_queue = False
+        self.has_pending_loads = False
         """Whether requests wait for loads that cannot start yet."""
         self._last_decision_s = 0.0
         """Duration of the last decision, in seconds."""
@@ -273,14 +273,14 @@
                 engine = self.engines[name] = Engine(rep, self._spec, self.index)
                 self._cells.add(name)
                 self._add_reported_cache(engine)
-                if len(reported) > SYNCS_AT_ONCE:
+                if len(reported) > MAX_CONCURRENT_SYNCS:
                     engine.assume_registered_holdings(self._clock())
                     self.followers.mark(name)
-            elif engine.replica is not rep or len(reported) <= SYNCS_AT_ONCE:
+            elif engine.replica is not rep or len(reported) <= MAX_CONCURRENT_SYNCS:
                 # With few engines the reported host cache is applied each time, so that entries
                 # that were dropped here come back.
                 if engine.update_replica(rep):
-                    engine = self.begin_life(engine, rep.born)
+                    engine = self.replace_incarnation(engine, rep.born)
                 self._add_reported_cache(engine)
             engine.drop_expired_loads(self._clock())
         now = self._clock()
@@ -289,9 +289,9 @@
         }
         if self.term is not None:
             self._sync_engines()
-            self._upkeep.run_due(self.term)
+            self._maintenance.run_due(self.term)
 
-    def begin_life(self, engine: Engine, born: int) -> Engine:
+    def replace_incarnation(self, engine: Engine, born: int) -> Engine:
         """Replace the state of an engine whose process restarted; `born` names the new one."""
         name, now = engine.replica.name, self._clock()
         strays = engine.unacknowledged_loads(now)
@@ -310,10 +310,10 @@
     def _add_reported_cache(self, engine: Engine) -> None:
         for holding in engine.replica.cached:
             if holding.key.adapter and holding not in engine.cached:
-                engine.remember(holding)
+                engine.add_cached(holding)
 
     @property
-    def unknown_engines(self) -> int:
+    def unsynced_engine_count(self) -> int:
         """Number of engines whose state is not known yet."""
         return sum(not engine.synced for engine in self.engines.values())
 
@@ -324,9 +324,9 @@
             for name, engine in self.engines.items()
             if not engine.synced and name not in self._syncing
         ]
-        room = SYNCS_WAITING - len(self._syncing)
+        room = MAX_PENDING_SYNCS - len(self._syncing)
         if len(unknown) > room:
-            awaited_keys = {waiter.key for waiter in self._line.waiters}
+            awaited_keys = {waiter.key for waiter in self._queue.waiters}
             unknown.sort(
                 key=lambda engine: (
                     # An engine that does not report must not delay the others.
@@ -343,7 +343,7 @@
         try:
             async with self._sync_semaphore:
                 engine.sync_started_at = self._clock()
-                await self.loading.sync(engine)
+                await self.loader.sync(engine)
         finally:
             self._syncing.discard(engine.replica.name)
 
@@ -375,7 +375,7 @@
             self._relay.forget(follower)
         for part in self.parts:
             part.leave(follower, self._clock())
-        self._line.forget(follower)
+        self._queue.forget(follower)
         for engine in self.engines.values():
             engine.forget_gateway(follower.number)
 
@@ -399,23 +399,23 @@
             if engine is not None:
                 queued = tuple(load.queued)
                 reported = ReportedLoad(load.starting, load.running, queued, load.memory_tokens)
-                engine.take_load(follower.number, reported)
+                engine.update_load(follower.number, reported)
         for part in self.parts:
             part.take(follower, message, now)
         if message.cancelled:
-            self._line.cancel(follower, set(message.cancelled))
+            self._queue.cancel(follower, set(message.cancelled))
         for ask in message.asks:
             self._handle_ask(Waiter(follower, ask, now), now)
         self.schedule_decision()
 
     def _handle_ask(self, waiter: Waiter, now: float) -> None:
-        self.loading.handle_missing(waiter.ask.absent, waiter.key)
+        self.loader.handle_missing(waiter.ask.absent, waiter.key)
         self.followers.note_use(waiter.follower, waiter.key)
-        is_deferred = self.fair_queue.defers(waiter, bool(self.index.with_key(waiter.key)))
+        is_deferred = self.fair_queue.defers(waiter, bool(self.index.engines_holding(waiter.key)))
         if is_deferred or not self._try_answer(waiter, now):
             if not waiter.waits_for_capacity:
                 self.popularity.note(waiter.key.text, now)
-            self._line.waiters.append(waiter)
+            self._queue.waiters.append(waiter)
 
     def _handle_use(self, follower: Follower, use: pb.Use, now: float) -> None:
         key = AdapterKey(use.model, use.adapter)
@@ -433,7 +433,7 @@
         )
         if self.tokens.rate(key.text, now) > MAX_PREFILL_FRACTION_PER_COPY * self.speed:
             self.hot.add(key)
-        engine.take_use(follower.number, key, use.active)
+        engine.update_use(follower.number, key, use.active)
         slot = engine.places.get(key)
         if slot is not None:
             slot.used_at = now
@@ -458,29 +458,29 @@
             self._decision_timer.cancel()
             self._decision_timer = None
         now = self._clock()
-        self._line.waiters = [
+        self._queue.waiters = [
             waiter
             for waiter in self.limits.put_urgent_first(
-                self.fair_queue.arrange(self._line.waiters, now)
+                self.fair_queue.arrange(self._queue.waiters, now)
             )
             if now < waiter.until
             and (self.fair_queue.can_skip(waiter, now) or not self._try_answer(waiter, now))
         ]
-        self._line.waiters = self.fair_queue.refuse_late(self._line.waiters, now)
+        self._queue.waiters = self.fair_queue.refuse_late(self._queue.waiters, now)
         if self.term is None:
             return
         ordered = self.fair_queue.put_over_share_last(
-            self._line.by_urgency(now, self.loading.pace.load_s), now
+            self._queue.by_urgency(now, self.loader.pace.load_s), now
         )
         queued = self._start_loads(ordered, now) if ordered else []
-        self.has_queue = bool(queued)
-        self._line.throughput.note_queue(self.has_queue, now)
-        self._line.refuse_late(queued, now, self.loading.pace.load_s)
+        self.has_pending_loads = bool(queued)
+        self._queue.throughput.note_queue(self.has_pending_loads, now)
+        self._queue.refuse_late(queued, now, self.loader.pace.load_s)
         self._last_decision_s = self._clock() - now
 
     def _start_loads(self, ordered: t.Iterable[Waiter], now: float) -> list[AdapterKey]:
         """Start loads for waiting requests; return the weights that cannot be loaded yet."""
-        targets = self.openings()
+        targets = self.load_targets()
         queued: list[AdapterKey] = []
         for waiter in ordered:
             if self._is_loading(waiter):
@@ -547,7 +547,7 @@
         if len(self.engines) <= MAX_UNSAMPLED_HOLDERS:
             # In a fixed order: among equals the first is filled first, and others stay free.
             return self.engines.items()
-        holders = self.index.with_key(waiter.key)
+        holders = self.index.engines_holding(waiter.key)
         if len(holders) <= MAX_UNSAMPLED_HOLDERS:
             return holders.items()
         if waiter.ask.only in holders:
@@ -590,22 +590,22 @@
             return is_full
         max_cost_s = min_cost_s - MIN_REDIRECT_GAIN_S
         # Where all holders are full, another copy also serves requests that come later.
-        is_shared = is_full and not self.has_queue
-        uses = self.uses(waiter.key, now) if is_shared else 1.0
+        is_shared = is_full and not self.has_pending_loads
+        uses = self.expected_uses(waiter.key, now) if is_shared else 1.0
         is_started = self.load(
-            waiter.key, now, self.openings(), waiter.may_use, max_cost_s, waiter.work, uses
+            waiter.key, now, self.load_targets(), waiter.may_use, max_cost_s, waiter.work, uses
         )
-        self.rest_from(now)
+        self.defer_placement(now)
         return is_started or is_full
 
-    def rest_from(self, started_at: float) -> None:
+    def defer_placement(self, started_at: float) -> None:
         """Postpone the next engine search in proportion to one that began at `started_at`."""
-        self.look_from = started_at + IDLE_TO_DECISION_RATIO * (self._clock() - started_at)
+        self.next_placement_at = started_at + IDLE_TO_DECISION_RATIO * (self._clock() - started_at)
 
     def _may_try_redirect(self, key: AdapterKey, now: float) -> bool:
         """Tell whether another engine may be searched now for weights that have a holder."""
         if (
-            now < self.look_from
+            now < self.next_placement_at
             or now < self._redirect_tried_at.get(key, -math.inf) + REDIRECT_RETRY_S
         ):
             return False
@@ -640,7 +640,7 @@
         lead_s = self.fair_queue.dispatch_lead_s(waiter, engine, completion_interval_s, now)
         return has_capacity(engine.busyness(), waiter.work, self._capacity, pace, lead_s)
 
-    def uses(self, key: AdapterKey, now: float) -> float:
+    def expected_uses(self, key: AdapterKey, now: float) -> float:
         """Return the expected number of requests for a further copy of an adapter, at least 1."""
         return max(1.0, COPY_DEMAND_HORIZON_S * self.popularity.rate(key.text, now))
 
@@ -656,15 +656,15 @@
 
     def requested_models(self) -> set[str]:
         """Return the base models of all waiting requests."""
-        return {waiter.key.model for waiter in self._line.waiters}
+        return {waiter.key.model for waiter in self._queue.waiters}
 
     def held(self) -> int:
         """Return how many requests are held until an engine has capacity."""
-        return sum(waiter.waits_for_capacity for waiter in self._line.waiters)
+        return sum(waiter.waits_for_capacity for waiter in self._queue.waiters)
 
-    def openings(self) -> Openings:
+    def load_targets(self) -> LoadTargets:
         """Return the engines that can load an adapter now."""
-        return Openings(
+        return LoadTargets(
             self.engines,
             self.index,
             self._cells,
@@ -677,7 +677,7 @@
         self,
         key: AdapterKey,
         now: float,
-        targets: Openings,
+        targets: LoadTargets,
         may_use: t.Callable[[str], bool],
         max_cost_s: float = math.inf,
         work: RequestWork = RequestWork(),  # noqa: B008
@@ -720,19 +720,19 @@
         choice = choose_load_engine(
             candidates,
             key.text,
-            self.loading.costs(uses),
-            self.loading.may_use_store(),
+            self.loader.costs(uses),
+            self.loader.may_use_store(),
             max_cost_s,
         )
         if choice is None:
             return False
         engine = self.engines[choice.engine]
-        victim = engine.take_out(choice.victim) if choice.victim is not None else None
-        slot = engine.places[key] = Place(version, Phase.LOADING, now)
-        self._line.throughput.note_load()
+        victim = engine.evict(choice.victim) if choice.victim is not None else None
+        slot = engine.places[key] = WeightSlot(version, Phase.LOADING, now)
+        self._queue.throughput.note_load()
         self.followers.mark(choice.engine)
         targets.invalidate(engine)
-        self.loading.begin(PlannedLoad(self.term, engine, key, slot, victim, choice.cached))
+        self.loader.begin(PlannedLoad(self.term, engine, key, slot, victim, choice.cached))
         return True
 
     # Tasks.
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -15,7 +15,7 @@
 
 from .engines import Engine, Phase
 from .model import AdapterKey
-from .openings import Openings, count_copies
+from .openings import LoadTargets, count_copies
 
 if t.TYPE_CHECKING:
     from .planner import Planner
@@ -99,13 +99,13 @@
         if not self._lost or planner.term is None:
             return
         self._expire(now)
-        if planner.has_queue:
+        if planner.has_pending_loads:
             return
         gains = self._gains(now)
-        targets = planner.openings()
+        targets = planner.load_targets()
         started = 0
         for key in sorted(gains, key=lambda key: -gains[key])[:MAX_ATTEMPTS_PER_PASS]:
-            if started == MAX_LOADS_PER_PASS or not planner.loading.has_spare_store_capacity():
+            if started == MAX_LOADS_PER_PASS or not planner.loader.has_spare_store_capacity():
                 break
             if self._load(key, targets, now):
                 started += 1
@@ -115,9 +115,9 @@
                     gain_s=round(gains[key], 2),
                 )
 
-    def _load(self, key: AdapterKey, targets: Openings, now: float) -> bool:
+    def _load(self, key: AdapterKey, targets: LoadTargets, now: float) -> bool:
         rate = self._planner.popularity.rate(key.text, now)
-        uses = self._planner.uses(key, now)
+        uses = self._planner.expected_uses(key, now)
         return self._planner.load(
             key, now, targets, lambda name: targets.has_slot_for(name, rate), uses=uses
         )
@@ -143,4 +143,4 @@
 
     def _gain_s(self, key: AdapterKey, now: float) -> float:
         rate = self._planner.popularity.rate(key.text, now)
-        return refill_gain_s(rate, self._planner.loading.pace.load_s, COPY_DEMAND_HORIZON_S)
+        return refill_gain_s(rate, self._planner.loader.pace.load_s, COPY_DEMAND_HORIZON_S)
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -6,7 +6,7 @@
 
 from gradelug_policy.renewal import renewals_allowed
 
-from .engines import Engine, Phase, Place
+from .engines import Engine, Phase, WeightSlot
 from .model import AdapterKey, OrderOutcome, Term
 
 if t.TYPE_CHECKING:
@@ -47,7 +47,7 @@
         for key in list(self._outdated):
             held = {
                 name: engine
-                for name, engine in index.with_key(key).items()
+                for name, engine in index.engines_holding(key).items()
                 if engine.places[key].version < versions[key]
             }
             if not held:
@@ -74,14 +74,16 @@
         if slot.phase in (Phase.LOADING, Phase.UNLOADING):
             return
         if slot.phase is Phase.READY:
-            slot.phase = Phase.LEAVING
+            slot.phase = Phase.DRAINING
             self._planner.followers.mark(name)
         if engine.synced and not engine.request_count(key):
             self._planner.start(self._unload(term, engine, key, slot))
 
     def _renew_model(self, term: Term, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Renew a base model engine by engine, those with the fewest runs first."""
-        draining = [engine for engine in held.values() if engine.places[key].phase is Phase.LEAVING]
+        draining = [
+            engine for engine in held.values() if engine.places[key].phase is Phase.DRAINING
+        ]
         self._drain_some(held, key)
         for engine in draining:
             # Adapters may have been loaded since the model was closed.
@@ -115,15 +117,15 @@
                 # The engine holds another base model instead.
                 del self._renewals[name, key]
 
-    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, slot: Place) -> None:
+    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         async with engine.lock:
             held = engine.places.get(key) is slot
             if term.is_over or not engine.synced or not held:
                 return
-            outcome = await self._planner.loading.order(term, engine, False, key, 0)
+            outcome = await self._planner.loader.order(term, engine, False, key, 0)
             engine.discard(key, slot)
             if outcome is not OrderOutcome.HOLDS:
-                self._planner.loading.track_unload(engine, key, outcome)
+                self._planner.loader.track_unload(engine, key, outcome)
             elif not key.adapter:
                 engine.drop_model(key)
                 self._planner.followers.mark(engine.replica.name)
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -9,7 +9,7 @@
 import logbook
 from gradelug_policy.residency import LoadRateLimiter
 
-from .engines import Engine, Phase, Place
+from .engines import Engine, Phase, WeightSlot
 from .model import AdapterKey, BaseModel, EngineSpec, OrderOutcome, Term
 from .openings import count_copies
 from .renewal import Renewal
@@ -76,12 +76,14 @@
             if engine.synced and not engine.places.base_model_count and self._spec.models:
                 model = self._least_replicated_model()
                 key = AdapterKey(model.name)
-                slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+                slot = engine.places[key] = WeightSlot(0, Phase.LOADING, self._clock())
                 self._planner.start(self._load_model(term, engine, key, slot, model.load_s))
 
     def _least_replicated_model(self) -> BaseModel:
         index = self._planner.index
-        return min(self._spec.models, key=lambda model: len(index.with_key(AdapterKey(model.name))))
+        return min(
+            self._spec.models, key=lambda model: len(index.engines_holding(AdapterKey(model.name)))
+        )
 
     def _place_requested_models(self, term: Term) -> None:
         """Load models that requests wait for and no engine holds."""
@@ -92,7 +94,7 @@
         missing = {
             name
             for name in self._planner.requested_models() - self._loading_until.keys()
-            if not index.with_key(AdapterKey(name))
+            if not index.engines_holding(AdapterKey(name))
         }
         copies_by_model = self._count_models() if missing else Counter()
         for name in missing:
@@ -106,14 +108,14 @@
                 self._planner.followers.mark(engine.replica.name)
             self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
-            slot = engine.places[key] = Place(0, Phase.LOADING, self._clock())
+            slot = engine.places[key] = WeightSlot(0, Phase.LOADING, self._clock())
             self._planner.start(self._load_model(term, engine, key, slot, model.load_s, victim))
 
     def _count_models(self) -> Counter[str]:
         """Return on how many engines each base model is held or loading."""
         index = self._planner.index
         return Counter(
-            {key.model: len(index.with_key(key)) for key in index.keys if not key.adapter}
+            {key.model: len(index.engines_holding(key)) for key in index.keys if not key.adapter}
         )
 
     def _choose_engine(self, model: BaseModel, copies_by_model: Counter[str]) -> Engine | None:
@@ -149,7 +151,7 @@
         term: Term,
         engine: Engine,
         key: AdapterKey,
-        slot: Place,
+        slot: WeightSlot,
         load_s: float,
         victim: AdapterKey | None = None,
     ) -> None:
@@ -161,14 +163,14 @@
                 self._abandon_load(engine, key, slot, victim)
                 return
             if victim is not None:
-                outcome = await self._planner.loading.order(term, engine, False, victim, 0)
+                outcome = await self._planner.loader.order(term, engine, False, victim, 0)
                 if outcome is not OrderOutcome.HOLDS:
                     self._abandon_load(engine, key, slot, victim)
                     return
                 engine.drop_model(victim)
                 self._planner.followers.mark(engine.replica.name)
             self._window.note(self._clock())
-            outcome = await self._planner.loading.order(term, engine, True, key, 0)
+            outcome = await self._planner.loader.order(term, engine, True, key, 0)
             if outcome in (OrderOutcome.TAKEN, OrderOutcome.HOLDS):
                 # The engine takes its next order only after the load.
                 await asyncio.sleep(load_s)
@@ -177,7 +179,7 @@
             engine.synced = False
 
     def _abandon_load(
-        self, engine: Engine, key: AdapterKey, slot: Place, victim: AdapterKey | None
+        self, engine: Engine, key: AdapterKey, slot: WeightSlot, victim: AdapterKey | None
     ) -> None:
         """Abandon the load of a base model; the engine keeps the one that it has."""
         engine.discard(key, slot)
@@ -200,6 +202,6 @@
         ]
         if not overloaded:
             return
-        targets = planner.openings()
+        targets = planner.load_targets()
         for key in overloaded:
             planner.load(key, now, targets, lambda name: True)
--- a/tests/engine_model.py
+++ b/tests/engine_model.py
@@ -18,7 +18,7 @@
         self.ready_at = {MODEL: clock()}
         self.orders = 0
         self.fence = 0
-        self.fell = False
+        self.is_overfilled = False
         self.cached = set()
         """Adapters and versions in host memory, which load ten times as fast."""
         self.users = {}
@@ -83,7 +83,7 @@
             self.cached.add((order.key, version))
         self.ready_at[order.key] = self.clock() + load_s
         if sum(bool(key.adapter) for key in self.held) > SLOTS:
-            self.fell = True
+            self.is_overfilled = True
         return OrderOutcome.TAKEN
 
     def _unload(self, order):
--- a/tests/fleet_stand_in.py
+++ b/tests/fleet_stand_in.py
@@ -260,7 +260,7 @@
         if not self.engine.checks_tokens:
             self._watch_givers(order)
         inc.respond(STATUS[self.engine.carry_out(order)], [], b"")
-        if self.engine.fell:
+        if self.engine.is_overfilled:
             self.ledger.faults.append(f"{self.name} was overfilled")
 
     def _watch_givers(self, order):
--- a/tests/grown_fleet.py
+++ b/tests/grown_fleet.py
@@ -246,7 +246,7 @@
     planner, now = fleet.planner, fleet.clock()
     timed = {}
     for name, call in {
-        "openings": planner.openings,
+        "openings": planner.load_targets,
         "refresh": planner.refresh,
         "decide": planner.decide,
         "news": lambda: planner.followers.tell_news(True),
--- a/tests/test_grown_start.py
+++ b/tests/test_grown_start.py
@@ -59,7 +59,7 @@
         sent_bytes = fleet.count("bytes") / gateways
         messages = fleet.count("messages") / gateways
         firsts = sorted(fleet.first_answer_s.values())
-        unknown, refused = fleet.planner.unknown_engines, fleet.count("refused")
+        unknown, refused = fleet.planner.unsynced_engine_count, fleet.count("refused")
         most = fleet.orders.max_concurrent_reports
         await fleet.stop()
         return sent_bytes, messages, firsts, unknown, refused, most
@@ -91,7 +91,7 @@
         async def scenario():
             first = Fleet(GATEWAYS[-1], ENGINES, STARTS_PER_S)
             await first.run_for(0.3)
-            assert first.planner.unknown_engines > 0
+            assert first.planner.unsynced_engine_count > 0
             second = first.replace_planner()
             await asyncio.gather(first.task, return_exceptions=True)
             await second.run_for(FIRST_S)
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -129,7 +129,7 @@
             kept = bench.planner.index.kept
             assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 1_210
             old = bench.planner.engines[first.replica]
-            bench.planner.begin_life(old, 9)
+            bench.planner.replace_incarnation(old, 9)
             assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 0
 
         self.play(scenario)
@@ -138,7 +138,7 @@
         async def scenario(bench):
             first = await bench.answer()
             engine = bench.planner.engines[first.replica]
-            engine.take_out(KEY.text)
+            engine.evict(KEY.text)
             kept = bench.planner.index.kept
             assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 0
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -7,7 +7,7 @@
 import pytest
 from engine_model import SLOTS, ModelEngine
 from gradelug_coordination import KvEntry, Mirror
-from gradelug_gateway.engines import UNACKNOWLEDGED_LOAD_TTL_S, Engine, Phase, Place
+from gradelug_gateway.engines import UNACKNOWLEDGED_LOAD_TTL_S, Engine, Phase, WeightSlot
 from gradelug_gateway.feed import Feed
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.holders import EngineIndex
@@ -238,7 +238,7 @@
             bench.state.replicas["e0"] = entry_with_start("e0", 1)
             await asyncio.sleep(1.0)
             engine = bench.planner.engines["e0"]
-            engine.remember(Holding(A1, 1))
+            engine.add_cached(Holding(A1, 1))
             report = bench.transport.report
 
             async def report_of_another_incarnation(replica):
@@ -273,20 +273,20 @@
             inherited_loads=engine.unacknowledged_loads(10.0 + UNACKNOWLEDGED_LOAD_TTL_S),
         )
         assert late.free_adapter_slots() == SLOTS
-        late.places[A1] = Place(1, Phase.READY, 0.0)
+        late.places[A1] = WeightSlot(1, Phase.READY, 0.0)
         assert late.free_adapter_slots() == SLOTS - 1
 
     def test_late_cleanup_of_the_earlier_incarnation_keeps_the_new_one_indexed(self):
         index = EngineIndex()
         rep = Replica("e0", "llm", "10.0.0.1:80", "z", born=1)
         old = Engine(rep, SPEC, index)
-        old.places[A1] = Place(1, Phase.READY, 0.0)
+        old.places[A1] = WeightSlot(1, Phase.READY, 0.0)
         index.drop(old)
         old.is_replaced = True
         replacement = Engine(rep, SPEC, index, (), 2)
-        replacement.places[A1] = Place(1, Phase.READY, 0.0)
+        replacement.places[A1] = WeightSlot(1, Phase.READY, 0.0)
         old.discard(A1, old.places[A1])
-        assert index.with_key(A1) == {"e0": replacement}
+        assert index.engines_holding(A1) == {"e0": replacement}
 
 
 def entry_with_start(name, number):
@@ -329,9 +329,9 @@
                     incarnations.append(bench.transport.engines[f"e{number % 3}"])
                 else:
                     step(bench, number, action)
-                assert not any(engine.fell for engine in incarnations)
+                assert not any(engine.is_overfilled for engine in incarnations)
             await asyncio.sleep(5.0)
-            assert not any(engine.fell for engine in incarnations)
+            assert not any(engine.is_overfilled for engine in incarnations)
             bench.transport.lost = bench.transport.late = 0.0
             release_all(bench)
             await asyncio.sleep(6.0)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -7,7 +7,7 @@
 import logbook
 import pytest
 from engine_model import MODEL, SLOTS, ModelEngine
-from gradelug_gateway.engines import Phase, Place
+from gradelug_gateway.engines import Phase, WeightSlot
 from gradelug_gateway.model import (
     AdapterKey,
     BaseModel,
@@ -310,7 +310,7 @@
             bench.use("e0", "a4", 1)
             await asyncio.sleep(1.2)
             assert bench.collect()[second].replica == "e0"
-            assert not engine.fell
+            assert not engine.is_overfilled
             await bench.stop()
 
         run(scenario)
@@ -339,7 +339,7 @@
             for number in range(5, 9):
                 bench.ask(f"a{number}", returning=True)
                 await asyncio.sleep(0.3)
-            assert not engine.fell
+            assert not engine.is_overfilled
             await bench.stop()
 
         run(scenario)
@@ -472,9 +472,9 @@
             bench = Bench(engines=1)
             await asyncio.sleep(0.5)
             engine = bench.planner.engines["e0"]
-            engine.take_load(1, ReportedLoad(2, 1, (5, 7)))
-            engine.take_load(2, ReportedLoad(1, 4, (1, 0, 3)))
-            engine.take_load(1, ReportedLoad(1, 2, (5,)))
+            engine.update_load(1, ReportedLoad(2, 1, (5, 7)))
+            engine.update_load(2, ReportedLoad(1, 4, (1, 0, 3)))
+            engine.update_load(1, ReportedLoad(1, 2, (5,)))
             assert engine.load() == ReportedLoad(2, 6, (6, 0, 3))
             engine.forget_gateway(2)
             engine.forget_gateway(9)
@@ -505,7 +505,7 @@
             await asyncio.sleep(0.5)
             key = AdapterKey("m", "a1")
             for engine in bench.planner.engines.values():
-                engine.places[key] = Place(1, Phase.READY, bench.clock())
+                engine.places[key] = WeightSlot(1, Phase.READY, bench.clock())
             answers = []
             for follower in (bench.gateway, other):
                 ask = pb.Ask(
@@ -529,7 +529,7 @@
             bench = Bench(engines=2)
             await asyncio.sleep(0.5)
             for engine in bench.planner.engines.values():
-                engine.places[AdapterKey("m", "a1")] = Place(1, Phase.READY, bench.clock())
+                engine.places[AdapterKey("m", "a1")] = WeightSlot(1, Phase.READY, bench.clock())
             bench.load("e1", 3)
             first, second = bench.ask("a1"), bench.ask("a1", doubted=["e0"])
             await asyncio.sleep(0.05)
@@ -580,9 +580,9 @@
             for number, pause_s, action in steps:
                 await asyncio.sleep(pause_s)
                 step(bench, number, action)
-                assert not any(engine.fell for engine in bench.transport.engines.values())
+                assert not any(engine.is_overfilled for engine in bench.transport.engines.values())
             await asyncio.sleep(5.0)
-            assert not any(engine.fell for engine in bench.transport.engines.values())
+            assert not any(engine.is_overfilled for engine in bench.transport.engines.values())
             bench.transport.lost = bench.transport.late = 0.0
             release_all(bench)
             await asyncio.sleep(6.0)
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -169,7 +169,7 @@
             bench.start_requests("a", holder, 40)
             planner, key = bench.planner, AdapterKey("m", "a")
             for is_waiting, copies in ((True, 1), (False, 2)):
-                planner.has_queue = is_waiting
+                planner.has_pending_loads = is_waiting
                 planner.copies.load_copies(bench.clock())
                 assert sum(key in engine.places for engine in planner.engines.values()) == copies
             await bench.stop()
@@ -180,11 +180,11 @@
         async def scenario():
             bench = RoomBench()
             await asyncio.sleep(0.5)
-            assert not bench.planner.has_queue
+            assert not bench.planner.has_pending_loads
             for number in range(40):
                 bench.ask(f"cold{number}", wait_s=9.0, **ASK)
             await asyncio.sleep(0.05)
-            assert bench.planner.has_queue
+            assert bench.planner.has_pending_loads
             await bench.stop()
 
         run(scenario)
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -6,7 +6,7 @@
 
 import pytest
 from engine_model import ModelEngine
-from gradelug_gateway.engines import Engine, Phase, Place
+from gradelug_gateway.engines import Engine, Phase, WeightSlot
 from gradelug_gateway.loading import SPARE_STORE_FRACTION
 from gradelug_gateway.model import AdapterKey, FleetState, Replica
 from gradelug_gateway.planner import Planner
@@ -153,10 +153,10 @@
             bench.report_requests(holder, "a", 8)
             bench.announce_departure(holder)
             bench.planner.refresh()
-            bench.planner.has_queue = True
+            bench.planner.has_pending_loads = True
             bench.planner.refill.start_loads(bench.clock())
             assert not is_coming(bench, "a")
-            bench.planner.has_queue = False
+            bench.planner.has_pending_loads = False
             bench.planner.refill.start_loads(bench.clock())
             assert is_coming(bench, "a")
             await bench.stop()
@@ -171,7 +171,7 @@
             for i, adapter in enumerate(adapters):
                 await bench.place(adapter, only=f"e{i // 3}")
                 bench.report_requests(f"e{i // 3}", adapter, 40)
-            max_loads = math.ceil(SPARE_STORE_FRACTION * bench.planner.loading.pace.at_once)
+            max_loads = math.ceil(SPARE_STORE_FRACTION * bench.planner.loader.pace.at_once)
             assert 1 < max_loads < MAX_LOADS_PER_PASS
             for name in [f"e{i}" for i in range(8)]:
                 bench.announce_departure(name)
@@ -179,7 +179,7 @@
             for _ in range(2):
                 bench.planner.refill.start_loads(bench.clock())
                 assert sum(is_coming(bench, adapter) for adapter in adapters) == max_loads
-            assert bench.planner.loading.may_use_store()
+            assert bench.planner.loader.may_use_store()
             await bench.stop()
 
         run(scenario)
@@ -191,7 +191,7 @@
             engine, now = bench.planner.engines["e0"], bench.clock()
             for number in range(MAX_LOST_ADAPTERS + 50):
                 key = AdapterKey("m", f"x{number}")
-                engine.places[key] = Place(1, Phase.READY, now)
+                engine.places[key] = WeightSlot(1, Phase.READY, now)
                 bench.planner.popularity.note(key.text, now, 8.0 + number)
             bench.planner.index.drop(engine)
             bench.planner.refill.note_lost(engine, True, now)
@@ -307,7 +307,7 @@
         planner = Planner("s", "i", SPEC, FleetState(), None, None, clock, features=features)
         engine = Engine(Replica("e0", "s", "e0:1", "hall"), SPEC)
         key = AdapterKey("m", "a")
-        engine.places[key] = Place(1, Phase.READY, clock())
+        engine.places[key] = WeightSlot(1, Phase.READY, clock())
         planner.popularity.note(key.text, clock(), 8.0)
         planner.refill.note_lost(engine, True, clock())
         return list(planner.refill._lost)
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -117,7 +117,7 @@
         async def scenario():
             bench = PlannerBench(engines=2, spec=TWO_MODELS)
             await asyncio.sleep(0.5)
-            window = bench.planner._upkeep._window
+            window = bench.planner._maintenance._window
             while is_window_full and window.allows(bench.clock()):
                 window.note(bench.clock())
             ticket = bench.ask("a", model="n")
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from gradelug_gateway.engines import Engine, Phase, Place
+from gradelug_gateway.engines import Engine, Phase, WeightSlot
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import (
     ALL_TOLD_ENGINES,
@@ -16,9 +16,9 @@
 from gradelug_gateway.holders import EngineIndex
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
-from gradelug_gateway.openings import CANDIDATES, KEEPERS, Openings
+from gradelug_gateway.openings import MAX_CACHED_CANDIDATES, MAX_CANDIDATES, LoadTargets
 from gradelug_gateway.pending import merge_news, merge_store
-from gradelug_gateway.planner import SYNCS_AT_ONCE, SYNCS_WAITING
+from gradelug_gateway.planner import MAX_CONCURRENT_SYNCS, MAX_PENDING_SYNCS
 from gradelug_gateway.scope import MOST_KEYS, SCOPE_S
 from gradelug_policy.cells import Cells
 from gradelug_wire import placement_pb2 as pb
@@ -74,7 +74,7 @@
             self.followers.join(f"g{number}", "g:1")
 
     def place(self, name, key, version=1):
-        self.engines[name].places[key] = Place(version, Phase.READY, self.now)
+        self.engines[name].places[key] = WeightSlot(version, Phase.READY, self.now)
         self.followers.mark(name)
 
     def remove(self, name, key):
@@ -148,7 +148,7 @@
         """Begin to take weights out: the place stays, for no new requests."""
         place = self.model.engines[f"e{number}"].places.get(key)
         if place is not None:
-            place.phase = Phase.LEAVING
+            place.phase = Phase.DRAINING
             self.model.followers.mark(f"e{number}")
             self.note_truth()
 
@@ -246,7 +246,7 @@
                 key = AdapterKey("m", f"b{step}-{number}")
                 model.followers.note_use(model.follower, key)
                 model.place(f"e{number}", key)
-                model.engines[f"e{number}"].take_load(
+                model.engines[f"e{number}"].update_load(
                     model.follower.number, ReportedLoad(0, step + 1)
                 )
             model.follower.send(pb.FromPlanner(orders=[pb.EngineOrder(ticket=step)]))
@@ -289,7 +289,7 @@
         model.tell(2.0)
         model.read()
         assert model.view(KEYS[0]) == {"e0": 1}
-        model.engines["e0"].places[KEYS[0]].phase = Phase.LEAVING
+        model.engines["e0"].places[KEYS[0]].phase = Phase.DRAINING
         model.followers.mark("e0")
         model.tell(2.0)
         model.read()
@@ -338,7 +338,7 @@
         assert len(told) == MOST_HOMES
         near, far = next(iter(told)), next(name for name in model.engines if name not in told)
         for name in (near, far):
-            model.engines[name].take_load(77, ReportedLoad(0, 5))
+            model.engines[name].update_load(77, ReportedLoad(0, 5))
         model.remove(far, key)
         model.tell(2.0)
         (message,) = model.read()
@@ -353,9 +353,9 @@
     def test_a_gateway_is_told_what_runs_where_it_runs_something(self):
         model = Model(gateways=60)
         model.read()
-        model.engines["e0"].take_load(model.follower.number, ReportedLoad(0, 1))
+        model.engines["e0"].update_load(model.follower.number, ReportedLoad(0, 1))
         for number in (0, 1):
-            model.engines[f"e{number}"].take_load(77, ReportedLoad(0, 5))
+            model.engines[f"e{number}"].update_load(77, ReportedLoad(0, 5))
         model.tell()
         (message,) = model.read()
         assert [(load.replica, load.running) for load in message.loads] == [("e0", 6)]
@@ -489,16 +489,18 @@
             fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
             looked = []
-            find = Openings._find
+            find = LoadTargets._find
             monkeypatch.setattr(
-                Openings, "_find", lambda self, engine: looked.append(engine) or find(self, engine)
+                LoadTargets,
+                "_find",
+                lambda self, engine: looked.append(engine) or find(self, engine),
             )
-            openings = fleet.planner.openings()
+            openings = fleet.planner.load_targets()
             assert not looked
             key = AdapterKey("base-model", "adapter-of-nobody")
             found = openings.candidates(key, 1, lambda name: True)
-            assert len(found) == CANDIDATES
-            assert len(looked) <= CANDIDATES + KEEPERS
+            assert len(found) == MAX_CANDIDATES
+            assert len(looked) <= MAX_CANDIDATES + MAX_CACHED_CANDIDATES
             await fleet.stop()
 
         run(scenario)
@@ -510,8 +512,8 @@
             key = AdapterKey("base-model", "adapter-kept")
             names = list(fleet.planner.engines)[::100]
             for name in names:
-                fleet.planner.engines[name].remember(Holding(key, 1))
-            found = dict(fleet.planner.openings().candidates(key, 1, lambda name: True))
+                fleet.planner.engines[name].add_cached(Holding(key, 1))
+            found = dict(fleet.planner.load_targets().candidates(key, 1, lambda name: True))
             assert found.keys() >= set(names)
             await fleet.stop()
 
@@ -523,7 +525,7 @@
             await fleet.play(3.0)
             for name, engine in fleet.planner.engines.items():
                 engine.synced = name == "engine-hall-1-life-00007"
-            found = fleet.planner.openings().candidates(
+            found = fleet.planner.load_targets().candidates(
                 AdapterKey("base-model", "adapter-x"), 1, lambda name: True
             )
             assert [name for name, _ in found] == ["engine-hall-1-life-00007"]
@@ -548,10 +550,10 @@
             fleet.orders.report = note
             late = "engine-hall-0-life-00999"
             fleet.planner.refresh()
-            fleet.planner.engines[late].take_load(1, ReportedLoad(0, 1))
+            fleet.planner.engines[late].update_load(1, ReportedLoad(0, 1))
             await asyncio.sleep(2.0)
-            assert fleet.orders.max_concurrent_reports <= SYNCS_AT_ONCE
-            assert asked.index(late) <= 2 * SYNCS_WAITING
+            assert fleet.orders.max_concurrent_reports <= MAX_CONCURRENT_SYNCS
+            assert asked.index(late) <= 2 * MAX_PENDING_SYNCS
             assert all(engine.synced for engine in fleet.planner.engines.values())
             await fleet.stop()
 
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from gradelug_gateway.engines import Engine, Phase, Place
+from gradelug_gateway.engines import Engine, Phase, WeightSlot
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import Followers
 from gradelug_gateway.model import (
@@ -319,7 +319,7 @@
         conns = Connections(state=new_state(20, 0))
         engines = {name: Engine(rep, SPEC) for name, rep in conns.state.replicas.items()}
         for engine in engines.values():
-            engine.take_use(1, AdapterKey("m", "a"), int(in_use))
+            engine.update_use(1, AdapterKey("m", "a"), int(in_use))
         conns.desk = HealthAggregator("llm", conns.state, engines, lambda: 0.2)
         rng = random.Random(4)
         for _ in range(20):
@@ -356,7 +356,7 @@
             gateways = [planner.join(f"g{number}", f"{number}:1") for number in range(9)]
             key, loop = AdapterKey("m", "a"), asyncio.get_running_loop()
             for name in ("e0", "e1"):
-                place = planner.engines[name].places[key] = Place(1, Phase.READY, loop.time())
+                place = planner.engines[name].places[key] = WeightSlot(1, Phase.READY, loop.time())
                 place.ready_at = loop.time()
             first = self.ask(planner, gateways[0], 1)
             for _ in range(6):
--- a/tools/gateway_capacity.py
+++ b/tools/gateway_capacity.py
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT / "platform")]
 
-from gradelug_gateway.engines import Phase, Place  # noqa: E402
+from gradelug_gateway.engines import Phase, WeightSlot  # noqa: E402
 from gradelug_gateway.fleet import Fleet  # noqa: E402
 from gradelug_gateway.model import (  # noqa: E402
     AdapterKey,
@@ -55,10 +55,10 @@
     for at, engine in enumerate(planner.engines.values()):
         engine.synced = True
         for key in [AdapterKey("m"), *(AdapterKey("m", f"a{at * 6 + n}") for n in range(6))]:
-            place = engine.places[key] = Place(1, Phase.READY, clock())
+            place = engine.places[key] = WeightSlot(1, Phase.READY, clock())
             place.used_at = -1.0
         for n in range(36):
-            engine.remember(Holding(AdapterKey("m", f"a{at * 36 + n}"), 1))
+            engine.add_cached(Holding(AdapterKey("m", f"a{at * 36 + n}"), 1))
     return planner
 
 
@@ -122,11 +122,11 @@
         busy(planner)
         follower = planner.followers.join("g", "")
         for waiting in (0, 10, 40):
-            planner._line.waiters.clear()
+            planner._queue.waiters.clear()
             for number in range(waiting):
                 planner.take(follower, ask(number))
             show(what="decision", engines=engines, waiting=waiting, us=timed(planner.decide))
-        planner._line.waiters.clear()
+        planner._queue.waiters.clear()
         show(
             what="a question that is answered at once",
             engines=engines,
