--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -89,7 +89,7 @@
         self.kept.forget(engine.replica.name)
 
 
-class WeightSlots(dict[AdapterKey, "Place"]):
+class WeightSlots(dict[AdapterKey, "WeightSlot"]):
     """The weights of an engine by key; each change updates the index.
 
     Parameters
