--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admitting.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    freshness : Freshness
+    freshness : ConfigFreshness
         Proof of when the configuration was last known to be the newest.
     """
 
--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/answering.py
@@ -33,7 +33,7 @@
         Creates the headers of answers.
     sender : Sender
         Forwards a replica's error response.
-    admitter : Admitter
+    admitter : AdmissionControl
         Provides the version and age of the configuration, for the log.
     meters : Meters
         Request metrics.
--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/copies.py
@@ -35,7 +35,7 @@
     ----------
     planner : Planner
         The planner that places the adapters.
-    terms : Terms
+    terms : EngineCapacity
         Number of concurrent requests and tokens that its engines can hold.
     room : EngineEstimator
         Estimates of engine speeds and of how long requests hold a slot.
@@ -101,7 +101,7 @@
         found = [
             engine
             for engine in self._planner.index.engines_holding(key).values()
-            if engine.places[key].phase in (Phase.LOADING, Phase.READY)
+            if engine.weight_slots[key].phase in (Phase.LOADING, Phase.READY)
         ]
         # A rate-limited engine has too little capacity to count beside other holders.
         limits = self._planner.limits
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -46,7 +46,7 @@
         Whether its caller was refused before and has come back.
     target_at, until : float
         Until when it is in time, and until when it waits, by the runtime's clock.
-    work : Work
+    work : RequestWork
         What the request asks of an engine.
     begun : bool
         Whether its caller has had a part of the answer.
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -135,7 +135,7 @@
         "lock",
         "is_replaced",
         "orders",
-        "places",
+        "weight_slots",
         "replica",
         "spec",
         "synced",
@@ -162,7 +162,7 @@
         self.spec = spec
         self._index = index if index is not None else EngineIndex()
         self.orders = 0
-        self.places = WeightSlots(self, self._index)
+        self.weight_slots = WeightSlots(self, self._index)
         self.cached: dict[Holding, None] = {}
         """Adapters in the host memory, least recently added first."""
         self.active: dict[AdapterKey, Counter[int]] = {}
@@ -257,19 +257,19 @@
     def has_any_model(self) -> bool:
         """Tell whether any base model is ready for requests."""
         return any(
-            slot.phase is Phase.READY for key, slot in self.places.items() if not key.adapter
+            slot.phase is Phase.READY for key, slot in self.weight_slots.items() if not key.adapter
         )
 
     def drain_model(self, base: AdapterKey) -> None:
         """Accept no new requests for a base model and its adapters."""
-        for key, slot in self.places.items():
+        for key, slot in self.weight_slots.items():
             if key.model == base.model and slot.phase is Phase.READY:
                 slot.phase = Phase.DRAINING
 
     def drop_model(self, base: AdapterKey) -> None:
         """Remove a base model that was unloaded, with its adapters."""
-        for key in [key for key in self.places if key.model == base.model]:
-            del self.places[key]
+        for key in [key for key in self.weight_slots if key.model == base.model]:
+            del self.weight_slots[key]
 
     def is_in_use(self) -> bool:
         """Tell whether the engine has any requests."""
@@ -277,7 +277,7 @@
 
     def holds(self, key: AdapterKey) -> bool:
         """Tell whether some weights are ready for requests."""
-        slot = self.places.get(key)
+        slot = self.weight_slots.get(key)
         return slot is not None and slot.phase is Phase.READY
 
     def has_model(self, model: str) -> bool:
@@ -286,7 +286,7 @@
 
     def adapters(self) -> t.Iterator[tuple[AdapterKey, WeightSlot]]:
         """Yield the adapters on the engine, in any phase."""
-        return ((key, slot) for key, slot in self.places.items() if key.adapter)
+        return ((key, slot) for key, slot in self.weight_slots.items() if key.adapter)
 
     def free_adapter_slots(self) -> int:
         """Return the number of free adapter slots, less those reserved for inherited loads."""
@@ -296,7 +296,7 @@
         return (
             self.spec.adapter_slots
             - inherited_loads
-            - (len(self.places) - self.places.base_model_count)
+            - (len(self.weight_slots) - self.weight_slots.base_model_count)
         )
 
     def update_replica(self, rep: Replica) -> bool:
@@ -375,18 +375,18 @@
 
     def is_missing(self, key: AdapterKey) -> bool:
         """Tell whether an adapter is missing while its base model is ready."""
-        return key not in self.places and self.has_model(key.model)
+        return key not in self.weight_slots and self.has_model(key.model)
 
     def evict(self, text: str) -> AdapterKey:
         """Remove an adapter, given by its text, so that another can be loaded; return its key."""
-        key = next(candidate for candidate in self.places if candidate.text == text)
-        del self.places[key]
+        key = next(candidate for candidate in self.weight_slots if candidate.text == text)
+        del self.weight_slots[key]
         return key
 
     def discard(self, key: AdapterKey, slot: WeightSlot) -> None:
         """Remove weights after a failed load, unless another slot has replaced the given one."""
-        if self.places.get(key) is slot:
-            del self.places[key]
+        if self.weight_slots.get(key) is slot:
+            del self.weight_slots[key]
 
     def forget_gateway(self, gateway: int) -> None:
         """Remove all requests of a gateway."""
@@ -402,15 +402,15 @@
         replica rejects as missing are dropped.
         """
         for holding in self.replica.holdings:
-            slot = self.places[holding.key] = WeightSlot(holding.version, Phase.READY, now)
+            slot = self.weight_slots[holding.key] = WeightSlot(holding.version, Phase.READY, now)
             slot.ready_at = -math.inf
 
-    def take_report(self, report: EngineReport, now: float) -> None:
+    def apply_report(self, report: EngineReport, now: float) -> None:
         """Apply an engine's report."""
         self.orders = report.orders
         slots: dict[AdapterKey, WeightSlot] = {}
         for holding in report.holdings:
-            old = self.places.get(holding.key)
+            old = self.weight_slots.get(holding.key)
             if old is not None and old.phase is Phase.UNLOADING:
                 slots[holding.key] = old
                 continue
@@ -420,12 +420,12 @@
             slots[holding.key] = slot
         for holding in report.loading:
             slots[holding.key] = WeightSlot(holding.version, Phase.LOADING, now)
-        self.places.replace(slots)
+        self.weight_slots.replace(slots)
         for holding in report.cached:
             self.add_cached(holding)
         self.synced = not report.busy and not report.loading
 
-    async def give(
+    async def send_order(
         self,
         transport: OrderTransport,
         load: bool,
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -35,9 +35,9 @@
         The replica to which it is sent.
     conn : Connection
         The connection over which it is sent.
-    work : Work
+    work : RequestWork
         Prompt size, urgency and memory that it takes at the replica.
-    busyness : Busyness
+    busyness : EngineLoad
         Load of the replica when the request was sent.
     sent_at : float
         When the request was sent, by the event loop's clock.
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_line.py
@@ -225,7 +225,7 @@
         remaining_fraction = (waiter.target_at - now) / max(
             MAX_REQUEST_HOLD_S, waiter.target_at - waiter.asked_at
         )
-        is_claimed = any(key in engine.places for key in self._claimed)
+        is_claimed = any(key in engine.weight_slots for key in self._claimed)
         return ahead_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
 
     def _must_stay_queued(self, waiter: Waiter) -> bool:
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -63,7 +63,7 @@
         Source of randomness for samples and partial ejection; seeded with 0 if None.
     has_room : bool
         Whether slots, memory and the individual speed of each engine are taken into account.
-    kept : Kept or None
+    kept : PrefixCache or None
         Prompt prefixes cached by engines; None to ignore them.
     limits : ReplicaLimits or None
         Request limits that replicas announced.
@@ -366,7 +366,7 @@
             Candidates.
         excluded, only : container of str
             Names of replicas that must not be selected, and of those that may be; None for any.
-        work : Work or None
+        work : RequestWork or None
             Resources that the request needs on an engine; None for other replicas.
         may_probe : bool
             Whether the request may probe an ejected replica.
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -431,7 +431,7 @@
 
     def _choosers(self, engine: Engine) -> t.Iterator[int]:
         """Yield the gateways that may send requests there without a question."""
-        for key in engine.places:
+        for key in engine.weight_slots:
             if len(self._index.engines_holding(key)) <= MOST_HOMES:
                 yield from self._scopes.watchers(key)
 
@@ -441,7 +441,7 @@
         for name in self._changed:
             engine = self._engines.get(name)
             if engine is not None:
-                changed.update(engine.places)
+                changed.update(engine.weight_slots)
         self._changed.clear()
         for key in changed:
             watchers = self._scopes.watchers(key)
@@ -521,9 +521,9 @@
     def _homes(self, key: AdapterKey) -> dict[str, int]:
         """Return the versions of weights that can be used, by engine."""
         return {
-            name: engine.places[key].version
+            name: engine.weight_slots[key].version
             for name, engine in self._index.engines_holding(key).items()
-            if engine.places[key].phase is Phase.READY
+            if engine.weight_slots[key].phase is Phase.READY
         }
 
     def _some(self, follower: Follower, homes: t.Mapping[str, int]) -> dict[str, int]:
@@ -536,7 +536,7 @@
         engine = self._engines.get(name)
         if engine is None:
             return holdings
-        for key, place in engine.places.items():
+        for key, place in engine.weight_slots.items():
             if place.phase is Phase.READY:
                 holdings.held.add(model=key.model, adapter=key.adapter, version=place.version)
         return holdings
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -35,11 +35,11 @@
         What is known of replicas.
     mirror : Mirror
         The platform's entries.
-    freshness : Freshness
+    freshness : ConfigFreshness
         When the configuration was known to be the newest.
     directory : Directory
         The planners that are followed.
-    standing : Standing
+    standing : StartupProgress
         How long each part of the state was missing after the start.
     poison : PoisonControl
         Requests that are not to be sent, and replicas that ended.
@@ -154,7 +154,7 @@
     gauge(
         "requests_held",
         "Requests held until an engine has room",
-        lambda: sum(planner.held() for planner in seen.planners()),
+        lambda: sum(planner.held_count() for planner in seen.planners()),
     )
     gauge("plans", "Services planned for", lambda: len(seen.planners()))
     gauge(
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/holders.py
@@ -27,7 +27,14 @@
         Tracks the prompt prefixes that engines cache; entries are dropped with their weights.
     """
 
-    __slots__ = ("_by_key", "_cached", "changed_keys", "changed_loads", "added_keys", "kept")
+    __slots__ = (
+        "_by_key",
+        "_cached",
+        "changed_keys",
+        "changed_loads",
+        "added_keys",
+        "prefix_cache",
+    )
 
     def __init__(self, kept: PrefixCacheTracker | None = None) -> None:
         self._by_key: dict[AdapterKey, dict[str, Engine]] = {}
@@ -38,7 +45,7 @@
         """Weights that were added or removed since the set was last cleared."""
         self.added_keys: set[AdapterKey] = set()
         """Weights that were added since the set was last replaced, for version renewal."""
-        self.kept = kept or PrefixCacheTracker()
+        self.prefix_cache = kept or PrefixCacheTracker()
         """Cached prompt prefixes, lost when an engine drops the weights or restarts."""
 
     def engines_holding(self, key: AdapterKey) -> t.Mapping[str, Engine]:
@@ -67,7 +74,7 @@
         if engine.is_replaced:
             return
         _drop(self._by_key, key, engine.replica.name)
-        self.kept.forget_weights(engine.replica.name, key.text)
+        self.prefix_cache.forget_weights(engine.replica.name, key.text)
         self.changed_keys.add(key)
 
     def note_cached(self, engine: Engine, holding: Holding, kept: bool) -> None:
@@ -81,12 +88,12 @@
 
     def drop(self, engine: Engine) -> None:
         """Remove an engine from the index."""
-        for key in engine.places:
+        for key in engine.weight_slots:
             self.note_removed(engine, key)
         for holding in engine.cached:
             self.note_cached(engine, holding, False)
         self.changed_loads.discard(engine.replica.name)
-        self.kept.forget(engine.replica.name)
+        self.prefix_cache.forget(engine.replica.name)
 
 
 class WeightSlots(dict[AdapterKey, "WeightSlot"]):
@@ -114,7 +121,7 @@
         if previous is None:
             self.base_model_count += not key.adapter
         elif previous.version != slot.version:
-            self._index.kept.forget_weights(self._engine.replica.name, key.text)
+            self._index.prefix_cache.forget_weights(self._engine.replica.name, key.text)
         super().__setitem__(key, slot)
         self._index.note_added(self._engine, key)
 
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -79,7 +79,7 @@
         The route that matches it.
     service : Service
         The service chosen among the route's shares.
-    work : Work
+    work : RequestWork
         Prompt size, urgency and memory that it takes at an engine.
     admission : Admission
         Configuration version and principal under which it was admitted.
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/kept.py
@@ -80,7 +80,7 @@
         ----------
         replicas : collection of Replica
             The engines to choose from.
-        work : Work
+        work : RequestWork
             The work of the request if nothing is cached.
         speed : float
             Prefill speed of the engines, in tokens a second.
@@ -119,7 +119,7 @@
         ----------
         replica : str
             Name of the engine.
-        work : Work
+        work : RequestWork
             The work of the request on that engine.
         memory_tokens : int
             Capacity of its memory in tokens; 0 if unknown.
@@ -178,5 +178,5 @@
     meters.gauge(
         "reread_prompt_tokens",
         "Tokens of parts that planners here sent elsewhere than to the engine taken to keep them",
-        lambda: sum(planner.index.kept.reread for planner in planners()),
+        lambda: sum(planner.index.prefix_cache.reread for planner in planners()),
     )
--- a/packages/gateway/src/gradelug_gateway/loading.py
+++ b/packages/gateway/src/gradelug_gateway/loading.py
@@ -120,7 +120,7 @@
     def handle_missing(self, replica: str, key: AdapterKey) -> None:
         """Handle a replica's answer that it lacks weights which it was thought to hold."""
         engine = self._planner.engines.get(replica)
-        slot = engine.places.get(key) if engine is not None else None
+        slot = engine.weight_slots.get(key) if engine is not None else None
         if engine is None or slot is None or slot.phase is not Phase.READY:
             return
         if self._clock() - slot.ready_at < LOAD_GRACE_S:
@@ -131,7 +131,7 @@
                 replica=replica,
                 weights=key.text,
             )
-            del engine.places[key]
+            del engine.weight_slots[key]
             engine.synced = False
         self._planner.followers.mark(replica)
 
@@ -146,12 +146,12 @@
 
     def track_unload(self, engine: Engine, key: AdapterKey, outcome: OrderOutcome) -> None:
         """Keep the slot of an adapter that the engine did not unload at once."""
-        if outcome is not OrderOutcome.TAKEN or key in engine.places:
+        if outcome is not OrderOutcome.TAKEN or key in engine.weight_slots:
             # Unknown outcome, or a new load was planned meanwhile: wait for the engine's report.
             engine.synced = False
             return
         # In use by a request not reported yet; the engine unloads it when its requests end.
-        slot = engine.places[key] = WeightSlot(0, Phase.UNLOADING, self._clock())
+        slot = engine.weight_slots[key] = WeightSlot(0, Phase.UNLOADING, self._clock())
         self._planner.start(self._await_unload(engine, key, slot))
 
     async def order(
@@ -160,7 +160,7 @@
         """Send an order decided in a term; the engine's lock must be held."""
         planner = self._planner
         expected = engine.orders
-        outcome = await engine.give(self._transport, load, key, version, self._owner, term)
+        outcome = await engine.send_order(self._transport, load, key, version, self._owner, term)
         if outcome is OrderOutcome.LOST and load and key.adapter:
             engine.note_unacknowledged_load(expected, self._clock())
         if outcome is OrderOutcome.OUTRANKED and not planner.is_outranked:
@@ -183,13 +183,13 @@
                 if engine.update_incarnation(report.born):
                     self._planner.replace_incarnation(engine, report.born)
                     return
-                engine.take_report(report, self._clock())
+                engine.apply_report(report, self._clock())
             log.info(
                 "engine in step",
                 replica=engine.replica.name,
                 synced=engine.synced,
                 orders=engine.orders,
-                holds=[key.text for key in engine.places],
+                holds=[key.text for key in engine.weight_slots],
             )
             self._planner.followers.mark(engine.replica.name)
             self._planner.schedule_decision()
@@ -208,7 +208,7 @@
     async def _execute(self, planned: PlannedLoad) -> None:
         term, engine, key, slot = planned.term, planned.engine, planned.key, planned.slot
         async with engine.lock:
-            if term.is_over or engine.places.get(key) is not slot:
+            if term.is_over or engine.weight_slots.get(key) is not slot:
                 # The victim was removed from the record but is still on the engine.
                 engine.discard(key, slot)
                 engine.synced = False
@@ -241,7 +241,7 @@
     async def _await_unload(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         """Free the slot of an adapter once the engine reports that it is unloaded."""
         engines, name = self._planner.engines, engine.replica.name
-        while engines.get(name) is engine and engine.places.get(key) is slot:
+        while engines.get(name) is engine and engine.weight_slots.get(key) is slot:
             await asyncio.sleep(REPORT_LAG_S)
             if engine.request_count(key):
                 continue
@@ -255,7 +255,7 @@
         self._set_ready(engine, key, slot)
 
     def _set_ready(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
-        if engine.places.get(key) is not slot:
+        if engine.weight_slots.get(key) is not slot:
             return
         slot.phase = Phase.READY
         slot.ready_at = slot.used_at = self._clock()
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/openings.py
@@ -47,7 +47,7 @@
 def count_copies(index: EngineIndex, key: AdapterKey) -> int:
     """Return on how many engines an adapter is ready or loading."""
     return sum(
-        engine.places[key].phase in (Phase.LOADING, Phase.READY)
+        engine.weight_slots[key].phase in (Phase.LOADING, Phase.READY)
         for engine in index.engines_holding(key).values()
     )
 
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -434,7 +434,7 @@
         if self.tokens.rate(key.text, now) > MAX_PREFILL_FRACTION_PER_COPY * self.speed:
             self.hot.add(key)
         engine.update_use(follower.number, key, use.active)
-        slot = engine.places.get(key)
+        slot = engine.weight_slots.get(key)
         if slot is not None:
             slot.used_at = now
 
@@ -511,7 +511,7 @@
             else ""
         )
         for name, engine in holders:
-            slot = engine.places.get(waiter.key)
+            slot = engine.weight_slots.get(waiter.key)
             if slot is None or slot.phase is not Phase.READY or not waiter.may_use(name):
                 continue
             work = self._prefix_cache.work_at_preferred(
@@ -530,7 +530,7 @@
         work = self._prefix_cache.work_at(best.replica.name, waiter.work)
         if self._should_wait(waiter, best, self._cost_s(best, waiter, work), now):
             return False
-        slot = best.places[waiter.key]
+        slot = best.weight_slots[waiter.key]
         # Keep the slot in use until the gateway reports the request.
         slot.used_at = now + self.followers.pacing.flush_s
         best.reserve(waiter.follower.number, work)
@@ -649,7 +649,7 @@
 
     def _is_loading(self, waiter: Waiter) -> bool:
         for name, engine in self._holders(waiter):
-            slot = engine.places.get(waiter.key)
+            slot = engine.weight_slots.get(waiter.key)
             if slot is not None and slot.phase is Phase.LOADING and waiter.may_use(name):
                 return True
         return False
@@ -658,7 +658,7 @@
         """Return the base models of all waiting requests."""
         return {waiter.key.model for waiter in self._queue.waiters}
 
-    def held(self) -> int:
+    def held_count(self) -> int:
         """Return how many requests are held until an engine has capacity."""
         return sum(waiter.waits_for_capacity for waiter in self._queue.waiters)
 
@@ -697,7 +697,7 @@
             Takes an engine's name, returns whether it may be chosen.
         max_cost_s : float
             Maximum cost of the load, in seconds (see `choose_load_engine`).
-        work : Work
+        work : RequestWork
             Tokens and urgency of the request that waits for it.
         uses : float
             Expected requests over which the cost of the weight store is spread.
@@ -728,7 +728,7 @@
             return False
         engine = self.engines[choice.engine]
         victim = engine.evict(choice.victim) if choice.victim is not None else None
-        slot = engine.places[key] = WeightSlot(version, Phase.LOADING, now)
+        slot = engine.weight_slots[key] = WeightSlot(version, Phase.LOADING, now)
         self._queue.throughput.note_load()
         self.followers.mark(choice.engine)
         targets.invalidate(engine)
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -83,7 +83,7 @@
         if not self._is_on:
             return
         due_at = now if is_announced else now + LOSS_CONFIRMATION_S
-        for key, slot in engine.places.items():
+        for key, slot in engine.weight_slots.items():
             if not key.adapter or slot.phase is Phase.UNLOADING:
                 continue
             gain_s = self._gain_s(key, now)
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -48,7 +48,7 @@
             held = {
                 name: engine
                 for name, engine in index.engines_holding(key).items()
-                if engine.places[key].version < versions[key]
+                if engine.weight_slots[key].version < versions[key]
             }
             if not held:
                 self._outdated.discard(key)
@@ -70,7 +70,7 @@
             self._seen_versions = dict(versions)
 
     def _renew_adapter(self, term: Term, name: str, engine: Engine, key: AdapterKey) -> None:
-        slot = engine.places[key]
+        slot = engine.weight_slots[key]
         if slot.phase in (Phase.LOADING, Phase.UNLOADING):
             return
         if slot.phase is Phase.READY:
@@ -82,14 +82,14 @@
     def _renew_model(self, term: Term, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Renew a base model engine by engine, those with the fewest runs first."""
         draining = [
-            engine for engine in held.values() if engine.places[key].phase is Phase.DRAINING
+            engine for engine in held.values() if engine.weight_slots[key].phase is Phase.DRAINING
         ]
         self._drain_some(held, key)
         for engine in draining:
             # Adapters may have been loaded since the model was closed.
             engine.drain_model(key)
             if engine.synced and not engine.uses_model(key.model):
-                self._planner.start(self._unload(term, engine, key, engine.places[key]))
+                self._planner.start(self._unload(term, engine, key, engine.weight_slots[key]))
 
     def _drain_some(self, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
         """Close engines for the renewal of their base model; gateways learn of it later."""
@@ -100,7 +100,7 @@
         ready = [
             (engine.model_request_count(key.model), name)
             for name, engine in held.items()
-            if engine.places[key].phase is Phase.READY
+            if engine.weight_slots[key].phase is Phase.READY
         ]
         for _, name in sorted(ready)[:allowed]:
             self._renewals[name, key] = now
@@ -113,13 +113,13 @@
             engine = self._planner.engines.get(name)
             if engine is None or engine.holds(key):
                 del self._renewals[name, key]
-            elif key not in engine.places and engine.has_any_model():
+            elif key not in engine.weight_slots and engine.has_any_model():
                 # The engine holds another base model instead.
                 del self._renewals[name, key]
 
     async def _unload(self, term: Term, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         async with engine.lock:
-            held = engine.places.get(key) is slot
+            held = engine.weight_slots.get(key) is slot
             if term.is_over or not engine.synced or not held:
                 return
             outcome = await self._planner.loader.order(term, engine, False, key, 0)
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -136,7 +136,7 @@
         Counter that grows with every change of the replicas.
     departures : Departures
         Incarnations of replicas that are shutting down or have ended.
-    namings : Namings
+    namings : VersionAnnouncements
         When newest versions were published.
     """
 
--- a/packages/gateway/src/gradelug_gateway/requests.py
+++ b/packages/gateway/src/gradelug_gateway/requests.py
@@ -87,7 +87,7 @@
         replicas check them.
     backup : str
         ``IP:port`` of the replica to which the run's KV cache is replicated; empty for none.
-    copy : Copy or None
+    copy : KvCopy or None
         The saved KV cache from which the run continues; None to run from the start.
     """
 
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -1,6 +1,6 @@
 """Recovery of streaming runs whose connection or engine is lost.
 
-`Sender` creates a `Run` for each recoverable request that it sends and reports its progress to
+`Sender` creates a `FleetSimulation` for each recoverable request that it sends and reports its progress to
 `RunRecovery`, which keeps track of active runs, decides which of them are copied to another engine,
 and finds the copy of a run's memory from which a broken stream is resumed.
 """
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -74,7 +74,7 @@
         Returns the event loop's time, in seconds.
     rng : Random
         Source of randomness for service shares and jitter.
-    admitter : Admitter
+    admitter : AdmissionControl
         Authenticates requests and checks that the configuration is current.
     quotas : Quotas
         Charges requests to the quotas of their organisations.
@@ -546,7 +546,7 @@
                 kind=KvCopyKind.MOVED,
                 holder=copy.other_holder,
                 weights_confirmed_at=-math.inf,
-                elsewhere=None,
+                other_holder=None,
                 were_weights_loaded=False,
             )
             return
--- a/packages/gateway/src/gradelug_gateway/standing.py
+++ b/packages/gateway/src/gradelug_gateway/standing.py
@@ -43,7 +43,7 @@
     ----------
     clock : callable
         Returns the time of the runtime's clock, in seconds.
-    checks : mapping of Part to callable
+    checks : mapping of StartupPart to callable
         Returns for each part whether it is available.
     """
 
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/storenews.py
@@ -44,7 +44,7 @@
         Local copy of the store that the feed reads.
     clock : callable
         Returns the time of the runtime's clock, in seconds.
-    freshness : Freshness
+    freshness : ConfigFreshness
         When the configuration in force here was known to be the newest.
     forwards_config : bool
         Whether this instance's link is fast enough to forward a new configuration to all gateways:
@@ -208,7 +208,7 @@
         Maximum age of the state read from the store, in seconds.
     can_pause : callable
         Returns whether this instance needs nothing from the store but what planners send.
-    freshness : Freshness
+    freshness : ConfigFreshness
         Records the planner's proof that its configuration is the newest.
     """
 
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/upkeep.py
@@ -73,10 +73,10 @@
 
     def _ensure_models(self, term: Term) -> None:
         for engine in self._planner.engines.values():
-            if engine.synced and not engine.places.base_model_count and self._spec.models:
+            if engine.synced and not engine.weight_slots.base_model_count and self._spec.models:
                 model = self._least_replicated_model()
                 key = AdapterKey(model.name)
-                slot = engine.places[key] = WeightSlot(0, Phase.LOADING, self._clock())
+                slot = engine.weight_slots[key] = WeightSlot(0, Phase.LOADING, self._clock())
                 self._planner.start(self._load_model(term, engine, key, slot, model.load_s))
 
     def _least_replicated_model(self) -> BaseModel:
@@ -108,7 +108,7 @@
                 self._planner.followers.mark(engine.replica.name)
             self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
-            slot = engine.places[key] = WeightSlot(0, Phase.LOADING, self._clock())
+            slot = engine.weight_slots[key] = WeightSlot(0, Phase.LOADING, self._clock())
             self._planner.start(self._load_model(term, engine, key, slot, model.load_s, victim))
 
     def _count_models(self) -> Counter[str]:
@@ -130,7 +130,7 @@
             key=lambda engine: (
                 self._fits(engine, model),
                 min(
-                    (copies_by_model[key.model] for key in engine.places if not key.adapter),
+                    (copies_by_model[key.model] for key in engine.weight_slots if not key.adapter),
                     default=0,
                 ),
             ),
@@ -139,12 +139,12 @@
 
     def _fits(self, engine: Engine, model: BaseModel) -> bool:
         sizes = {other.name: other.size_mb for other in self._spec.models}
-        used_mb = sum(sizes.get(key.model, 0.0) for key in engine.places if not key.adapter)
+        used_mb = sum(sizes.get(key.model, 0.0) for key in engine.weight_slots if not key.adapter)
         adapters_mb = self._spec.adapter_slots * model.adapter_mb
         return used_mb + model.size_mb + adapters_mb <= self._spec.memory_mb
 
     def _victim(self, engine: Engine) -> AdapterKey | None:
-        return next((key for key in engine.places if not key.adapter), None)
+        return next((key for key in engine.weight_slots if not key.adapter), None)
 
     async def _load_model(
         self,
@@ -156,7 +156,7 @@
         victim: AdapterKey | None = None,
     ) -> None:
         async with engine.lock:
-            if engine.places.get(key) is not slot:
+            if engine.weight_slots.get(key) is not slot:
                 return
             in_use = victim is not None and engine.uses_model(victim.model)
             if in_use or not self._window.allows(self._clock()):
--- a/packages/policy/src/gradelug_policy/chain_homes.py
+++ b/packages/policy/src/gradelug_policy/chain_homes.py
@@ -74,7 +74,7 @@
 
     Parameters
     ----------
-    chain : Chain
+    chain : PrefixChain
         Prefixes that the prompt shares with others.
     share : float
         Share of the chain among the requests for its weights, 0 to 1.
--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -87,7 +87,7 @@
     ----------
     kind : int
         Number of its kind.
-    standing : Standing
+    standing : StartupProgress
         How its caller comes.
     amount : float
         Tokens that it counts.
--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_room.py
@@ -172,13 +172,13 @@
 
     Parameters
     ----------
-    holders : collection of Busyness
+    holders : collection of EngineLoad
         Load of each engine that holds or is loading the adapter.
     rate : float
         Requests per second for the adapter.
     load_s : float
         Expected duration of a load, in seconds.
-    capacity : Terms
+    capacity : EngineCapacity
         Capacity of each of these engines.
     hold_s : float
         Mean time that a run occupies a slot, in seconds.
--- a/packages/policy/src/gradelug_policy/kept_parts.py
+++ b/packages/policy/src/gradelug_policy/kept_parts.py
@@ -249,7 +249,7 @@
 
         Parameters
         ----------
-        chain : Chain or None
+        chain : PrefixChain or None
             Reusable prefixes of the prompt.
         cached : int
             Tokens assumed to be cached at the chosen engine.
@@ -284,7 +284,7 @@
 
     Parameters
     ----------
-    chain : Chain
+    chain : PrefixChain
         Reusable prefixes of the prompt.
     known : int
         Tokens of the chain that are known to be cached there.
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/reading.py
@@ -44,7 +44,7 @@
         Urgency level; engines process prompts of the lowest first.
     answer_tokens : int
         Expected length of the answer, in tokens.
-    chain : Chain or None
+    chain : PrefixChain or None
         Prefixes of the prompt that other prompts may reuse.
     kept_tokens : int
         Tokens of the prompt that need no prefill on the engine in question.
@@ -138,9 +138,9 @@
         ----------
         service : str
             Service that the engine belongs to.
-        load : Busyness
+        load : EngineLoad
             Load of the engine when the request was sent.
-        work : Work
+        work : RequestWork
             Work of the request.
         took_s : float
             From sending to the first event, in seconds.
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -199,7 +199,7 @@
                 replicas.add(replica)
                 bench.load(replica, 0)
             assert len(replicas) <= 4
-            assert bench.planner.index.kept.reread == 0
+            assert bench.planner.index.prefix_cache.reread == 0
             await bench.stop()
 
         run(scenario)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -264,7 +264,7 @@
             engine.replica, SPEC, inherited_loads=engine.unacknowledged_loads(11.0)
         )
         assert replacement.free_adapter_slots() == SLOTS - 1
-        replacement.take_report(EngineReport(3, (), (), frozenset(), False), 12.0)
+        replacement.apply_report(EngineReport(3, (), (), frozenset(), False), 12.0)
         # The engine has accepted more orders than the unacknowledged load expects.
         assert replacement.free_adapter_slots() == SLOTS
         late = Engine(
@@ -273,19 +273,19 @@
             inherited_loads=engine.unacknowledged_loads(10.0 + UNACKNOWLEDGED_LOAD_TTL_S),
         )
         assert late.free_adapter_slots() == SLOTS
-        late.places[A1] = WeightSlot(1, Phase.READY, 0.0)
+        late.weight_slots[A1] = WeightSlot(1, Phase.READY, 0.0)
         assert late.free_adapter_slots() == SLOTS - 1
 
     def test_late_cleanup_of_the_earlier_incarnation_keeps_the_new_one_indexed(self):
         index = EngineIndex()
         rep = Replica("e0", "llm", "10.0.0.1:80", "z", born=1)
         old = Engine(rep, SPEC, index)
-        old.places[A1] = WeightSlot(1, Phase.READY, 0.0)
+        old.weight_slots[A1] = WeightSlot(1, Phase.READY, 0.0)
         index.drop(old)
         old.is_replaced = True
         replacement = Engine(rep, SPEC, index, (), 2)
-        replacement.places[A1] = WeightSlot(1, Phase.READY, 0.0)
-        old.discard(A1, old.places[A1])
+        replacement.weight_slots[A1] = WeightSlot(1, Phase.READY, 0.0)
+        old.discard(A1, old.weight_slots[A1])
         assert index.engines_holding(A1) == {"e0": replacement}
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -505,7 +505,7 @@
             await asyncio.sleep(0.5)
             key = AdapterKey("m", "a1")
             for engine in bench.planner.engines.values():
-                engine.places[key] = WeightSlot(1, Phase.READY, bench.clock())
+                engine.weight_slots[key] = WeightSlot(1, Phase.READY, bench.clock())
             answers = []
             for follower in (bench.gateway, other):
                 ask = pb.Ask(
@@ -529,7 +529,9 @@
             bench = Bench(engines=2)
             await asyncio.sleep(0.5)
             for engine in bench.planner.engines.values():
-                engine.places[AdapterKey("m", "a1")] = WeightSlot(1, Phase.READY, bench.clock())
+                engine.weight_slots[AdapterKey("m", "a1")] = WeightSlot(
+                    1, Phase.READY, bench.clock()
+                )
             bench.load("e1", 3)
             first, second = bench.ask("a1"), bench.ask("a1", doubted=["e0"])
             await asyncio.sleep(0.05)
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_room.py
@@ -64,10 +64,10 @@
             bench.report_all_loads(BATCH)
             ticket = bench.ask("a", **ASK)
             assert await bench.answered_replica(ticket, 0.15) is None
-            assert bench.planner.held() == 1
+            assert bench.planner.held_count() == 1
             bench.report_load(holder, BATCH - 1)
             assert await bench.answered_replica(ticket, 0.02) == holder
-            assert bench.planner.held() == 0
+            assert bench.planner.held_count() == 0
             await bench.stop()
 
         run(scenario)
@@ -171,7 +171,9 @@
             for is_waiting, copies in ((True, 1), (False, 2)):
                 planner.has_pending_loads = is_waiting
                 planner.copies.load_copies(bench.clock())
-                assert sum(key in engine.places for engine in planner.engines.values()) == copies
+                assert (
+                    sum(key in engine.weight_slots for engine in planner.engines.values()) == copies
+                )
             await bench.stop()
 
         run(scenario)
@@ -200,7 +202,7 @@
             assert all(
                 place.phase is not Phase.LOADING
                 for engine in bench.planner.engines.values()
-                for place in engine.places.values()
+                for place in engine.weight_slots.values()
             )
             await bench.stop()
 
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -191,7 +191,7 @@
             engine, now = bench.planner.engines["e0"], bench.clock()
             for number in range(MAX_LOST_ADAPTERS + 50):
                 key = AdapterKey("m", f"x{number}")
-                engine.places[key] = WeightSlot(1, Phase.READY, now)
+                engine.weight_slots[key] = WeightSlot(1, Phase.READY, now)
                 bench.planner.popularity.note(key.text, now, 8.0 + number)
             bench.planner.index.drop(engine)
             bench.planner.refill.note_lost(engine, True, now)
@@ -307,7 +307,7 @@
         planner = Planner("s", "i", SPEC, FleetState(), None, None, clock, features=features)
         engine = Engine(Replica("e0", "s", "e0:1", "hall"), SPEC)
         key = AdapterKey("m", "a")
-        engine.places[key] = WeightSlot(1, Phase.READY, clock())
+        engine.weight_slots[key] = WeightSlot(1, Phase.READY, clock())
         planner.popularity.note(key.text, clock(), 8.0)
         planner.refill.note_lost(engine, True, clock())
         return list(planner.refill._lost)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -273,7 +273,7 @@
         async def scenario():
             transport, engine, term = Transport(), Engine(REPLICA, SPEC), Term(130)
             term.is_over = True
-            outcome = await engine.give(transport, True, AdapterKey("m", "a1"), 0, "me", term)
+            outcome = await engine.send_order(transport, True, AdapterKey("m", "a1"), 0, "me", term)
             assert outcome is OrderOutcome.NOT_GIVEN
             assert not transport.given
             assert not engine.synced
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -74,18 +74,18 @@
             self.followers.join(f"g{number}", "g:1")
 
     def place(self, name, key, version=1):
-        self.engines[name].places[key] = WeightSlot(version, Phase.READY, self.now)
+        self.engines[name].weight_slots[key] = WeightSlot(version, Phase.READY, self.now)
         self.followers.mark(name)
 
     def remove(self, name, key):
-        del self.engines[name].places[key]
+        del self.engines[name].weight_slots[key]
         self.followers.mark(name)
 
     def truth(self, key):
         return {
-            name: engine.places[key].version
+            name: engine.weight_slots[key].version
             for name, engine in self.engines.items()
-            if key in engine.places and engine.places[key].phase is Phase.READY
+            if key in engine.weight_slots and engine.weight_slots[key].phase is Phase.READY
         }
 
     def view(self, key):
@@ -139,14 +139,14 @@
 
     @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS))
     def remove(self, number, key):
-        if key in self.model.engines[f"e{number}"].places:
+        if key in self.model.engines[f"e{number}"].weight_slots:
             self.model.remove(f"e{number}", key)
             self.note_truth()
 
     @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS))
     def unsettle(self, number, key):
         """Begin to take weights out: the place stays, for no new requests."""
-        place = self.model.engines[f"e{number}"].places.get(key)
+        place = self.model.engines[f"e{number}"].weight_slots.get(key)
         if place is not None:
             place.phase = Phase.DRAINING
             self.model.followers.mark(f"e{number}")
@@ -289,7 +289,7 @@
         model.tell(2.0)
         model.read()
         assert model.view(KEYS[0]) == {"e0": 1}
-        model.engines["e0"].places[KEYS[0]].phase = Phase.DRAINING
+        model.engines["e0"].weight_slots[KEYS[0]].phase = Phase.DRAINING
         model.followers.mark("e0")
         model.tell(2.0)
         model.read()
--- a/tools/gateway_capacity.py
+++ b/tools/gateway_capacity.py
@@ -55,7 +55,7 @@
     for at, engine in enumerate(planner.engines.values()):
         engine.synced = True
         for key in [AdapterKey("m"), *(AdapterKey("m", f"a{at * 6 + n}") for n in range(6))]:
-            place = engine.places[key] = WeightSlot(1, Phase.READY, clock())
+            place = engine.weight_slots[key] = WeightSlot(1, Phase.READY, clock())
             place.used_at = -1.0
         for n in range(36):
             engine.add_cached(Holding(AdapterKey("m", f"a{at * 36 + n}"), 1))
@@ -65,7 +65,7 @@
 def busy(planner: Planner) -> None:
     """Let requests use every place, so that nothing can be loaded."""
     for engine in planner.engines.values():
-        for key in engine.places:
+        for key in engine.weight_slots:
             engine.active.setdefault(key, {})[1] = 1
 
 
@@ -98,7 +98,7 @@
 def fleet_told(fleet: Fleet, planner: Planner) -> None:
     """Let a gateway know what all engines hold."""
     for name, engine in planner.engines.items():
-        fleet.set_holdings(name, {key: place.version for key, place in engine.places.items()})
+        fleet.set_holdings(name, {key: place.version for key, place in engine.weight_slots.items()})
 
 
 def choose(fleet: Fleet) -> None:
