--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -43,7 +43,7 @@
     def test_every_adapter_ranks_all_engines(self, names):
         cells = cells_of(names)
         for key in KEYS:
-            ranked = list(cells.homes(key))
+            ranked = list(cells.ranked_engines(key))
             assert set(ranked) == names
             assert len(ranked) == len(names)
 
--- a/tests/test_kept_gateway.py
+++ b/tests/test_kept_gateway.py
@@ -90,7 +90,10 @@
             await asyncio.sleep(0.5)
             for name in ("e0", "e1"):
                 begun = bench.planner.load(
-                    KEY, bench.clock(), bench.planner.openings(), lambda other, to=name: other == to
+                    KEY,
+                    bench.clock(),
+                    bench.planner.load_targets(),
+                    lambda other, to=name: other == to,
                 )
                 assert begun
             await asyncio.sleep(0.6)
@@ -126,11 +129,11 @@
     def test_a_restarted_engine_has_nothing_cached(self):
         async def scenario(bench):
             first = await bench.answer()
-            kept = bench.planner.index.kept
-            assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 1_210
+            kept = bench.planner.index.prefix_cache
+            assert kept.estimate_cached_tokens(first.replica, CHAIN, bench.clock()) == 1_210
             old = bench.planner.engines[first.replica]
             bench.planner.replace_incarnation(old, 9)
-            assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 0
+            assert kept.estimate_cached_tokens(first.replica, CHAIN, bench.clock()) == 0
 
         self.play(scenario)
 
@@ -139,8 +142,8 @@
             first = await bench.answer()
             engine = bench.planner.engines[first.replica]
             engine.evict(KEY.text)
-            kept = bench.planner.index.kept
-            assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 0
+            kept = bench.planner.index.prefix_cache
+            assert kept.estimate_cached_tokens(first.replica, CHAIN, bench.clock()) == 0
 
         self.play(scenario)
 
@@ -151,9 +154,9 @@
             first = await bench.answer()
             engine = bench.planner.engines[first.replica]
             held = (Holding(AdapterKey("m"), 1), Holding(KEY, 2))
-            engine.take_report(EngineReport(9, held, (), frozenset(), False), bench.clock())
-            kept = bench.planner.index.kept
-            assert kept.kept_tokens(first.replica, CHAIN, bench.clock()) == 0
+            engine.apply_report(EngineReport(9, held, (), frozenset(), False), bench.clock())
+            kept = bench.planner.index.prefix_cache
+            assert kept.estimate_cached_tokens(first.replica, CHAIN, bench.clock()) == 0
 
         self.play(scenario)
 
@@ -254,7 +257,7 @@
         fleets = [new_fleet(has_room=True) for _ in range(4)]
         chosen = []
         for fleet in fleets:
-            fleet.news_s = 0.5
+            fleet.state_age_s = 0.5
             for number in range(64):
                 chain = prefix_chain("m/a", "", (PromptPart(f"p{number}", 900), PARTS[2]))
                 last = fleet.choose(fleet.usable("llm"), work=RequestWork(1_150, 0, 80, chain)).name
@@ -269,31 +272,31 @@
 
     def test_sent_and_reported_prefixes_are_credited(self):
         fleet = new_fleet()
-        assert fleet.kept.at("e0", WORK).prefill_tokens == 1_460
-        fleet.kept.note_sent("e0", WORK, 60_000, 1)
-        assert fleet.kept.at("e0", WORK).prefill_tokens == 250
-        fleet.kept.note_told("e1", CHAIN, 800)
-        assert fleet.kept.at("e1", WORK).prefill_tokens == 660
-        assert first_event_s(EngineLoad(), fleet.kept.at("e0", WORK), 1_000.0) == 0.25
-        fleet.kept._clock.now += CACHE_TTL_S + 1
-        assert fleet.kept.at("e0", WORK).prefill_tokens == 1_460
+        assert fleet.prefix_cache.work_at("e0", WORK).prefill_tokens == 1_460
+        fleet.prefix_cache.note_sent("e0", WORK, 60_000, 1)
+        assert fleet.prefix_cache.work_at("e0", WORK).prefill_tokens == 250
+        fleet.prefix_cache.note_reported("e1", CHAIN, 800)
+        assert fleet.prefix_cache.work_at("e1", WORK).prefill_tokens == 660
+        assert first_event_s(EngineLoad(), fleet.prefix_cache.work_at("e0", WORK), 1_000.0) == 0.25
+        fleet.prefix_cache._clock.now += CACHE_TTL_S + 1
+        assert fleet.prefix_cache.work_at("e0", WORK).prefill_tokens == 1_460
 
     def test_a_restarted_engine_is_not_credited(self):
         fleet = new_fleet()
-        fleet.kept.note_sent("e0", WORK, 60_000, 1)
+        fleet.prefix_cache.note_sent("e0", WORK, 60_000, 1)
         fleet.state.replicas["e0"] = Replica("e0", "llm", "e0:1", "hall", born=2)
         fleet.detect_restarts()
-        assert fleet.kept.at("e0", WORK).kept_tokens == 0
+        assert fleet.prefix_cache.work_at("e0", WORK).kept_tokens == 0
 
     def test_prefixes_are_dropped_only_with_removed_weights(self):
         fleet = new_fleet()
         for name in ("e0", "e1"):
-            fleet.kept.note_sent(name, WORK, 60_000, 1)
+            fleet.prefix_cache.note_sent(name, WORK, 60_000, 1)
         fleet.set_weight_locations("llm", KEY, {"e0": 1, "e1": 2})
-        assert fleet.kept.at("e0", WORK).kept_tokens == 1_210
-        assert fleet.kept.at("e1", WORK).kept_tokens == 0
+        assert fleet.prefix_cache.work_at("e0", WORK).kept_tokens == 1_210
+        assert fleet.prefix_cache.work_at("e1", WORK).kept_tokens == 0
         fleet.set_holdings("e0", {})
-        assert fleet.kept.at("e0", WORK).kept_tokens == 0
+        assert fleet.prefix_cache.work_at("e0", WORK).kept_tokens == 0
 
     @pytest.mark.parametrize(
         "report",
@@ -306,9 +309,9 @@
     )
     def test_prefixes_are_dropped_when_a_newer_version_is_reported(self, report):
         fleet = new_fleet()
-        fleet.kept.note_sent("e0", WORK, 60_000, 1)
+        fleet.prefix_cache.note_sent("e0", WORK, 60_000, 1)
         report(fleet)
-        assert fleet.kept.at("e0", WORK).kept_tokens == 0
+        assert fleet.prefix_cache.work_at("e0", WORK).kept_tokens == 0
 
     def test_load_reserved_by_the_planner_is_not_counted_twice(self):
         async def scenario():
@@ -329,15 +332,15 @@
     @pytest.mark.parametrize("is_on", [True, False])
     def test_prefix_caching_can_be_disabled(self, is_on):
         fleet = new_fleet(is_on)
-        assert (fleet.kept.chain(request(), "") is not None) is is_on
-        assert fleet.kept.chain(request(()), "") is None
+        assert (fleet.prefix_cache.chain(request(), "") is not None) is is_on
+        assert fleet.prefix_cache.chain(request(()), "") is None
 
     def test_prefixes_are_not_shared_between_organisations(self):
         fleet = new_fleet()
-        one, two = (fleet.kept.chain(request(), owner) for owner in ("one", "two"))
-        fleet.kept.note_sent("e0", RequestWork(1_460, 0, 80, one), 60_000, 1)
-        assert fleet.kept.at("e0", RequestWork(1_460, 0, 80, one)).kept_tokens == 1_210
-        assert fleet.kept.at("e0", RequestWork(1_460, 0, 80, two)).kept_tokens == 0
+        one, two = (fleet.prefix_cache.chain(request(), owner) for owner in ("one", "two"))
+        fleet.prefix_cache.note_sent("e0", RequestWork(1_460, 0, 80, one), 60_000, 1)
+        assert fleet.prefix_cache.work_at("e0", RequestWork(1_460, 0, 80, one)).kept_tokens == 1_210
+        assert fleet.prefix_cache.work_at("e0", RequestWork(1_460, 0, 80, two)).kept_tokens == 0
 
     def test_queues_count_uncached_tokens_and_return_to_zero(self):
         async def scenario():
--- a/tests/test_kept_parts.py
+++ b/tests/test_kept_parts.py
@@ -86,7 +86,7 @@
             tracker.observed_fraction = 1 / 6
 
     def kept_tokens(self, gateway, name, chain, now):
-        return self.trackers[gateway % 6].kept_tokens(name, chain, now)
+        return self.trackers[gateway % 6].estimate_cached_tokens(name, chain, now)
 
     def note(self, simulation, gateway, chain, name, now):
         tracker = self.trackers[gateway % 6]
@@ -254,59 +254,59 @@
 
     def test_a_part_counts_only_after_the_same_parts(self):
         other = prefix_chain("m/x", "", (PromptPart("z", 200), *PARTS[1:]))
-        assert new_tracker().kept_tokens("e0", other, 1.0) == 0
+        assert new_tracker().estimate_cached_tokens("e0", other, 1.0) == 0
 
     def test_a_shorter_prefix_is_credited(self):
         other = prefix_chain("m/x", "", (PARTS[0], PromptPart("z", 10), PARTS[2]))
-        assert new_tracker().kept_tokens("e0", other, 1.0) == 200
+        assert new_tracker().estimate_cached_tokens("e0", other, 1.0) == 200
 
     @pytest.mark.parametrize(
         ("weights", "owner"), [("m/y", "one"), ("m/x", "two"), ("m/x", ""), ("m", "one")]
     )
     def test_a_prefix_is_never_credited_to_other_weights_or_owners(self, weights, owner):
         tracker = new_tracker("one")
-        assert tracker.kept_tokens("e0", prefix_chain("m/x", "one", PARTS), 1.0) == 300
-        assert tracker.kept_tokens("e0", prefix_chain(weights, owner, PARTS), 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", prefix_chain("m/x", "one", PARTS), 1.0) == 300
+        assert tracker.estimate_cached_tokens("e0", prefix_chain(weights, owner, PARTS), 1.0) == 0
 
 
 class TestKeptParts:
     CHAIN = prefix_chain("m/x", "", PARTS)
 
     def test_other_engines_are_not_credited(self):
-        assert new_tracker().kept_tokens("e1", self.CHAIN, 1.0) == 0
-        assert new_tracker().kept_tokens("e0", None, 1.0) == 0
+        assert new_tracker().estimate_cached_tokens("e1", self.CHAIN, 1.0) == 0
+        assert new_tracker().estimate_cached_tokens("e0", None, 1.0) == 0
 
     def test_a_restart_clears_the_cache(self):
         tracker = new_tracker()
         tracker.forget("e0")
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 0
         assert tracker.size == 0
 
     def test_unloaded_weights_clear_their_prefixes(self):
         tracker = new_tracker()
         tracker.note("e0", prefix_chain("m/y", "", PARTS), 1.0)
         tracker.forget_weights("e0", "m/x")
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
-        assert tracker.kept_tokens("e0", prefix_chain("m/y", "", PARTS), 1.0) == 300
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", prefix_chain("m/y", "", PARTS), 1.0) == 300
         assert tracker.size == 2
 
     def test_prefixes_are_evicted_by_later_prompts(self):
         tracker = new_tracker()
         tracker.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY), MEMORY)
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 300
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 300
         tracker.note_sent("e0", 1, MEMORY)
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 0
 
     def test_unobserved_traffic_is_extrapolated(self):
         tracker = new_tracker()
-        tracker.seen_part = 0.1
+        tracker.observed_fraction = 0.1
         tracker.note_sent("e0", int(CACHE_MEMORY_FRACTION * MEMORY / 10) + 1, MEMORY)
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0) == 0
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0) == 0
 
     def test_prefixes_expire(self):
         tracker = new_tracker()
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.0 + CACHE_TTL_S) == 300
-        assert tracker.kept_tokens("e0", self.CHAIN, 1.1 + CACHE_TTL_S) == 0
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.0 + CACHE_TTL_S) == 300
+        assert tracker.estimate_cached_tokens("e0", self.CHAIN, 1.1 + CACHE_TTL_S) == 0
 
     def test_tracked_prefixes_are_bounded_and_the_newest_retained(self):
         tracker = PrefixCacheTracker()
--- a/tests/test_left_runs.py
+++ b/tests/test_left_runs.py
@@ -131,7 +131,7 @@
             assert not any(what == "from" for _, what, _ in world.ledger.asked)
             assert not world.ledger.wrong
 
-        with mock.patch.object(runs_module, "wants_copy", return_value=True):
+        with mock.patch.object(runs_module, "should_copy", return_value=True):
             run(scenario)
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -96,12 +96,12 @@
             health = link._fleet.health("e0")
             await asyncio.sleep(1.0)
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=9, running=1)]))
-            assert health.heard_at == clock()
+            assert health.last_received_at == clock()
             heard_at = clock()
             await asyncio.sleep(1.0)
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=1)]))
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=0)]))
-            assert health.heard_at == heard_at
+            assert health.last_received_at == heard_at
 
         run(scenario)
 
@@ -145,7 +145,7 @@
             taken = []
 
             class Listener:
-                def take(self, news, ahead_s):
+                def apply_update(self, news, ahead_s):
                     taken.append((news.age_ms, ahead_s))
 
             link._listener = Listener()
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -82,7 +82,7 @@
 
 def is_coming(bench, adapter):
     key = AdapterKey("m", adapter)
-    slots = [engine.places.get(key) for engine in bench.planner.engines.values()]
+    slots = [engine.weight_slots.get(key) for engine in bench.planner.engines.values()]
     return any(place is not None and place.phase is Phase.LOADING for place in slots)
 
 
--- a/tests/test_run_breaks.py
+++ b/tests/test_run_breaks.py
@@ -32,7 +32,7 @@
 
     def __init__(self):
         super().__init__()
-        self._patch = mock.patch.object(runs_module, "wants_copy", return_value=True)
+        self._patch = mock.patch.object(runs_module, "should_copy", return_value=True)
         self._patch.start()
         self.loop = new_loop()
         self.clients = {}
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 def copied():
     """Copy every stream, whatever the risk of a break."""
-    with mock.patch.object(runs_module, "wants_copy", return_value=True):
+    with mock.patch.object(runs_module, "should_copy", return_value=True):
         yield
 
 
--- a/tests/test_serving_room.py
+++ b/tests/test_serving_room.py
@@ -61,13 +61,13 @@
         replicas = fleet.usable("llm")
         fleet.load("e1").others = ReportedLoad(2, 0, (0, 3_000))
         assert fleet.choose(replicas, work=WORK).name == "e0"
-        fleet.room.paces.take("e0", 5.0, 5.0)
+        fleet.engine_estimator.paces.set_slowness("e0", 5.0, 5.0)
         assert fleet.choose(replicas, work=WORK).name == "e1"
 
     @pytest.mark.parametrize(("news_s", "chosen"), [(0.05, {"e0"}), (0.5, {"e0", "e1"})])
     def test_equal_engines_alternate_while_updates_are_old(self, news_s, chosen):
         fleet = new_fleet()
-        fleet.news_s = news_s
+        fleet.state_age_s = news_s
         replicas = fleet.usable("llm")
         assert {fleet.choose(replicas, work=WORK).name for _ in range(20)} == chosen
 
@@ -76,7 +76,7 @@
             fleet = new_fleet()
             link = PlannerLink("llm", "me", "", fleet, asyncio.get_running_loop().time)
             link._take(pb.FromPlanner(gateways=85, news_ms=255))
-            assert fleet.news_s == 0.255
+            assert fleet.state_age_s == 0.255
 
         run(scenario)
 
@@ -133,7 +133,7 @@
             for running, urgency in ((3, 0), (SPEC.batch, LATE_URGENCY)):
                 bench = new_bench([[[STREAM + event(1) + END]]])
                 # Prefill is the bottleneck: 96 prompts of this length take 3.8 s.
-                room = bench.fleet.room
+                room = bench.fleet.engine_estimator
                 for _ in range(200):
                     bench.fleet.speeds.note("llm", bench.fleet.load("x").busyness(), WORK, 1.0)
                 bench.fleet.speeds._speeds["llm"].tokens_per_s = 20_000.0
--- a/tests/test_sharedhealth.py
+++ b/tests/test_sharedhealth.py
@@ -356,7 +356,9 @@
             gateways = [planner.join(f"g{number}", f"{number}:1") for number in range(9)]
             key, loop = AdapterKey("m", "a"), asyncio.get_running_loop()
             for name in ("e0", "e1"):
-                place = planner.engines[name].places[key] = WeightSlot(1, Phase.READY, loop.time())
+                place = planner.engines[name].weight_slots[key] = WeightSlot(
+                    1, Phase.READY, loop.time()
+                )
                 place.ready_at = loop.time()
             first = self.ask(planner, gateways[0], 1)
             for _ in range(6):
