--- a/packages/cli/src/gradelug_cli/why.py
+++ b/packages/cli/src/gradelug_cli/why.py
@@ -82,7 +82,7 @@
         Its identifier.
     end : str
         How it ended; empty if no line tells.
-    facts : tuple of EntryContent
+    facts : tuple of Fact
         By what it was judged, the last word on each.
     """
 
--- a/packages/gateway/src/gradelug_gateway/left_runs.py
+++ b/packages/gateway/src/gradelug_gateway/abandoned_runs.py
@@ -12,13 +12,13 @@
 import typing as t
 
 import logbook
-from gradelug_policy.left_runs import MAX_REPORT_AGE_S, is_gone, next_poll_s
+from gradelug_policy.abandoned_runs import MAX_REPORT_AGE_S, is_gone, next_poll_s
 
 from .job import Job
 from .metrics import Meters
 from .model import Replica
-from .moves import MoveOutcome
 from .ports import RunTransport
+from .run_moves import MoveOutcome
 
 log = logbook.Logger("left runs")
 
--- a/packages/gateway/src/gradelug_gateway/copies.py
+++ b/packages/gateway/src/gradelug_gateway/adapter_replication.py
@@ -9,8 +9,8 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_room import EngineCapacity, EngineEstimator, copy_gain_s
-from gradelug_policy.reading import RequestWork
+from gradelug_policy.engine_capacity import EngineCapacity, EngineEstimator, copy_gain_s
+from gradelug_policy.prefill import RequestWork
 from gradelug_policy.residency import STORE_COST_S
 
 from .engines import Engine, Phase
--- a/packages/gateway/src/gradelug_gateway/admitting.py
+++ b/packages/gateway/src/gradelug_gateway/admission.py
@@ -8,8 +8,8 @@
 import logbook
 
 from .authentication import authenticate
+from .config_freshness import ConfigFreshness
 from .exceptions import Refused, Unauthenticated
-from .freshness import ConfigFreshness
 from .job import Admission
 from .model import Request, Route, Snapshot
 from .organisations import Principal
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -6,7 +6,7 @@
 import random
 import typing as t
 
-from gradelug_policy.lasting_runs import CopyTarget, RunStatistics, choose_target
+from gradelug_policy.run_recovery import CopyTarget, RunStatistics, choose_target
 from gradelug_policy.run_versions import WeightVersions
 
 from .fleet import MAX_SAMPLED_REPLICAS, Fleet
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -24,19 +24,18 @@
 from gradelug_runtime.process import Tasks
 from grpclib.server import Server
 
-from .admitting import AdmissionControl
+from .admission import AdmissionControl
 from .budgets import GatewayCount, RetryBudgets
+from .config_freshness import ConfigFreshness
 from .departures import DepartureDesk, DepartureTeller
 from .directory import Directory
 from .engine_speeds import PauseTally, SpeedReporter
 from .executing import Executor
 from .feed import EXPIRED_ENTRY_GRACE_S, EntryReader, Feed
 from .fleet import Fleet
-from .freshness import ConfigFreshness
 from .gauges import Observed, add_daemon_gauges
 from .handover import Handover
 from .idle_connections import IdleConnections
-from .kept import PrefixCache
 from .limit_facts import planner_for
 from .limit_teller import LimitTeller
 from .limits import ReplicaLimits
@@ -46,7 +45,9 @@
 from .placement import Duty, PlacementService
 from .planner import Planner
 from .poison_control import PoisonControl
+from .poll_interval import store_poll_interval_s
 from .ports import Dialect, OrderTransport, RunTransport
+from .prefix_cache import PrefixCache
 from .quotas import Quotas
 from .relay import OrderRelay
 from .rests import ReplicaRests
@@ -56,10 +57,9 @@
 from .serving import RequestPipeline
 from .settings import Feature, GatewaySettings
 from .share_tally import ShareTally, ShareTeller
-from .sharedhealth import OutcomeReporter
-from .spacing import store_poll_interval_s
-from .standing import StartupProgress, startup_checks
-from .storenews import PUBLISHER_POLL_INTERVAL_S, StorePublisher, StoreSubscriber
+from .shared_health import OutcomeReporter
+from .startup_progress import StartupProgress, startup_checks
+from .store_updates import PUBLISHER_POLL_INTERVAL_S, StorePublisher, StoreSubscriber
 
 log = logbook.Logger("daemon")
 DUTY_PREFIX = "gradelug/planner/"
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 
 import logbook
+from gradelug_policy.prefill import RequestWork
 from gradelug_policy.quotas import LocalShares
-from gradelug_policy.reading import RequestWork
 from gradelug_policy.uses import Party
 from gradelug_wire import placement_pb2 as pb
 
 from .exceptions import Refused
 from .executing import Executor
 from .fleet import Fleet
-from .kept import encode_chain
 from .link import PlannerLink
 from .model import AdapterKey, Replica
 from .parts import GatewayPart
+from .prefix_cache import encode_chain
 from .search import LOOK_S, PlannerAddress, Search, ask_where
 from .share_log import tell_standing
-from .storenews import StoreSubscriber
+from .store_updates import StoreSubscriber
 
 log = logbook.Logger("directory")
 RECONNECT_S = 0.1
--- a/packages/gateway/src/gradelug_gateway/holders.py
+++ b/packages/gateway/src/gradelug_gateway/engine_index.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from gradelug_policy.kept_parts import PrefixCacheTracker
+from gradelug_policy.prefix_cache import PrefixCacheTracker
 
 from .model import AdapterKey, Holding, Replica
 
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -9,8 +9,8 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_pace import SlowEngineDetector
-from gradelug_policy.reading import PrefillSpeeds
+from gradelug_policy.engine_slowness import SlowEngineDetector
+from gradelug_policy.prefill import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 
 from .followers import Follower
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -13,9 +13,9 @@
 from enum import Enum
 
 import logbook
-from gradelug_policy.reading import EngineLoad, RequestWork, add_queues, subtract_queue
+from gradelug_policy.prefill import EngineLoad, RequestWork, add_queues, subtract_queue
 
-from .holders import EngineIndex, WeightSlots
+from .engine_index import EngineIndex, WeightSlots
 from .model import (
     AdapterKey,
     EngineReport,
--- a/packages/gateway/src/gradelug_gateway/answering.py
+++ b/packages/gateway/src/gradelug_gateway/error_responses.py
@@ -10,7 +10,7 @@
 import logbook
 from gradelug_http import Incoming
 
-from .admitting import AdmissionControl
+from .admission import AdmissionControl
 from .exceptions import GATEWAY_TIMEOUT, Blocked, Failed, Limited, Refused
 from .fingerprints import shown
 from .job import Job
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -6,7 +6,7 @@
 
 from gradelug_http import Connection, HttpPool, ResponseHead
 from gradelug_policy.poison import BEGUN, RUNNING, WAITING
-from gradelug_policy.reading import EngineLoad, RequestWork
+from gradelug_policy.prefill import EngineLoad, RequestWork
 
 from .job import Job
 from .model import Replica
--- a/packages/gateway/src/gradelug_gateway/fair_line.py
+++ b/packages/gateway/src/gradelug_gateway/fair_queue.py
@@ -11,7 +11,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S
+from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S
 from gradelug_policy.shares import (
     Board,
     ByBound,
@@ -32,7 +32,7 @@
 from .model import AdapterKey, FleetState
 from .organisations import Organisations
 from .share_tally import cost
-from .waiting import Waiter
+from .weight_queue import Waiter
 
 log = logbook.Logger("shares")
 LOG_INTERVAL_S = 1.0
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -11,23 +11,23 @@
 import typing as t
 from dataclasses import replace
 
-from gradelug_policy.engine_room import (
+from gradelug_policy.engine_capacity import (
     EQUAL_URGENCY,
     EngineCapacity,
     EngineEstimator,
     expected_first_event_s,
     has_capacity,
 )
-from gradelug_policy.kept_parts import prefill_delay_saved_s
-from gradelug_policy.reading import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
-from gradelug_policy.spread import choose_consistent, choose_weighted
+from gradelug_policy.prefill import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.prefix_cache import prefill_delay_saved_s
+from gradelug_policy.weighted_choice import choose_consistent, choose_weighted
 
 from .engine_speeds import PauseTally
 from .health import Health
-from .kept import PrefixCache
 from .limits import ReplicaLimits
 from .model import AdapterKey, EngineSpec, FleetState, Holding, Replica, ReportedLoad
 from .pacing import FRESH_S, NEWS_S
+from .prefix_cache import PrefixCache
 from .replica_load import ReplicaLoad
 from .rests import ReplicaRests
 
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -11,13 +11,13 @@
 from gradelug_policy.cells import Cells
 from gradelug_wire import placement_pb2 as pb
 
+from .engine_index import EngineIndex
 from .engines import Engine, Phase
-from .holders import EngineIndex
 from .model import AdapterKey, ReportedLoad
 from .pacing import Pacing
 from .pending import Pending, merge_store
 from .scope import MOST_KEYS, Scopes
-from .storenews import MIN_FOLLOWERS, StorePublisher
+from .store_updates import MIN_FOLLOWERS, StorePublisher
 
 if t.TYPE_CHECKING:
     from .parts import PlannerPart
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -8,15 +8,15 @@
 from gradelug_coordination import Mirror
 from gradelug_http import HttpPool, HttpServer
 
+from .config_freshness import ConfigFreshness
 from .directory import Directory
 from .fleet import Fleet
-from .freshness import ConfigFreshness
-from .kept import add_gauges as add_kept_gauges
 from .metrics import Meters
 from .model import FleetState
 from .planner import Planner
 from .poison_control import PoisonControl
-from .standing import StartupPart, StartupProgress
+from .prefix_cache import add_gauges as add_kept_gauges
+from .startup_progress import StartupPart, StartupProgress
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -11,16 +11,16 @@
 import typing as t
 
 import logbook
-from gradelug_policy.lasting_runs import MAX_MOVE_MEMORY_FRACTION, EvacuationCandidate, moves_due
+from gradelug_policy.run_recovery import MAX_MOVE_MEMORY_FRACTION, EvacuationCandidate, moves_due
 
 from .directory import Directory
 from .exceptions import Refused
 from .fleet import Fleet
 from .model import KvCopy, KvCopyKind, Replica
-from .moves import MoveOutcome, MoveReply
 from .ports import RunTransport
+from .run_moves import MoveOutcome, MoveReply
 from .runs import Run, RunRecovery
-from .wishes import started_stream_request
+from .stream_requests import started_stream_request
 
 log = logbook.Logger("handover")
 TICK_S = 0.1
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from gradelug_http import Incoming, ResponseHead
-from gradelug_policy.reading import RequestWork
+from gradelug_policy.prefill import RequestWork
 
 from .fingerprints import fingerprint
 from .model import KvCopy, Repeat, Request, Route, Service
--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -15,7 +15,7 @@
 from .followers import Follower
 from .limit_facts import MS, decode_limit, encode_limit, speaks_for
 from .model import FleetState
-from .waiting import Waiter
+from .weight_queue import Waiter
 
 log = logbook.Logger("limits")
 REPEAT_S = 4.0
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -8,8 +8,8 @@
 from collections import Counter
 
 import logbook
+from gradelug_policy.prefill import subtract_queue
 from gradelug_policy.quotas import LocalShares
-from gradelug_policy.reading import subtract_queue
 from gradelug_wire import placement_pb2 as pb
 from gradelug_wire.placement_grpc import PlacementStub
 from grpclib.client import Channel
@@ -22,7 +22,7 @@
 from .parts import GatewayPart
 from .quotas import Applicant, QuotaQuestions
 from .search import PlannerAddress
-from .storenews import StoreSubscriber
+from .store_updates import StoreSubscriber
 
 log = logbook.Logger("link")
 FIRST_USE_PART = 0.25
--- a/packages/gateway/src/gradelug_gateway/openings.py
+++ b/packages/gateway/src/gradelug_gateway/load_targets.py
@@ -13,8 +13,8 @@
 from gradelug_policy.cells import Cells
 from gradelug_policy.residency import Victim
 
+from .engine_index import EngineIndex
 from .engines import Engine, Phase
-from .holders import EngineIndex
 from .model import AdapterKey, Holding, Replica
 
 MAX_UNSAMPLED_ENGINES = 64
--- a/packages/gateway/src/gradelug_gateway/upkeep.py
+++ b/packages/gateway/src/gradelug_gateway/maintenance.py
@@ -10,8 +10,8 @@
 from gradelug_policy.residency import LoadRateLimiter
 
 from .engines import Engine, Phase, WeightSlot
+from .load_targets import count_copies
 from .model import AdapterKey, BaseModel, EngineSpec, OrderOutcome, Term
-from .openings import count_copies
 from .renewal import Renewal
 
 if t.TYPE_CHECKING:
--- a/packages/gateway/src/gradelug_gateway/plain.py
+++ b/packages/gateway/src/gradelug_gateway/plain_placement.py
@@ -16,13 +16,13 @@
 import logbook
 from gradelug_policy.plain import PlainShares, PlainView
 
-from .answering import DEFAULT_RETRY_AFTER_S
+from .backoff_check import check_backoff
+from .error_responses import DEFAULT_RETRY_AFTER_S
 from .exceptions import Refused
 from .fleet import Fleet
 from .job import Job
 from .metrics import Meters
 from .model import Replica
-from .resting import check_backoff
 
 log = logbook.Logger("plain")
 FULL_RETRY_FRACTION = 0.4
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -14,43 +14,43 @@
 import logbook
 from gradelug_policy import Popularity
 from gradelug_policy.cells import Cells
-from gradelug_policy.engine_room import (
+from gradelug_policy.engine_capacity import (
     COPY_DEMAND_HORIZON_S,
     EngineEstimator,
     expected_first_event_s,
     has_capacity,
 )
-from gradelug_policy.kept_parts import prefill_delay_saved_s
+from gradelug_policy.prefill import PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.prefix_cache import prefill_delay_saved_s
 from gradelug_policy.quotas import QuotaHome
-from gradelug_policy.reading import PrefillSpeeds, RequestWork, first_event_s
 from gradelug_policy.residency import LoadCandidate, LoadRateLimiter, choose_load_engine
 from gradelug_wire import placement_pb2 as pb
 
-from .copies import AdapterReplication
+from .adapter_replication import AdapterReplication
 from .departures import DepartureDesk
+from .engine_index import EngineIndex, reports_any
 from .engine_speeds import SpeedAggregator
 from .engines import Engine, Phase, WeightSlot
-from .fair_line import FairQueue
+from .fair_queue import FairQueue
 from .fleet import engine_capacity_of
 from .followers import Follower, Followers, encode_load
-from .holders import EngineIndex, reports_any
-from .kept import PrefixCache, sample_holders
 from .limit_desk import LimitDesk
-from .loading import DEFAULT_VERSION, Loader, PlannedLoad
+from .load_targets import LoadTargets
+from .loader import DEFAULT_VERSION, Loader, PlannedLoad
+from .maintenance import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
 from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
-from .openings import LoadTargets
 from .pacing import FRESH_S
 from .parts import PlannerPart
 from .poison_desk import PoisonDesk
 from .ports import OrderTransport
+from .prefix_cache import PrefixCache, sample_holders
 from .quota_desk import QuotaDesk
 from .refill import Refill
 from .relay import OrderRelay
 from .settings import Feature
-from .sharedhealth import SUSPECT_COST_S, HealthAggregator
-from .storenews import StorePublisher
-from .upkeep import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
-from .waiting import Waiter, WeightQueue
+from .shared_health import SUSPECT_COST_S, HealthAggregator
+from .store_updates import StorePublisher
+from .weight_queue import Waiter, WeightQueue
 
 log = logbook.Logger("planner")
 DEMAND_HALF_LIFE_S = 4.0
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -7,12 +7,12 @@
 from gradelug_coordination import KeyValue, Mirror
 from gradelug_http import HttpPool
 
+from .end_detection import EndDetector
 from .link import REPLACED_S, PlannerLink
 from .model import FleetState
 from .poison import Judge, PoisonGuard
 from .poison_desk import PoisonDesk, PoisonTeller
 from .poison_record import PoisonRecord
-from .replica_ends import EndDetector
 
 
 class PoisonControl:
--- a/packages/gateway/src/gradelug_gateway/spacing.py
+++ b/packages/gateway/src/gradelug_gateway/poll_interval.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .freshness import RENEW_FRACTION
+from .config_freshness import RENEW_FRACTION
 from .settings import Bounds
 
 NOTICE_MARGIN_S = 0.8
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -5,7 +5,7 @@
 import typing as t
 
 from gradelug_http import Header, Incoming, OutgoingRequest, ResponseHead
-from gradelug_policy.left_runs import EngineRunsReport
+from gradelug_policy.abandoned_runs import EngineRunsReport
 from gradelug_policy.replica_limits import LimitWord
 from gradelug_policy.rests import RestWord
 from gradelug_policy.run_versions import ReportedVersion
@@ -20,7 +20,7 @@
     Request,
     Verdict,
 )
-from .moves import MoveReply
+from .run_moves import MoveReply
 
 
 class BadRequest(Exception):
--- a/packages/gateway/src/gradelug_gateway/kept.py
+++ b/packages/gateway/src/gradelug_gateway/prefix_cache.py
@@ -11,15 +11,15 @@
 import typing as t
 from dataclasses import replace
 
-from gradelug_policy.chain_homes import PrefixShares, preferred_engine, split_digest
-from gradelug_policy.kept_parts import (
+from gradelug_policy.prefill import RequestWork
+from gradelug_policy.prefix_affinity import PrefixShares, preferred_engine, split_digest
+from gradelug_policy.prefix_cache import (
     Prefix,
     PrefixCacheTracker,
     PrefixChain,
     preferred_engine_tokens,
     prefix_chain,
 )
-from gradelug_policy.reading import RequestWork
 from gradelug_wire import placement_pb2 as pb
 
 from .metrics import Meters
--- a/packages/gateway/src/gradelug_gateway/refill.py
+++ b/packages/gateway/src/gradelug_gateway/refill.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 
 import logbook
-from gradelug_policy.engine_room import COPY_DEMAND_HORIZON_S
+from gradelug_policy.engine_capacity import COPY_DEMAND_HORIZON_S
 from gradelug_policy.refill import refill_gain_s
 
 from .engines import Engine, Phase
+from .load_targets import LoadTargets, count_copies
 from .model import AdapterKey
-from .openings import LoadTargets, count_copies
 
 if t.TYPE_CHECKING:
     from .planner import Planner
--- a/packages/gateway/src/gradelug_gateway/replica_load.py
+++ b/packages/gateway/src/gradelug_gateway/replica_load.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gradelug_policy.reading import URGENCY_LEVELS, EngineLoad, add_queues
+from gradelug_policy.prefill import URGENCY_LEVELS, EngineLoad, add_queues
 
 from .model import ReportedLoad
 
--- a/packages/gateway/src/gradelug_gateway/requests.py
+++ b/packages/gateway/src/gradelug_gateway/requests.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from gradelug_http import Header
-from gradelug_policy.kept_parts import PromptPart
+from gradelug_policy.prefix_cache import PromptPart
 from gradelug_policy.run_versions import WeightVersions
 
 from .organisations import Principal
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -1,6 +1,6 @@
 """Recovery of streaming runs whose connection or engine is lost.
 
-`Sender` creates a `FleetSimulation` for each recoverable request that it sends and reports its progress to
+`Sender` creates a `Run` for each recoverable request that it sends and reports its progress to
 `RunRecovery`, which keeps track of active runs, decides which of them are copied to another engine,
 and finds the copy of a run's memory from which a broken stream is resumed.
 """
@@ -15,7 +15,8 @@
 
 import logbook
 from gradelug_http import ResponseBroken
-from gradelug_policy.lasting_runs import (
+from gradelug_policy.abandoned_runs import URGENT_POLL_INTERVAL_S, may_be_queued
+from gradelug_policy.run_recovery import (
     MAX_COPY_MEMORY_FRACTION,
     MAX_MOVE_MEMORY_FRACTION,
     BreakRecord,
@@ -25,7 +26,6 @@
     choose_recovery,
     should_copy,
 )
-from gradelug_policy.left_runs import URGENT_POLL_INTERVAL_S, may_be_queued
 from gradelug_policy.run_versions import (
     UNKNOWN_VERSION,
     ReportedVersion,
@@ -33,14 +33,14 @@
     compare_versions,
 )
 
+from .abandoned_runs import AbandonedRun, AbandonedRuns
 from .copy_targets import CopyTargets
 from .fleet import Fleet
 from .job import Job
-from .left_runs import AbandonedRun, AbandonedRuns
 from .metrics import Meters
 from .model import KvCopy, KvCopyKind, Repeat, Replica
-from .moves import MoveOutcome
 from .ports import RunTransport
+from .run_moves import MoveOutcome
 from .run_weights import RunWeights
 
 log = logbook.Logger("runs")
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -20,10 +20,11 @@
     ResponseHead,
     end_to_end,
 )
-from gradelug_policy.engine_room import EQUAL_URGENCY
-from gradelug_policy.reading import LATE_URGENCY, RequestWork
+from gradelug_policy.engine_capacity import EQUAL_URGENCY
+from gradelug_policy.prefill import LATE_URGENCY, RequestWork
 
 from .directory import Directory
+from .end_detection import EndDetector
 from .exceptions import GATEWAY_TIMEOUT, Refused
 from .exchange import Exchange
 from .fingerprints import shown
@@ -34,7 +35,6 @@
 from .model import AdapterKey, Attempt, KvCopyKind, Repeat, Replica, Verdict
 from .poison import PoisonGuard
 from .ports import Dialect
-from .replica_ends import EndDetector
 from .run_weights import expected_version
 from .runs import RunRecovery
 
--- a/packages/gateway/src/gradelug_gateway/services.py
+++ b/packages/gateway/src/gradelug_gateway/services.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from gradelug_http import ServerLimits
-from gradelug_policy.lasting_runs import CopySettings
+from gradelug_policy.run_recovery import CopySettings
 
 from .organisations import Organisations
 
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -14,27 +14,27 @@
 import logbook
 from gradelug_http import ClientGone, Incoming
 
-from .admitting import OTHER_INSTANCE_RETRY_AFTER_S, AdmissionControl
-from .answering import DEFAULT_RETRY_AFTER_S, ErrorResponder
+from .admission import OTHER_INSTANCE_RETRY_AFTER_S, AdmissionControl
 from .authentication import renew
+from .backoff_check import check_backoff
 from .budgets import RetryBudgets
 from .directory import Directory, Wish
+from .error_responses import DEFAULT_RETRY_AFTER_S, ErrorResponder
 from .exceptions import Failed, Limited, Refused, Unauthenticated
 from .fleet import Fleet
 from .job import Job, Outcome
 from .metrics import Meters
 from .model import AdapterKey, KvCopy, KvCopyKind, Repeat, Replica, Request, Service
-from .patience import WaitPolicy
-from .plain import PlainPlacer
+from .plain_placement import PlainPlacer
 from .ports import BadRequest, Dialect
 from .quotas import Applicant, Quotas
-from .resting import check_backoff
 from .routing import RouteTable, choose_service
 from .runs import RunRecovery
 from .sending import Sender
 from .share_tally import ShareTally
+from .stream_requests import started_stream_request
 from .values import RequestValues, mark
-from .wishes import started_stream_request
+from .wait_policy import WaitPolicy
 
 log = logbook.Logger("serving")
 ABSENT_RETRY_DELAY_S = 0.03
--- a/packages/gateway/src/gradelug_gateway/storenews.py
+++ b/packages/gateway/src/gradelug_gateway/store_updates.py
@@ -16,8 +16,8 @@
 from gradelug_coordination import KvEntry, Mirror
 from gradelug_wire import placement_pb2 as pb
 
+from .config_freshness import ConfigFreshness
 from .feed import Feed
-from .freshness import ConfigFreshness
 from .model import AdapterKey, FleetState, Replica
 
 log = logbook.Logger("storenews")
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -5,8 +5,8 @@
 import math
 import zlib
 
-from gradelug_policy.kept_parts import PrefixChain
-from gradelug_policy.reading import LATE_URGENCY, RequestWork
+from gradelug_policy.prefill import LATE_URGENCY, RequestWork
+from gradelug_policy.prefix_cache import PrefixChain
 
 from .model import Request, Route
 
--- a/packages/gateway/src/gradelug_gateway/patience.py
+++ b/packages/gateway/src/gradelug_gateway/wait_policy.py
@@ -11,8 +11,8 @@
 from .job import Job
 from .limits import Demand
 from .model import Replica
+from .stream_requests import START_MARGIN_S
 from .values import RequestValues
-from .wishes import START_MARGIN_S
 
 RETURNING_WAIT_FRACTION = 0.97
 """A request with less than this fraction of its route's usual wait time is a caller's retry."""
--- a/packages/gateway/src/gradelug_gateway/waiting.py
+++ b/packages/gateway/src/gradelug_gateway/weight_queue.py
@@ -12,12 +12,12 @@
 
 import logbook
 from gradelug_policy import Popularity
-from gradelug_policy.reading import RequestWork
+from gradelug_policy.prefill import RequestWork
 from gradelug_wire import placement_pb2 as pb
 
 from .followers import Follower
-from .kept import decode_chain
 from .model import AdapterKey
+from .prefix_cache import decode_chain
 
 log = logbook.Logger("waiting")
 
@@ -106,7 +106,7 @@
             Current load of the replica.
         kept_tokens : int
             Tokens of the prompt that are in the replica's prefix cache.
-        standing : pb.StartupProgress or None
+        standing : pb.Standing or None
             The values by which the request was ranked, for the log.
         has_room : bool
             Whether capacity was reserved for it at a rate-limited replica.
@@ -140,7 +140,7 @@
             Current time by the event loop's clock.
         why : str
             Reason that is sent to the gateway.
-        standing : pb.StartupProgress or None
+        standing : pb.Standing or None
             The values by which the request was ranked, for the log.
         """
         retry_s = max(
--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -87,7 +87,7 @@
     ----------
     kind : int
         Number of its kind.
-    standing : StartupProgress
+    standing : Standing
         How its caller comes.
     amount : float
         Tokens that it counts.
--- a/packages/policy/src/gradelug_policy/engine_room.py
+++ b/packages/policy/src/gradelug_policy/engine_capacity.py
@@ -17,8 +17,8 @@
 import typing as t
 from dataclasses import dataclass
 
-from .engine_pace import SlowEngineDetector
-from .reading import URGENCY_LEVELS, EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from .engine_slowness import SlowEngineDetector
+from .prefill import URGENCY_LEVELS, EngineLoad, PrefillSpeeds, RequestWork, first_event_s
 
 DEFAULT_HOLD_TIME_S = 1.5
 """Time that a run occupies its slot, assumed until a run has ended: about 100 tokens at 15 ms."""
--- a/packages/policy/src/gradelug_policy/reading.py
+++ b/packages/policy/src/gradelug_policy/prefill.py
@@ -11,7 +11,7 @@
 import typing as t
 from dataclasses import dataclass
 
-from .kept_parts import PrefixChain
+from .prefix_cache import PrefixChain
 
 URGENCY_LEVELS = 10
 """Number of urgency levels of engines; 0 is processed first."""
--- a/packages/policy/src/gradelug_policy/chain_homes.py
+++ b/packages/policy/src/gradelug_policy/prefix_affinity.py
@@ -13,7 +13,7 @@
 from collections import OrderedDict, deque
 from hashlib import blake2b
 
-from .kept_parts import DIGEST_BYTES, PrefixChain
+from .prefix_cache import DIGEST_BYTES, PrefixChain
 
 SPLIT_FACTOR = 8.0
 """A chain that accounts for a share of the requests for its weights is split into this factor times
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -139,7 +139,7 @@
         What the instance may use while nobody answers it, in tokens a second.
     level, needed : float
         Tokens that were there, and that would have had to be.
-    standing : StartupProgress
+    standing : Standing
         How the caller came.
     """
 
--- a/packages/policy/src/gradelug_policy/spread.py
+++ b/packages/policy/src/gradelug_policy/weighted_choice.py
@@ -11,7 +11,7 @@
 import random
 import typing as t
 
-from .chain_homes import uniform_hash
+from .prefix_affinity import uniform_hash
 
 T = t.TypeVar("T")
 COST_TOLERANCE_RATIO = 0.5
--- a/tests/engine_fleet_model.py
+++ b/tests/engine_fleet_model.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict, deque
 from dataclasses import dataclass, field
 
-from gradelug_policy.engine_room import (
+from gradelug_policy.engine_capacity import (
     COPY_DEMAND_HORIZON_S,
     EQUAL_URGENCY,
     MAX_REQUEST_HOLD_S,
@@ -15,7 +15,7 @@
     expected_first_event_s,
     has_capacity,
 )
-from gradelug_policy.reading import LATE_URGENCY, EngineLoad, PrefillSpeeds, RequestWork
+from gradelug_policy.prefill import LATE_URGENCY, EngineLoad, PrefillSpeeds, RequestWork
 from gradelug_policy.residency import STORE_COST_S
 
 STEP_S = 0.01
--- a/tests/kept_load.py
+++ b/tests/prefix_cache_simulation.py
@@ -3,9 +3,9 @@
 import random
 from collections import OrderedDict, deque
 
-from gradelug_policy.engine_room import EngineCapacity, EngineRates, expected_first_event_s
-from gradelug_policy.kept_parts import PromptPart, prefix_chain
-from gradelug_policy.reading import EngineLoad, RequestWork
+from gradelug_policy.engine_capacity import EngineCapacity, EngineRates, expected_first_event_s
+from gradelug_policy.prefill import EngineLoad, RequestWork
+from gradelug_policy.prefix_cache import PromptPart, prefix_chain
 
 ENGINES = 12
 GATEWAYS = 85
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -7,7 +7,7 @@
 import re
 from pipes import Network, RawClient, join
 
-from gradelug_gateway.admitting import AdmissionControl
+from gradelug_gateway.admission import AdmissionControl
 from gradelug_gateway.budgets import BUDGET_FRACTION, RetryBudgets
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.exceptions import Refused
@@ -33,8 +33,8 @@
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.lasting_runs import CopySettings
 from gradelug_policy.quotas import LocalShares
+from gradelug_policy.run_recovery import CopySettings
 from run_engines import KEY, LOAD_S, MODEL, MODEL_S, TICK_S, Ledger, RunEngine
 from world import new_loop
 
--- a/tests/share_load.py
+++ b/tests/share_load.py
@@ -10,8 +10,8 @@
     PlacementOptions,
     Req,
 )
-from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S, expected_first_event_s, has_capacity
-from gradelug_policy.reading import RequestWork
+from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S, expected_first_event_s, has_capacity
+from gradelug_policy.prefill import RequestWork
 from gradelug_policy.shares import Claim, EqualWeights, Shares, ahead_s, out_of_turn
 from gradelug_policy.uses import Party, Turns
 
--- a/tests/test_left_runs.py
+++ b/tests/test_abandoned_runs.py
@@ -9,9 +9,9 @@
 import run_world
 from gradelug_gateway import runs as runs_module
 from gradelug_gateway.model import Repeat
-from gradelug_gateway.moves import MoveOutcome, MoveReply
+from gradelug_gateway.run_moves import MoveOutcome, MoveReply
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.left_runs import (
+from gradelug_policy.abandoned_runs import (
     MAX_REPORT_AGE_S,
     URGENT_POLL_INTERVAL_S,
     EngineRunsReport,
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -8,7 +8,7 @@
 from gradelug_coordination import LeaseKeeper
 from gradelug_gateway import daemon as gateway_daemon
 from gradelug_gateway.budgets import RetryBudgets
-from gradelug_gateway.freshness import ConfigFreshness
+from gradelug_gateway.config_freshness import ConfigFreshness
 from gradelug_runtime import clock as clock_module
 from gradelug_runtime import process as process_module
 from gradelug_runtime.clock import SteadyLoop, run, steady_s
--- a/tests/test_freshness.py
+++ b/tests/test_config_freshness.py
@@ -6,9 +6,9 @@
 
 from gradelug_coordination import KvUnavailable
 from gradelug_coordination.mirror import MOST_REST_S
+from gradelug_gateway.config_freshness import CLOCK_MARGIN_S, MIN_POLL_INTERVAL_S, RENEW_FRACTION
 from gradelug_gateway.followers import Followers
-from gradelug_gateway.freshness import CLOCK_MARGIN_S, MIN_POLL_INTERVAL_S, RENEW_FRACTION
-from gradelug_gateway.storenews import (
+from gradelug_gateway.store_updates import (
     MIN_FOLLOWERS,
     PUBLISHER_POLL_INTERVAL_S,
     StorePublisher,
@@ -18,7 +18,7 @@
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_storenews import CountingKv, Instance, run
+from test_store_updates import CountingKv, Instance, run
 
 BOUND_S = 5.0
 SPACING_S = 2.2
--- a/tests/test_engine_room.py
+++ b/tests/test_engine_capacity.py
@@ -4,7 +4,7 @@
 
 import pytest
 from engine_fleet_model import BASELINE, FleetParameters, FleetSimulation, PlacementOptions
-from gradelug_policy.engine_room import (
+from gradelug_policy.engine_capacity import (
     DEFAULT_HOLD_TIME_S,
     EngineCapacity,
     EngineEstimator,
@@ -14,7 +14,7 @@
     expected_first_event_s,
     has_capacity,
 )
-from gradelug_policy.reading import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.prefill import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
 
 RATES = EngineRates(20_000.0, 1.2)
 SLOTS_ONLY = EngineCapacity(12)
--- a/tests/test_engine_pace.py
+++ b/tests/test_engine_slowness.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from gradelug_policy.engine_pace import (
+from gradelug_policy.engine_slowness import (
     MAX_SLOWNESS,
     MIN_ENGINES,
     SLOWNESS_HALF_LIFE_S,
--- a/tests/test_engine_speeds.py
+++ b/tests/test_engine_speeds.py
@@ -2,8 +2,8 @@
 
 from gradelug_gateway.engine_speeds import PauseTally, SpeedAggregator, SpeedReporter
 from gradelug_gateway.followers import Follower
-from gradelug_policy.engine_pace import SlowEngineDetector
-from gradelug_policy.reading import PrefillSpeeds
+from gradelug_policy.engine_slowness import SlowEngineDetector
+from gradelug_policy.prefill import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 
 
--- a/tests/test_fair_line.py
+++ b/tests/test_fair_queue.py
@@ -4,19 +4,19 @@
 
 import logbook
 import pytest
-from gradelug_gateway.fair_line import BEYOND_SHARE, QuotaWeights
+from gradelug_gateway.fair_queue import BEYOND_SHARE, QuotaWeights
 from gradelug_gateway.job import Outcome
 from gradelug_gateway.metrics import Meters
 from gradelug_gateway.model import AdapterKey, Snapshot
 from gradelug_gateway.organisations import Organisation, Organisations, Principal, Quota
 from gradelug_gateway.share_log import tell_standing
 from gradelug_gateway.share_tally import MOST_UNTOLD, NOBODY, ShareTally, ShareTeller, party_of
-from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S
-from gradelug_policy.reading import RequestWork
+from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S
+from gradelug_policy.prefill import RequestWork
 from gradelug_policy.uses import FIRST_TURNS_S, Party
 from gradelug_wire import placement_pb2 as pb
 from test_planner import run
-from test_planner_room import ASK, BATCH, RoomBench
+from test_planner_capacity import ASK, BATCH, RoomBench
 
 FLOOD = {"organisation": "flood", "kind": "k", **ASK}
 SMALL = {"organisation": "small", "kind": "k", **ASK}
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -4,7 +4,7 @@
 
 import logbook
 import pytest
-from grown_fleet import SimulatedFleet
+from simulated_fleet import SimulatedFleet
 from world import new_loop
 
 GATEWAYS = (50, 150, 370)
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -7,10 +7,10 @@
 import pytest
 from engine_model import SLOTS, ModelEngine
 from gradelug_coordination import KvEntry, Mirror
+from gradelug_gateway.engine_index import EngineIndex
 from gradelug_gateway.engines import UNACKNOWLEDGED_LOAD_TTL_S, Engine, Phase, WeightSlot
 from gradelug_gateway.feed import Feed
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.holders import EngineIndex
 from gradelug_gateway.model import (
     AdapterKey,
     EngineReport,
@@ -19,7 +19,7 @@
     Replica,
     ReportedLoad,
 )
-from gradelug_gateway.storenews import _decode, _published_fields
+from gradelug_gateway.store_updates import _decode, _published_fields
 from gradelug_platform.entries import PlatformEntries
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
--- a/tests/test_planner_room.py
+++ b/tests/test_planner_capacity.py
@@ -7,8 +7,8 @@
 from gradelug_gateway.engine_speeds import SpeedAggregator
 from gradelug_gateway.engines import Phase
 from gradelug_gateway.model import AdapterKey, BaseModel, EngineSpec
-from gradelug_policy.engine_room import MAX_REQUEST_HOLD_S, EngineEstimator
-from gradelug_policy.reading import PrefillSpeeds
+from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S, EngineEstimator
+from gradelug_policy.prefill import PrefillSpeeds
 from gradelug_wire import placement_pb2 as pb
 from test_planner import Bench, run
 
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -8,13 +8,13 @@
 import pytest
 from gradelug_coordination import KvEntry
 from gradelug_gateway.model import Attempt, KvCopy, KvCopyKind, Replica, Request
-from gradelug_gateway.moves import MoveOutcome
+from gradelug_gateway.run_moves import MoveOutcome
 from gradelug_http import HttpPool, ResponseHead
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.entries import PlatformEntries
 from gradelug_platform.names import SET_BY_US
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.left_runs import EngineRunsReport
+from gradelug_policy.abandoned_runs import EngineRunsReport
 from gradelug_policy.run_versions import ReportedVersion
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -6,6 +6,7 @@
 
 import pytest
 from gradelug_coordination import KvEntry, Mirror
+from gradelug_gateway.end_detection import REMOVAL_REPORT_S, EndDetector
 from gradelug_gateway.exceptions import Blocked, Refused
 from gradelug_gateway.fingerprints import fingerprint
 from gradelug_gateway.model import AdapterKey, FleetState, Replica, Request, Service, Snapshot
@@ -21,13 +22,12 @@
 )
 from gradelug_gateway.poison_desk import REPEAT_S, PoisonDesk, PoisonTeller
 from gradelug_gateway.poison_record import KEY, PoisonRecord
-from gradelug_gateway.replica_ends import REMOVAL_REPORT_S, EndDetector
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_policy.poison import BEGUN, GATHER_S, WAITING, EndLedger
 from gradelug_standins.kv import MemoryKv
 from gradelug_wire import placement_pb2 as pb
 from run_world import run
-from test_sharedhealth import SPEC
+from test_shared_health import SPEC
 
 A, B = b"a" * 16, b"b" * 16
 
--- a/tests/test_reading.py
+++ b/tests/test_prefill.py
@@ -1,4 +1,4 @@
-from gradelug_policy.reading import (
+from gradelug_policy.prefill import (
     DEFAULT_TOKENS_PER_S,
     LATE_URGENCY,
     EngineLoad,
--- a/tests/test_kept_parts.py
+++ b/tests/test_prefix_cache.py
@@ -3,8 +3,13 @@
 import functools
 
 import pytest
-from gradelug_policy.chain_homes import MAX_WEIGHTS, PrefixShares, preferred_engine, split_digest
-from gradelug_policy.kept_parts import (
+from gradelug_policy.prefix_affinity import (
+    MAX_WEIGHTS,
+    PrefixShares,
+    preferred_engine,
+    split_digest,
+)
+from gradelug_policy.prefix_cache import (
     CACHE_MEMORY_FRACTION,
     CACHE_TTL_S,
     MAX_CACHED_PREFIXES,
@@ -14,8 +19,8 @@
     prefill_delay_saved_s,
     prefix_chain,
 )
-from gradelug_policy.spread import choose_consistent, choose_weighted
-from kept_load import OWN_TOKENS, SPEED, TERMS, CacheSimulation
+from gradelug_policy.weighted_choice import choose_consistent, choose_weighted
+from prefix_cache_simulation import OWN_TOKENS, SPEED, TERMS, CacheSimulation
 
 STATE_AGE_S = 0.255
 """Age of the engine state where 85 gateways receive it from a planner."""
--- a/tests/test_kept_gateway.py
+++ b/tests/test_prefix_cache_gateway.py
@@ -4,7 +4,6 @@
 
 import pytest
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.kept import PrefixCache, decode_chain, encode_chain
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import (
     AdapterKey,
@@ -16,13 +15,14 @@
     ReportedLoad,
     Request,
 )
-from gradelug_policy.engine_room import EngineEstimator
-from gradelug_policy.kept_parts import CACHE_TTL_S, PromptPart, prefix_chain
-from gradelug_policy.reading import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from gradelug_gateway.prefix_cache import PrefixCache, decode_chain, encode_chain
+from gradelug_policy.engine_capacity import EngineEstimator
+from gradelug_policy.prefill import EngineLoad, PrefillSpeeds, RequestWork, first_event_s
+from gradelug_policy.prefix_cache import CACHE_TTL_S, PromptPart, prefix_chain
 from gradelug_wire import placement_pb2 as pb
 from test_planner import Bench as PlannerBench
 from test_planner import run
-from test_planner_room import SPEC as ROOM_SPEC
+from test_planner_capacity import SPEC as ROOM_SPEC
 from test_serving import ADAPTER, END, HELD, STREAM, Bench, event, route
 
 KEY = AdapterKey("m", "a")
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -7,7 +7,7 @@
 import pytest
 from engine_model import ModelEngine
 from gradelug_gateway.engines import Engine, Phase, WeightSlot
-from gradelug_gateway.loading import SPARE_STORE_FRACTION
+from gradelug_gateway.loader import SPARE_STORE_FRACTION
 from gradelug_gateway.model import AdapterKey, FleetState, Replica
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.refill import (
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -11,9 +11,9 @@
 from run_engines import EVENTS
 from run_engines import KEY as RUN_KEY
 from run_world import RunWorld, events, is_whole, run
-from test_kept_gateway import new_fleet
 from test_planner import SPEC, TWO_MODELS
 from test_planner import Bench as PlannerBench
+from test_prefix_cache_gateway import new_fleet
 from test_serving import ABSENT, ADAPTER, END, STREAM, event, route
 from test_serving import KEY as SERVED_KEY
 from test_serving import Bench as ServingBench
--- a/tests/test_lasting_runs.py
+++ b/tests/test_run_recovery.py
@@ -1,7 +1,7 @@
 import random
 
 import pytest
-from gradelug_policy.lasting_runs import (
+from gradelug_policy.run_recovery import (
     MIN_BREAK_RISK,
     MOVE_MARGIN_S,
     BreakRecord,
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -7,13 +7,13 @@
 from gradelug_gateway import runs as runs_module
 from gradelug_gateway.daemon import Daemon
 from gradelug_gateway.model import Repeat
-from gradelug_gateway.moves import MoveOutcome, MoveReply
+from gradelug_gateway.run_moves import MoveOutcome, MoveReply
 from gradelug_gateway.settings import Addresses, Bounds, Feature, GatewaySettings
 from gradelug_http import HttpPool
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.runs import PlatformRuns
-from gradelug_policy.engine_room import DEFAULT_HOLD_TIME_S, EngineEstimator
-from gradelug_policy.lasting_runs import MIN_BREAK_RISK
+from gradelug_policy.engine_capacity import DEFAULT_HOLD_TIME_S, EngineEstimator
+from gradelug_policy.run_recovery import MIN_BREAK_RISK
 from run_engines import EVENTS
 from run_world import RunWorld, events, is_whole, run, runner, status
 
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -4,6 +4,7 @@
 from collections import Counter
 
 import pytest
+from gradelug_gateway.engine_index import EngineIndex
 from gradelug_gateway.engines import Engine, Phase, WeightSlot
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import (
@@ -13,19 +14,18 @@
     MOST_ORDERS,
     Followers,
 )
-from gradelug_gateway.holders import EngineIndex
 from gradelug_gateway.link import PlannerLink
+from gradelug_gateway.load_targets import MAX_CACHED_CANDIDATES, MAX_CANDIDATES, LoadTargets
 from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
-from gradelug_gateway.openings import MAX_CACHED_CANDIDATES, MAX_CANDIDATES, LoadTargets
 from gradelug_gateway.pending import merge_news, merge_store
 from gradelug_gateway.planner import MAX_CONCURRENT_SYNCS, MAX_PENDING_SYNCS
 from gradelug_gateway.scope import MOST_KEYS, SCOPE_S
 from gradelug_policy.cells import Cells
 from gradelug_wire import placement_pb2 as pb
-from grown_fleet import SPEC, SimulatedFleet
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
+from simulated_fleet import SPEC, SimulatedFleet
 from world import new_loop
 
 ENGINES = ALL_TOLD_ENGINES + 4
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -5,7 +5,7 @@
 from pipes import Network, RawClient, RawServer, join
 
 import pytest
-from gradelug_gateway.admitting import AdmissionControl
+from gradelug_gateway.admission import AdmissionControl
 from gradelug_gateway.budgets import BUDGET_FRACTION, RetryBudgets
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.exceptions import Refused
--- a/tests/test_serving_room.py
+++ b/tests/test_serving_capacity.py
@@ -9,11 +9,11 @@
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import FleetState, Repeat, Replica, ReportedLoad, Service, Snapshot
 from gradelug_http import ServerLimits
-from gradelug_policy.engine_room import EQUAL_URGENCY, EngineEstimator
-from gradelug_policy.reading import LATE_URGENCY, PrefillSpeeds, RequestWork
+from gradelug_policy.engine_capacity import EQUAL_URGENCY, EngineEstimator
+from gradelug_policy.prefill import LATE_URGENCY, PrefillSpeeds, RequestWork
 from gradelug_wire import placement_pb2 as pb
-from test_planner_room import BATCH, MEMORY
-from test_planner_room import SPEC as FEW_SLOTS
+from test_planner_capacity import BATCH, MEMORY
+from test_planner_capacity import SPEC as FEW_SLOTS
 from test_serving import ADAPTER, END, HELD, SPEC, STREAM, Bench, event, route, run, status
 
 WORK = RequestWork(1_000, 1, 200)
--- a/tests/test_sharedhealth.py
+++ b/tests/test_shared_health.py
@@ -17,7 +17,7 @@
 )
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.settings import Feature
-from gradelug_gateway.sharedhealth import (
+from gradelug_gateway.shared_health import (
     EJECTED_COST_S,
     RESEND_INTERVAL_S,
     SUSPECT_COST_S,
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -13,8 +13,8 @@
 from gradelug_policy.run_versions import VersionAnnouncements, WeightVersions
 from run_engines import EVENTS, KEY, MODEL, MODEL_S
 from run_world import RunWorld, changes, events, is_whole, run, runner
-from test_kept_gateway import KEY as FLEET_KEY
-from test_kept_gateway import new_fleet
+from test_prefix_cache_gateway import KEY as FLEET_KEY
+from test_prefix_cache_gateway import new_fleet
 
 ALL = list(range(1, EVENTS + 1))
 REPORT_LAG_S = 0.35
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -17,7 +17,7 @@
 import pytest
 from crowded_store import CrowdedStore, fill, start_together
 from gradelug_gateway.settings import Feature
-from gradelug_gateway.standing import StartupPart, StartupProgress
+from gradelug_gateway.startup_progress import StartupPart, StartupProgress
 from gradelug_http import Door, EarlyServer, ServerLimits
 from gradelug_platform import door
 from world import new_loop
--- a/tests/test_storenews.py
+++ b/tests/test_store_updates.py
@@ -9,11 +9,11 @@
 import pytest
 from gradelug_coordination import KvEntry, Mirror
 from gradelug_coordination.mirror import MOST_REST_S
+from gradelug_gateway.config_freshness import ConfigFreshness
 from gradelug_gateway.feed import Feed, MalformedEntry, NewestVersion
 from gradelug_gateway.followers import Followers
-from gradelug_gateway.freshness import ConfigFreshness
 from gradelug_gateway.model import AdapterKey, FleetState, Replica, Snapshot
-from gradelug_gateway.storenews import (
+from gradelug_gateway.store_updates import (
     MAX_REPLICAS_PER_MESSAGE,
     MIN_FOLLOWERS,
     PUBLISHER_POLL_INTERVAL_S,
--- a/tests/test_spread.py
+++ b/tests/test_weighted_choice.py
@@ -4,9 +4,9 @@
 import random
 
 import pytest
-from gradelug_policy.engine_room import EngineCapacity, EngineRates, expected_first_event_s
-from gradelug_policy.reading import EngineLoad, RequestWork
-from gradelug_policy.spread import choose_weighted
+from gradelug_policy.engine_capacity import EngineCapacity, EngineRates, expected_first_event_s
+from gradelug_policy.prefill import EngineLoad, RequestWork
+from gradelug_policy.weighted_choice import choose_weighted
 
 ENGINES = 8
 TERMS = EngineCapacity(12)
--- a/tools/health_load.py
+++ b/tools/health_load.py
@@ -17,9 +17,9 @@
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import Followers
 from gradelug_gateway.pacing import Pacing
-from gradelug_gateway.sharedhealth import HealthAggregator, OutcomeReporter
+from gradelug_gateway.shared_health import HealthAggregator, OutcomeReporter
 from gradelug_wire import placement_pb2 as pb
-from test_sharedhealth import HALLS, new_state
+from test_shared_health import HALLS, new_state
 
 WARM_UP_S = 5.0
 MEASURED_S = 20.0
--- a/tools/planner_load.py
+++ b/tools/planner_load.py
@@ -25,8 +25,8 @@
 from gradelug_gateway.placement import PlacementService
 from gradelug_gateway.search import PlannerAddress
 from gradelug_wire import placement_pb2 as pb
-from grown_fleet import RUN_S, SimulatedFleet
 from grpclib.server import Server
+from simulated_fleet import RUN_S, SimulatedFleet
 
 PER_PROCESS = 100
 WARM_UP_S = 8.0
