--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -33,7 +33,7 @@
 from .executing import Executor
 from .feed import EXPIRED_ENTRY_GRACE_S, EntryReader, Feed
 from .fleet import Fleet
-from .gauges import Observed, add_daemon_gauges
+from .gauges import GaugeSources, add_daemon_gauges
 from .handover import Handover
 from .idle_connections import IdleConnections
 from .limit_facts import planner_for
@@ -64,28 +64,28 @@
 log = logbook.Logger("daemon")
 DUTY_PREFIX = "gradelug/planner/"
 ENGINES_PREFIX = "gradelug/engines/"
-LEASE_S = 1.2
+LEASE_TTL_S = 1.2
 """Time to live of a planner's and of an engine owner's lease: a lost planner is replaced somewhat
 later than this."""
-RESTED_S = 1.5
+MAX_REUSE_IDLE_S = 1.5
 """Where replicas forget idle connections silently, requests that may run once only go over
 connections that were used this lately: a reset would leave their outcome in doubt."""
-MOST_DELAY_S = 0.8
+MAX_STORE_RETRY_DELAY_S = 0.8
 """Longest pause before the platform's store is tried again: a configuration has to be in force
 two seconds after it was accepted, also just after an outage."""
-WEAK_HANDICAP_S = 0.5
+WEAK_CANDIDATE_DELAY_S = 0.5
 """Weak instances stand later for planning and for owning engines: planning takes most of half a
 core at 86 instances."""
-UPKEEP_S = 0.5
-WINDOW_EXTRA = 3
+UPKEEP_INTERVAL_S = 0.5
+EXTRA_LOADS_PER_WINDOW = 3
 """Loads beyond the rate that the weight store bears in a window."""
-WINDOW_SLACK_S = 0.1
+LOAD_WINDOW_MARGIN_S = 0.1
 """Orders are under way for different times, so windows are taken longer by this."""
-OUT_OF_ROTATION_S = 2.6
+BALANCER_REMOVAL_S = 2.6
 """After this the balancer has asked twice in vain and sends nothing new."""
-END_MARGIN_S = 0.4
+EXIT_MARGIN_S = 0.4
 """The process ends by itself this long before it would be killed."""
-POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 METRICS_PATH = b"/metrics"
 
 
@@ -121,9 +121,9 @@
         transport: OrderTransport,
         pool: HttpPool,
         runs: RunTransport | None = None,
-        door: Door | None = None,
+        early_socket: Door | None = None,
     ) -> None:
-        self._door = door
+        self._early_socket = early_socket
         self.settings = settings
         self._kv = kv
         self._transport = transport
@@ -133,34 +133,47 @@
         self._tasks = Tasks()
         self._stopping_at: float | None = None
         self._state = FleetState()
-        self._spacing_s = store_poll_interval_s(settings.bounds)
+        self._poll_interval_s = store_poll_interval_s(settings.bounds)
         self._mirror = Mirror(
-            kv, "", self._rng, MOST_DELAY_S, self._spacing_s, EXPIRED_ENTRY_GRACE_S, is_polled=True
+            kv,
+            "",
+            self._rng,
+            MAX_STORE_RETRY_DELAY_S,
+            self._poll_interval_s,
+            EXPIRED_ENTRY_GRACE_S,
+            is_polled=True,
         )
         self._feed = Feed(self._mirror, reader, self._state, self._clock)
         self._feed.subscribe(self._on_change)
         self._freshness = ConfigFreshness(
             self._mirror, self._feed, self._clock, settings.bounds.revoke_s
         )
-        has_room = Feature.ENGINE_ROOM in settings.features
+        has_engine_capacity = Feature.ENGINE_ROOM in settings.features
         # Instances that draw alike would choose alike.
         rng = random.Random(settings.name)
-        kept = PrefixCache(self._clock, Feature.KEPT_PARTS in settings.features)
+        prefix_cache = PrefixCache(self._clock, Feature.KEPT_PARTS in settings.features)
         limits = ReplicaLimits(
             self._clock,
             random.Random(settings.name),
             Feature.REPLICA_LIMITS in settings.features,
         )
-        limits.find_desk = self._room_desk
+        limits.find_desk = self._find_limit_reporter
         rests = ReplicaRests(
             self._clock,
             random.Random(settings.name),
             Feature.REPLICA_RESTS in settings.features,
         )
         self._fleet = Fleet(
-            self._state, settings.hall, self._clock, rng, has_room, kept, limits, rests
+            self._state,
+            settings.hall,
+            self._clock,
+            rng,
+            has_engine_capacity,
+            prefix_cache,
+            limits,
+            rests,
         )
-        self._limit_tellers: dict[str, LimitTeller] = {}
+        self._limit_reporters: dict[str, LimitTeller] = {}
         self._duties: dict[str, Duty] = {}
         self._ownership = None if settings.bounds.fenced else self._new_ownership()
         executor = None
@@ -175,8 +188,8 @@
             lambda: self._directory.link_to(self._state.coordinating_service),
             self._clock,
         )
-        has_guard = Feature.POISON_GUARD in settings.features
-        if has_guard:
+        has_poison_guard = Feature.POISON_GUARD in settings.features
+        if has_poison_guard:
             self._mirror.subscribe(self._poison.look)
         self._directory = Directory(
             settings.name,
@@ -191,8 +204,8 @@
                 self._feed,
                 self._mirror,
                 self._clock,
-                self._spacing_s,
-                self._may_rest,
+                self._poll_interval_s,
+                self._can_pause_polling,
                 self._freshness,
             ),
             shares,
@@ -204,12 +217,12 @@
         self._budgets = RetryBudgets(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s, self._clock
         )
-        self._gateways = GatewayCount(bounds.retry_window_s)
+        self._gateway_count = GatewayCount(bounds.retry_window_s)
         self._meters = Meters()
-        self._tally = ShareTally(self._clock, self._meters, self._has_organisations)
-        lasting = self._handover = None
+        self._share_tally = ShareTally(self._clock, self._meters, self._has_organisations)
+        run_recovery = self._handover = None
         if runs is not None and Feature.LASTING_RUNS in settings.features:
-            lasting = RunRecovery(
+            run_recovery = RunRecovery(
                 self._fleet,
                 runs,
                 self._meters,
@@ -221,7 +234,7 @@
             self._handover = Handover(
                 self._fleet,
                 self._directory,
-                lasting,
+                run_recovery,
                 runs,
                 self._budgets.try_retry,
                 self._clock,
@@ -229,7 +242,7 @@
             )
             # Of a second's notice 0.1 s is left when it is known here.
             self._feed.subscribe(self._handover.look)
-        self._lasting = lasting
+        self._lasting = run_recovery
         sender = Sender(
             dialect,
             self._fleet,
@@ -238,13 +251,13 @@
             self._meters,
             self._clock,
             self._budgets.has_retry,
-            RESTED_S if settings.bounds.forgets_idle else math.inf,
-            lasting,
+            MAX_REUSE_IDLE_S if settings.bounds.forgets_idle else math.inf,
+            run_recovery,
             self._poison.guard,
-            self._poison.ends if has_guard else None,
-            self._note_leaving,
+            self._poison.ends if has_poison_guard else None,
+            self._mark_leaving,
         )
-        self._serving = RequestPipeline(
+        self._pipeline = RequestPipeline(
             dialect,
             self._fleet,
             self._directory,
@@ -257,17 +270,17 @@
             Quotas(self._directory.quota_home, self._clock, self._rng, shares),
             lambda: not self._mirror.is_lost,
             Feature.SHARED_HEALTH in settings.features,
-            lasting,
-            self._tally,
+            run_recovery,
+            self._share_tally,
         )
         self._callers = EarlyServer(
-            self._serving.serve, self._limits, self._clock, settings.unread_bytes, pool
+            self._pipeline.serve, self._limits, self._clock, settings.unread_bytes, pool
         )
         self._status = HttpServer(self._serve_status, ServerLimits, self._clock)
         self._peers = Server([PlacementService(self._duties, self._directory.known)])
-        looks = startup_checks(self._state, self._mirror, self._directory, self._duties)
-        self._standing = StartupProgress(self._clock, looks)
-        observed = Observed(
+        checks = startup_checks(self._state, self._mirror, self._directory, self._duties)
+        self._startup_progress = StartupProgress(self._clock, checks)
+        sources = GaugeSources(
             self._callers,
             self._pool,
             self._state,
@@ -275,18 +288,18 @@
             self._mirror,
             self._freshness,
             self._directory,
-            self._standing,
+            self._startup_progress,
             self._poison,
             self._planners,
         )
-        add_daemon_gauges(self._meters, observed, self._clock)
+        add_daemon_gauges(self._meters, sources, self._clock)
 
     async def run(self) -> bool:
         """Serve until asked to stop; tell whether a background task failed."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._on_hangup)
         await self._start()
         failure = asyncio.ensure_future(self._tasks.wait_for_failure())
@@ -300,42 +313,44 @@
 
     async def _start(self) -> None:
         addresses = self.settings.addresses
-        await self._status.start(*_split(addresses.status))
-        await self._peers.start(*_split(addresses.peers))
-        if self._door is not None:
-            await self._callers.enter(self._door)
+        await self._status.start(*_split_address(addresses.status))
+        await self._peers.start(*_split_address(addresses.peers))
+        if self._early_socket is not None:
+            await self._callers.enter(self._early_socket)
         else:
-            await self._callers.start(*_split(addresses.callers))
+            await self._callers.start(*_split_address(addresses.callers))
         self._tasks.start(self._mirror.run(), "mirror")
         self._tasks.start(self._upkeep(), "upkeep")
-        self._tasks.start(self._standing.run(), "standing")
+        self._tasks.start(self._startup_progress.run(), "standing")
         self._tasks.start(self._poison.record.run(), "poison record")
         if self._handover is not None:
             self._tasks.start(self._handover.run(), "handover")
         if self._ownership is not None:
             self._tasks.start(self._ownership.run(), "ownership")
-        opened_at = self._door.since if self._door is not None else self._clock()
+        opened_at = self._early_socket.since if self._early_socket is not None else self._clock()
         read_s = round(self._clock() - opened_at, 3)
         log.info("started", instance=self.settings.name, hall=self.settings.hall, read_s=read_s)
 
     async def _drain(self) -> None:
         """Take nothing new, end what runs, within the grace."""
-        began = self._stopping_at = self._clock()
+        started_at = self._stopping_at = self._clock()
         log.info("stopping", requests=self._callers.in_progress)
         self._callers.draining = True
-        self._serving.refuse_from(began + OUT_OF_ROTATION_S)
+        self._pipeline.refuse_from(started_at + BALANCER_REMOVAL_S)
         await asyncio.gather(*(duty.resign() for duty in self._duties.values()))
-        end_at = began + self.settings.bounds.grace_s - END_MARGIN_S
+        end_at = started_at + self.settings.bounds.grace_s - EXIT_MARGIN_S
         while self._clock() < end_at:
-            out = self._clock() - began >= OUT_OF_ROTATION_S
-            if out:
+            removed = self._clock() - started_at >= BALANCER_REMOVAL_S
+            if removed:
                 self._callers.close_idle()
-            if out and not self._callers.in_progress:
+            if removed and not self._callers.in_progress:
                 break
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         if self._ownership is not None:
             await self._ownership.leave()
-        log.info("stopped", after_s=round(self._clock() - began, 2), cut=self._callers.in_progress)
+        log.info(
+            "stopped", after_s=round(self._clock() - started_at, 2), cut=self._callers.in_progress
+        )
 
     async def _close(self) -> None:
         await self._directory.close()
@@ -381,54 +396,54 @@
                 service, tally, fleet.engine_estimator.paces, fleet.speeds, self._clock
             )
         if Feature.FAIR_SHARES in self.settings.features:
-            yield ShareTeller(service, self._tally, self._clock)
+            yield ShareTeller(service, self._share_tally, self._clock)
         if Feature.POISON_GUARD in self.settings.features:
             yield self._poison.teller(service)
         if Feature.REPLICA_LIMITS in self.settings.features:
-            yield self._limit_teller(service)
+            yield self._new_limit_reporter(service)
         if Feature.SAID_DEPARTURES in self.settings.features:
             yield DepartureTeller(service, self._feed, lambda: self._directory.link_to(service))
 
-    def _note_leaving(self, replica: Replica) -> None:
+    def _mark_leaving(self, replica: Replica) -> None:
         if Feature.SAID_DEPARTURES in self.settings.features:
             self._feed.mark_leaving(replica.name, replica.born, "answer")
 
-    def _limit_teller(self, service: str) -> LimitTeller:
-        teller = self._limit_tellers[service] = LimitTeller(
+    def _new_limit_reporter(self, service: str) -> LimitTeller:
+        reporter = self._limit_reporters[service] = LimitTeller(
             service,
             self._fleet.limits,
             self._state,
             self._clock,
             lambda: self._directory.link_to(service),
         )
-        return teller
+        return reporter
 
-    def _room_desk(self, service: str) -> LimitTeller | None:
+    def _find_limit_reporter(self, service: str) -> LimitTeller | None:
         """Return the way to the planner that grants room at replicas of a service."""
         planner = planner_for(service, self._state)
         link = self._directory.link_to(planner)
         if link is None or link.is_quiet:
             return None
-        return self._limit_tellers.get(planner)
+        return self._limit_reporters.get(planner)
 
     def _new_ownership(self) -> LastingOwnership:
-        host, _ = _split(self.settings.addresses.peers)
+        host, _ = _split_address(self.settings.addresses.peers)
         return LastingOwnership(
             self._kv,
             ENGINES_PREFIX,
             self._mirror,
-            LeaseKeeper(self._kv, LEASE_S, self._clock, self._rng, self._on_owned),
+            LeaseKeeper(self._kv, LEASE_TTL_S, self._clock, self._rng, self._on_ownership_change),
             # A machine that takes another one's place may have its name, and not its address.
             f"{self.settings.name}@{host}",
             self._clock,
             self.settings.bounds.holder_s,
-            self._engines,
-            self._on_owned,
-            self._spacing_s,
-            Candidacy(self._clock, self._rng, 0.0 if self._is_strong else WEAK_HANDICAP_S),
+            self._engine_names,
+            self._on_ownership_change,
+            self._poll_interval_s,
+            Candidacy(self._clock, self._rng, 0.0 if self._is_strong else WEAK_CANDIDATE_DELAY_S),
         )
 
-    def _engines(self) -> list[str]:
+    def _engine_names(self) -> list[str]:
         snapshot = self._state.snapshot
         if snapshot is None:
             return []
@@ -439,7 +454,7 @@
             if rep.service in services and services[rep.service].engine is not None
         ]
 
-    def _on_owned(self) -> None:
+    def _on_ownership_change(self) -> None:
         self._directory.note_owned()
 
     @property
@@ -447,7 +462,7 @@
         return self.settings.strength >= 1
 
     def _new_duty(self, service: str) -> Duty:
-        lease = LeaseKeeper(self._kv, LEASE_S, self._clock, self._rng)
+        lease = LeaseKeeper(self._kv, LEASE_TTL_S, self._clock, self._rng)
         election = Election(
             self._kv,
             self._mirror,
@@ -461,19 +476,19 @@
             self.settings.first_start,
             # Engines, or their owners, see to it that a planner with a lesser token orders nothing.
             True,
-            0.0 if self._is_strong else WEAK_HANDICAP_S,
+            0.0 if self._is_strong else WEAK_CANDIDATE_DELAY_S,
         )
         return Duty(election, lambda: self._new_planner(service), self.settings.strength)
 
     def _new_planner(self, service: str) -> Planner:
         bounds = self.settings.bounds
         spec = self._engine_spec(service)
-        window = LoadRateLimiter(
+        rate_limiter = LoadRateLimiter(
             spec.loads_per_s,
             bounds.load_window_s,
             bounds.load_overage,
-            WINDOW_EXTRA,
-            WINDOW_SLACK_S,
+            EXTRA_LOADS_PER_WINDOW,
+            LOAD_WINDOW_MARGIN_S,
         )
         poison = None
         if Feature.POISON_GUARD in self.settings.features:
@@ -485,7 +500,7 @@
             spec,
             self._state,
             transport,
-            window,
+            rate_limiter,
             self._clock,
             self._fleet.speeds,
             StorePublisher(self._feed, self._mirror, self._clock, self._freshness, self._is_strong),
@@ -497,10 +512,10 @@
                 else None
             ),
             poison,
-            self._departure_desk(service),
+            self._new_departure_aggregator(service),
         )
 
-    def _departure_desk(self, service: str) -> DepartureDesk | None:
+    def _new_departure_aggregator(self, service: str) -> DepartureDesk | None:
         if Feature.SAID_DEPARTURES not in self.settings.features:
             return None
         return DepartureDesk(service, self._feed)
@@ -517,10 +532,10 @@
         duty = self._duties.get(service)
         return duty.address() if duty is not None else None
 
-    def _may_rest(self) -> bool:
+    def _can_pause_polling(self) -> bool:
         """Tell whether what a planner tells of the store is all that this instance needs of it."""
-        owns = self._ownership is not None and self._ownership.has_joined
-        return not owns and not self._count_planned()
+        owns_engines = self._ownership is not None and self._ownership.has_joined
+        return not owns_engines and not self._count_planned()
 
     def _limits(self) -> ServerLimits:
         snapshot = self._state.snapshot
@@ -528,32 +543,32 @@
 
     async def _upkeep(self) -> None:
         while True:
-            await asyncio.sleep(UPKEEP_S)
+            await asyncio.sleep(UPKEEP_INTERVAL_S)
             self._feed.refresh()
             self._mirror.spacing_s = (
-                PUBLISHER_POLL_INTERVAL_S if self._tells_store() else self._spacing_s
+                PUBLISHER_POLL_INTERVAL_S if self._publishes_store() else self._poll_interval_s
             )
             self._fleet.forget_gone()
-            self._serving.forget_gone()
+            self._pipeline.forget_gone()
             if self._lasting is not None:
                 self._lasting.forget_removed_engines()
             self._pool.prune({rep.address for rep in self._state.replicas.values()})
-            told = self._directory.gateways if self._follows() else 0
-            count = self._gateways.note(told, self._clock())
+            followed_gateways = self._directory.gateways if self._follows_planner() else 0
+            count = self._gateway_count.note(followed_gateways, self._clock())
             self._budgets.share_among(count)
             self._fleet.limits.share_among(count)
 
-    def _follows(self) -> bool:
+    def _follows_planner(self) -> bool:
         return any(self._directory.is_followed(service) for service in self._duties)
 
-    def _tells_store(self) -> bool:
+    def _publishes_store(self) -> bool:
         return any(planner.followers.tells_store for planner in self._planners())
 
     # Status.
 
     def _is_ready(self) -> bool:
-        known = self._state.snapshot is not None and bool(self._state.replicas)
-        return known and self._stopping_at is None
+        is_known = self._state.snapshot is not None and bool(self._state.replicas)
+        return is_known and self._stopping_at is None
 
     async def _serve_status(self, inc: Incoming) -> None:
         if inc.target == METRICS_PATH:
@@ -571,7 +586,7 @@
         return len(self._planners())
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
--- a/packages/gateway/src/gradelug_gateway/metrics.py
+++ b/packages/gateway/src/gradelug_gateway/metrics.py
@@ -7,7 +7,7 @@
 from gradelug_policy.contention import URGENCIES
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-RATIOS = (0.25, 0.5, 0.7, 0.8, 0.9, 1.0, 1.1, 1.25, 1.5, 2.0, 3.0, 5.0, 10.0)
+RATIO_BUCKETS = (0.25, 0.5, 0.7, 0.8, 0.9, 1.0, 1.1, 1.25, 1.5, 2.0, 3.0, 5.0, 10.0)
 BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
@@ -15,21 +15,21 @@
     """What the daemon counts."""
 
     __slots__ = (
-        "_broken",
+        "_broken_responses",
         "_engine_tokens",
         "_engine_waits",
-        "_error",
-        "_first",
+        "_first_event_error",
+        "_first_event_latency",
         "_granted",
         "_latency",
-        "_left",
+        "_abandoned_runs",
         "_limited",
         "_outcomes",
-        "_pauses",
+        "_run_pauses",
         "_plain_waits",
-        "_ratio",
+        "_first_event_ratio",
         "_registry",
-        "_weights",
+        "_resumed_runs",
     )
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
             buckets=BUCKETS_S,
             registry=self._registry,
         )
-        self._broken = Counter(
+        self._broken_responses = Counter(
             "gradelug_broken_sendings",
             "Sendings whose answer broke off, by how far the request had got at its replica",
             ["stage"],
@@ -83,50 +83,50 @@
             buckets=BUCKETS_S,
             registry=self._registry,
         )
-        self._first = Histogram(
+        self._first_event_latency = Histogram(
             "gradelug_first_event_seconds",
             "From arrival to a stream's first event",
             buckets=BUCKETS_S,
             registry=self._registry,
         )
 
-        self._error = Histogram(
+        self._first_event_error = Histogram(
             "gradelug_first_event_error_seconds",
             "From a stream's first event to when it was expected, either way",
             buckets=BUCKETS_S,
             registry=self._registry,
         )
 
-        self._pauses = Histogram(
+        self._run_pauses = Histogram(
             "gradelug_run_pause_seconds",
             "Runs that went on elsewhere or after a break: from their last event to the next",
             ["how"],
             buckets=BUCKETS_S,
             registry=self._registry,
         )
-        self._left = Counter(
+        self._abandoned_runs = Counter(
             "gradelug_left_runs",
             "Runs that engines may have had after their request went on elsewhere, by their end",
             ["end"],
             registry=self._registry,
         )
-        self._weights = Counter(
+        self._resumed_runs = Counter(
             "gradelug_runs_went_on",
             "Runs that went on from their memory, by whether the engine has its base model",
             ["weights"],
             registry=self._registry,
         )
-        self._ratio = Histogram(
+        self._first_event_ratio = Histogram(
             "gradelug_first_event_ratio",
             "Time to a stream's first event to the time that was expected",
             ["route"],
-            buckets=RATIOS,
+            buckets=RATIO_BUCKETS,
             registry=self._registry,
         )
 
-    def gauge(self, name: str, text: str, read: t.Callable[[], float]) -> None:
+    def gauge(self, name: str, help_text: str, read: t.Callable[[], float]) -> None:
         """Add a figure that is read whenever somebody asks."""
-        Gauge(f"gradelug_{name}", text, registry=self._registry).set_function(read)
+        Gauge(f"gradelug_{name}", help_text, registry=self._registry).set_function(read)
 
     def outcome(self, route: str, end: str) -> None:
         """Count a request's end."""
@@ -150,7 +150,7 @@
 
     def broken(self, stage: str) -> None:
         """Count a sending whose answer broke off."""
-        self._broken.labels(stage).inc()
+        self._broken_responses.labels(stage).inc()
 
     def waited_plain(self) -> None:
         """Count a request that waits for room at a service without engines."""
@@ -162,22 +162,22 @@
 
     def first_event(self, seconds: float) -> None:
         """Take the time of a stream's first event."""
-        self._first.observe(seconds)
+        self._first_event_latency.observe(seconds)
 
     def went_on(self, how: str, pause_s: float, weights: str) -> None:
         """Take the pause of a run that went on, and whether that was under the same weights."""
-        self._pauses.labels(how).observe(pause_s)
-        self._weights.labels(weights).inc()
+        self._run_pauses.labels(how).observe(pause_s)
+        self._resumed_runs.labels(weights).inc()
 
     def left_run(self, end: str) -> None:
         """Count the end of a run that may have gone on where it was left."""
-        self._left.labels(end).inc()
+        self._abandoned_runs.labels(end).inc()
 
-    def estimate(self, route: str, seen_s: float, expected_s: float) -> None:
+    def estimate(self, route: str, actual_s: float, expected_s: float) -> None:
         """Take when a first event came and when it was expected, in seconds from its sending."""
-        self._error.observe(abs(seen_s - expected_s))
+        self._first_event_error.observe(abs(actual_s - expected_s))
         if expected_s > 0:
-            self._ratio.labels(route).observe(seen_s / expected_s)
+            self._first_event_ratio.labels(route).observe(actual_s / expected_s)
 
     def text(self) -> bytes:
         """Return all figures in the text format of Prometheus."""
--- a/packages/gateway/src/gradelug_gateway/settings.py
+++ b/packages/gateway/src/gradelug_gateway/settings.py
@@ -8,12 +8,12 @@
 
 OWN_MB = 64.0
 """A process with its libraries and what it knows of a fleet: 26 to 50 MB at 9 to 195 instances."""
-UNREAD_PART = 0.3
+UNREAD_MEMORY_SHARE = 0.3
 """Part of the rest that is kept for callers that read slowly: what has arrived and waits for this
 process to read it counts as its memory too, and cannot be bounded from here."""
-LEAST_UNREAD_MB = 4.0
-STRONG_CORES = 1.0
-STRONG_LINK_MBPS = 50.0
+MIN_UNREAD_MB = 4.0
+PLANNER_CORES = 1.0
+PLANNER_LINK_MBPS = 50.0
 """Reckoned, not measured: a planner that tells 75 gateways all holdings sends some 26 Mbit/s."""
 
 
@@ -153,9 +153,11 @@
     @property
     def unread_bytes(self) -> int:
         """How much may be kept for callers that read slowly, in bytes."""
-        return round(max(LEAST_UNREAD_MB, UNREAD_PART * (self.memory_mb - OWN_MB)) * 1_000_000)
+        return round(
+            max(MIN_UNREAD_MB, UNREAD_MEMORY_SHARE * (self.memory_mb - OWN_MB)) * 1_000_000
+        )
 
     @property
     def strength(self) -> float:
         """How well the instance can carry more than its own requests; from 1 on, well."""
-        return min(self.cores / STRONG_CORES, self.link_mbps / STRONG_LINK_MBPS)
+        return min(self.cores / PLANNER_CORES, self.link_mbps / PLANNER_LINK_MBPS)
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -12,7 +12,7 @@
 from gradelug_http import HttpPool, ResponseHead
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.entries import PlatformEntries
-from gradelug_platform.names import SET_BY_US
+from gradelug_platform.names import RESERVED_HEADERS
 from gradelug_platform.runs import PlatformRuns
 from gradelug_policy.abandoned_runs import EngineRunsReport
 from gradelug_policy.run_versions import ReportedVersion
@@ -166,7 +166,7 @@
         assert sent[b"Last-Event-Id"] == b"%d" % after
 
     def test_callers_cannot_ask_for_either(self):
-        assert {b"kv-from", b"x-gradelug-kv-backup"} <= SET_BY_US
+        assert {b"kv-from", b"x-gradelug-kv-backup"} <= RESERVED_HEADERS
 
 
 class TestConfiguration:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -19,7 +19,7 @@
 )
 from gradelug_coordination.kv import swap_surely
 from gradelug_http import HttpPool, ServerLimits
-from gradelug_platform.store import CALL_S, WHOLE_S, PlatformStore
+from gradelug_platform.store import CALL_TIMEOUT_S, MAX_RESPONSE_S, PlatformStore
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from platform_stand_in import StoreStandIn
@@ -219,7 +219,9 @@
 
         run(scenario)
 
-    @pytest.mark.parametrize(("parts", "pause_s", "most_s"), [(3, 1.0, CALL_S), (60, 0.5, WHOLE_S)])
+    @pytest.mark.parametrize(
+        ("parts", "pause_s", "most_s"), [(3, 1.0, CALL_TIMEOUT_S), (60, 0.5, MAX_RESPONSE_S)]
+    )
     def test_one_that_stops_or_never_ends_is_given_up(self, parts, pause_s, most_s):
         async def scenario():
             began = asyncio.get_running_loop().time()
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -17,7 +17,7 @@
     ResponseBroken,
     ServerLimits,
 )
-from gradelug_platform.main import EXIT_BAD_SETTINGS, _without
+from gradelug_platform.main import EXIT_BAD_SETTINGS, _disable_features
 from gradelug_platform.settings import load
 from platform_stand_in import StoreStandIn
 from soak_parts import Gateway, free_ports
@@ -39,7 +39,7 @@
 
 
 def features(settings, *args):
-    return _without(settings, list(args)).gateway.features
+    return _disable_features(settings, list(args)).gateway.features
 
 
 class TestArgument:
