--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -1,4 +1,7 @@
-"""The daemon: its parts put together, its life from start to stop."""
+"""The gateway daemon: creates the components of an instance, starts them and shuts them down.
+
+The platform's adapter creates a `Daemon` and passes its factory to `run`.
+"""
 
 from __future__ import annotations
 
@@ -65,51 +68,52 @@
 DUTY_PREFIX = "gradelug/planner/"
 ENGINES_PREFIX = "gradelug/engines/"
 LEASE_TTL_S = 1.2
-"""Time to live of a planner's and of an engine owner's lease: a lost planner is replaced somewhat
-later than this."""
+"""Time to live of the leases of planners and engine owners; a failed planner is replaced shortly
+after its lease expires."""
 MAX_REUSE_IDLE_S = 1.5
-"""Where replicas forget idle connections silently, requests that may run once only go over
-connections that were used this lately: a reset would leave their outcome in doubt."""
+"""Maximum idle time of a connection for requests that must not run twice, where replicas drop idle
+connections silently: a reset would leave the outcome of such a request unknown."""
 MAX_STORE_RETRY_DELAY_S = 0.8
-"""Longest pause before the platform's store is tried again: a configuration has to be in force
-two seconds after it was accepted, also just after an outage."""
+"""Maximum delay before a retry of the platform store: a configuration must be in force 2 s after
+its acceptance, also right after an outage."""
 WEAK_CANDIDATE_DELAY_S = 0.5
-"""Weak instances stand later for planning and for owning engines: planning takes most of half a
-core at 86 instances."""
+"""Delay with which weak instances become candidates for planning and engine ownership: planning
+takes most of half a core at 86 instances."""
 UPKEEP_INTERVAL_S = 0.5
 EXTRA_LOADS_PER_WINDOW = 3
-"""Loads beyond the rate that the weight store bears in a window."""
+"""Loads allowed per window beyond the rate of the weight store."""
 LOAD_WINDOW_MARGIN_S = 0.1
-"""Orders are under way for different times, so windows are taken longer by this."""
+"""Added to the length of a load window, since the delivery time of orders varies."""
 BALANCER_REMOVAL_S = 2.6
-"""After this the balancer has asked twice in vain and sends nothing new."""
+"""Time after which the load balancer has seen two failed readiness checks and sends no new
+requests."""
 EXIT_MARGIN_S = 0.4
-"""The process ends by itself this long before it would be killed."""
+"""The process exits this long before it would be killed."""
 DRAIN_POLL_INTERVAL_S = 0.05
 METRICS_PATH = b"/metrics"
 
 
 class Daemon:
-    """One instance.
+    """A gateway instance with all its components.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Of this instance.
+        Settings of this instance.
     kv : KeyValue
-        The platform's key-value service.
+        Client of the platform's key-value store.
     reader : EntryReader
-        Reads its entries.
+        Decodes the entries of the store.
     dialect : Dialect
-        How callers and replicas speak.
+        Reads and writes HTTP messages of callers and replicas.
     transport : OrderTransport
-        Gives orders to engines.
+        Sends orders to engines.
     pool : HttpPool
         Connections to replicas.
     runs : RunTransport or None
-        Moves runs from engine to engine, where that can be done.
-    door : Door or None
-        Where callers wait already, if it was opened before.
+        Moves runs between engines; None if the platform does not support it.
+    early_socket : Door or None
+        Listening socket that was opened before the program was imported, if any.
     """
 
     def __init__(
@@ -149,7 +153,7 @@
             self._mirror, self._feed, self._clock, settings.bounds.revoke_s
         )
         has_engine_capacity = Feature.ENGINE_ROOM in settings.features
-        # Instances that draw alike would choose alike.
+        # Seeded by instance, so that instances do not all choose the same replicas.
         rng = random.Random(settings.name)
         prefix_cache = PrefixCache(self._clock, Feature.KEPT_PARTS in settings.features)
         limits = ReplicaLimits(
@@ -211,7 +215,7 @@
             shares,
             self._link_parts,
         )
-        # A replica takes so many from all instances, and resets the next one that is opened.
+        # A replica limits the connections of all instances together and resets any beyond that.
         pool.keeps = IdleConnections(settings.name, self._state, lambda: self._directory.gateways)
         bounds = settings.bounds
         self._budgets = RetryBudgets(
@@ -240,7 +244,7 @@
                 self._clock,
                 bounds.drain_s,
             )
-            # Of a second's notice 0.1 s is left when it is known here.
+            # The notice period is 1 s, of which 0.1 s is left when the change arrives here.
             self._feed.subscribe(self._handover.look)
         self._lasting = run_recovery
         sender = Sender(
@@ -295,7 +299,7 @@
         add_daemon_gauges(self._meters, sources, self._clock)
 
     async def run(self) -> bool:
-        """Serve until asked to stop; tell whether a background task failed."""
+        """Serve until a stop signal or a failure; return whether a background task failed."""
         stop = asyncio.Event()
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGINT, signal.SIGTERM):
@@ -332,7 +336,7 @@
         log.info("started", instance=self.settings.name, hall=self.settings.hall, read_s=read_s)
 
     async def _drain(self) -> None:
-        """Take nothing new, end what runs, within the grace."""
+        """Stop accepting requests and finish those in progress, within the grace period."""
         started_at = self._stopping_at = self._clock()
         log.info("stopping", requests=self._callers.in_progress)
         self._callers.draining = True
@@ -361,11 +365,11 @@
         self._pool.close()
 
     def _on_hangup(self) -> None:
-        log.info("reload asked for: nothing in the settings can change while this process runs")
+        log.info("SIGHUP ignored: settings cannot be reloaded while this process runs")
 
     def _on_change(self) -> None:
         for rep in self._fleet.detect_restarts():
-            # Its connections ended with the earlier process.
+            # Connections to the previous process are closed.
             self._pool.doubt(rep.address, self._clock())
         snapshot = self._state.snapshot
         if snapshot is None:
@@ -380,7 +384,7 @@
                 duty.planner.refresh()
 
     def _link_parts(self, service: str) -> t.Iterator[GatewayPart]:
-        """Yield what else is told to the planner of a service."""
+        """Yield the components that exchange messages with the planner of a service."""
         if Feature.SHARED_HEALTH in self.settings.features:
             yield OutcomeReporter(
                 service,
@@ -419,7 +423,10 @@
         return reporter
 
     def _find_limit_reporter(self, service: str) -> LimitTeller | None:
-        """Return the way to the planner that grants room at replicas of a service."""
+        """Return the reporter to the planner that grants capacity on replicas of a service.
+
+        None if that planner has no live link.
+        """
         planner = planner_for(service, self._state)
         link = self._directory.link_to(planner)
         if link is None or link.is_quiet:
@@ -433,7 +440,7 @@
             ENGINES_PREFIX,
             self._mirror,
             LeaseKeeper(self._kv, LEASE_TTL_S, self._clock, self._rng, self._on_ownership_change),
-            # A machine that takes another one's place may have its name, and not its address.
+            # A replacement machine may have the name of its predecessor, but not its address.
             f"{self.settings.name}@{host}",
             self._clock,
             self.settings.bounds.holder_s,
@@ -474,7 +481,7 @@
             self._rng,
             0.0,
             self.settings.first_start,
-            # Engines, or their owners, see to it that a planner with a lesser token orders nothing.
+            # Engines, or their owners, reject orders of a planner with an older fencing token.
             True,
             0.0 if self._is_strong else WEAK_CANDIDATE_DELAY_S,
         )
@@ -524,7 +531,7 @@
         snapshot = self._state.snapshot
         found = snapshot.services.get(service) if snapshot is not None else None
         if found is None or found.engine is None:
-            # The service was taken out of the configuration: nothing may be loaded.
+            # The service was removed from the configuration: nothing may be loaded.
             return EngineSpec((), 0.0, 0, 1, 0, 0.0)
         return found.engine
 
@@ -533,7 +540,7 @@
         return duty.address() if duty is not None else None
 
     def _can_pause_polling(self) -> bool:
-        """Tell whether what a planner tells of the store is all that this instance needs of it."""
+        """Return whether store updates from a planner suffice, so that polling can pause."""
         owns_engines = self._ownership is not None and self._ownership.has_joined
         return not owns_engines and not self._count_planned()
 
@@ -564,7 +571,7 @@
     def _publishes_store(self) -> bool:
         return any(planner.followers.tells_store for planner in self._planners())
 
-    # Status.
+    # Readiness and metrics.
 
     def _is_ready(self) -> bool:
         is_known = self._state.snapshot is not None and bool(self._state.replicas)
@@ -592,7 +599,18 @@
 
 
 def run(make: t.Callable[[], Daemon]) -> int:
-    """Run a daemon and return the process's exit status."""
+    """Run a daemon until it stops.
+
+    Parameters
+    ----------
+    make : callable
+        Creates the daemon; called on the running event loop.
+
+    Returns
+    -------
+    int
+        Exit status of the process: 1 if a background task failed, else 0.
+    """
 
     async def main() -> bool:
         return await make().run()
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a daemon: what it holds, knows and plans for at the moment."""
+"""Gauges for the current state of a daemon, added to its metrics when it is created."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
 
 @dataclass(slots=True, frozen=True)
 class GaugeSources:
-    """The parts of a daemon of which gauges tell.
+    """Components of a daemon whose state the gauges show.
 
     Parameters
     ----------
     callers : HttpServer
-        The door for callers.
+        Server for requests of callers.
     pool : HttpPool
         Connections to replicas.
     state : FleetState
-        What the platform has told.
+        State of the fleet, as read from the platform.
     fleet : Fleet
-        What is known of replicas.
+        Replicas and the state of each.
     mirror : Mirror
-        The platform's entries.
+        Local copy of the platform store.
     freshness : ConfigFreshness
-        When the configuration was known to be the newest.
+        Last time at which the configuration was confirmed to be current.
     directory : Directory
-        The planners that are followed.
-    standing : StartupProgress
-        How long each part of the state was missing after the start.
+        Links to the planners that this instance follows.
+    startup_progress : StartupProgress
+        Time after startup until each part of the state was available.
     poison : PoisonControl
-        Requests that are not to be sent, and replicas that ended.
+        Blocked requests, and replicas that ended while running requests.
     planners : callable
-        Returns the planners here.
+        Returns the active planners of this instance.
     """
 
     callers: HttpServer
@@ -64,122 +64,134 @@
 
     Parameters
     ----------
+    meters : Meters
+        Metrics to which the gauges are added.
+    sources : GaugeSources
+        Components whose state is read.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     """
     gauge = meters.gauge
     add_prefix_cache_gauges(meters, sources.fleet.prefix_cache.parts, sources.planners)
     add_startup_gauges(meters, sources.startup_progress)
-    gauge("requests_in_progress", "Requests now", lambda: sources.callers.in_progress)
-    gauge("unread_bytes", "Kept for callers that read slowly", lambda: sources.callers.held)
+    gauge("requests_in_progress", "Requests in progress", lambda: sources.callers.in_progress)
+    gauge("unread_bytes", "Bytes buffered for slow callers", lambda: sources.callers.held)
     gauge(
         "callers_given_up",
-        "Callers cut since the start because they did not read",
+        "Callers disconnected since startup because they read too slowly",
         lambda: sources.callers.shed,
     )
-    gauge("connections_opened", "Connections opened to replicas", lambda: sources.pool.opened)
+    gauge(
+        "connections_opened",
+        "Connections to replicas opened since startup",
+        lambda: sources.pool.opened,
+    )
     gauge(
         "connections_doubted",
-        "Idle connections closed because another one had fallen silent",
+        "Idle connections closed after another connection to the same replica stopped responding",
         lambda: sources.pool.doubted,
     )
     gauge("replicas", "Replicas known", lambda: len(sources.state.replicas))
     gauge(
         "replicas_ejected",
-        "Replicas that a planner has told to leave alone",
+        "Replicas ejected by a planner",
         sources.fleet.count_ejected,
     )
-    gauge("mirror_synced", "1 while the platform's watch runs", lambda: sources.mirror.synced)
+    gauge(
+        "mirror_synced",
+        "1 while the mirror of the platform store is up to date",
+        lambda: sources.mirror.synced,
+    )
     gauge(
         "config_proof_age_seconds",
-        "Since the configuration in force was known to be the newest",
+        "Time since the configuration was last confirmed to be current",
         lambda: sources.freshness.age_s,
     )
     gauge(
         "replicas_ended",
-        "Replicas that ended since the start while they had requests of this instance",
+        "Replicas that ended since startup while running requests of this instance",
         lambda: sources.poison.ends.ended,
     )
     gauge(
         "requests_blocked",
-        "Different requests that are sent to no replica, since they end those that run them",
+        "Distinct requests blocked because they crash the replicas that run them",
         lambda: sources.poison.guard.blocked,
     )
     gauge(
         "requests_suspected",
-        "Different requests that one further end of a replica may block",
+        "Distinct requests that one more crash of a replica may block",
         lambda: sources.poison.guard.suspects,
     )
     gauge(
         "sendings_blocked",
-        "Sendings since the start that were not made, since their request is blocked",
+        "Attempts suppressed since startup because their request is blocked",
         lambda: sources.poison.guard.refused,
     )
     gauge(
         "replicas_limited",
-        "Replicas that name how many requests a second they take",
+        "Replicas that announce a request rate limit",
         lambda: len(sources.fleet.limits.named()),
     )
     gauge(
         "sent_to_limited",
-        "The most requests that this instance sent to one such replica in 4 s",
+        "Maximum number of requests sent to one rate-limited replica in 4 s",
         lambda: max(sources.fleet.limits.sent().values(), default=0),
     )
     gauge(
         "sendings_limited",
-        "Sendings since the start that were not made, since their replica took no more",
+        "Attempts suppressed since startup by the rate limit of their replica",
         lambda: sources.fleet.limits.denied,
     )
     gauge(
         "waiting_for_limited",
-        "Requests that wait for room at replicas that name a limit",
+        "Requests that wait for capacity of rate-limited replicas",
         lambda: sum(planner.limits.waiting for planner in sources.planners()),
     )
     gauge(
         "replicas_leaving",
-        "Replicas that take no new work, since they leave",
+        "Replicas that get no new requests because they are leaving",
         lambda: sum(rep.leaving for rep in sources.state.replicas.values()),
     )
     gauge(
         "replicas_resting",
-        "Replicas that asked this instance for rest, until it is over",
+        "Replicas with a backoff in effect at this instance",
         lambda: sources.fleet.rests.resting,
     )
     gauge(
         "sendings_rested",
-        "Sendings since the start that were not made, since their replica rested",
+        "Attempts suppressed since startup by a backoff of their replica",
         lambda: sources.fleet.rests.denied,
     )
-    gauge("slow_engines", "Engines taken for slow", lambda: _count_slow(sources.fleet, clock))
+    gauge("slow_engines", "Engines classified as slow", lambda: _count_slow(sources.fleet, clock))
     gauge(
         "requests_held",
-        "Requests held until an engine has room",
+        "Requests queued until an engine has capacity",
         lambda: sum(planner.held_count() for planner in sources.planners()),
     )
-    gauge("plans", "Services planned for", lambda: len(sources.planners()))
+    gauge("plans", "Services whose planner runs on this instance", lambda: len(sources.planners()))
     gauge(
         "news_age_seconds",
-        "Since a planner that is followed told something, the longest of all",
+        "Time since the last message of a followed planner, the maximum over all",
         lambda: sources.directory.news_age_s,
     )
     gauge(
         "news_scoped",
-        "1 while planners tell of the weights alone that are used here",
+        "1 while planners send updates only for the weights that this instance uses",
         lambda: sources.fleet.is_scoped,
     )
     gauge(
         "weights_located",
-        "Weights of which it is known where they are",
+        "Weights with a known location",
         lambda: sources.fleet.located_count,
     )
     gauge(
         "engines_unknown",
-        "Engines planned for that have not given their state",
+        "Engines of planners here that have not reported their state",
         lambda: sum(planner.unsynced_engine_count for planner in sources.planners()),
     )
     gauge(
         "gateways_behind",
-        "Gateways that have not read the news that the planner here has for them",
+        "Gateways with unread updates from a planner on this instance",
         lambda: sum(planner.followers.behind for planner in sources.planners()),
     )
 
@@ -193,10 +205,10 @@
 
 
 def add_startup_gauges(meters: Meters, startup_progress: StartupProgress) -> None:
-    """Add how long each part of the state was missing after the start."""
+    """Add gauges for the time that each part of the state was missing after startup."""
     for part in StartupPart:
         meters.gauge(
             f"without_{part.value}_seconds",
-            f"From the start until the {part.value} came, or until now",
+            f"Time from startup until the {part.value} were available, or until now",
             lambda part=part: startup_progress.missing_s(part),  # type: ignore[misc]
         )
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the daemon needs of a platform; an adapter for one implements these."""
+"""Interfaces between the daemon and a platform, which the platform's adapter implements."""
 
 from __future__ import annotations
 
@@ -24,92 +24,105 @@
 
 
 class BadRequest(Exception):
-    """A request cannot be read; the message says why."""
+    """A request is malformed; the message gives the reason."""
 
 
 class OrderTransport(t.Protocol):
-    """Gives orders to engines and reads their state."""
+    """Sends load and unload orders to engines and reads their state."""
 
     async def order(self, replica: Replica, order: Order) -> OrderOutcome:
-        """Give an order."""
+        """Send an order to an engine and return its outcome."""
         ...
 
     async def report(self, replica: Replica) -> EngineReport | None:
-        """Return the engine's state, None if it cannot be had."""
+        """Return the state of the engine, None if it cannot be read."""
         ...
 
     def may_order(self, replica: Replica) -> bool:
-        """Tell whether an order to an engine can be given now."""
+        """Return whether an order can be sent to the engine now."""
         ...
 
 
 class RunTransport(t.Protocol):
-    """Moves runs from engine to engine."""
+    """Moves runs between engines and reads the state of their runs."""
 
     async def move(
         self, source: Replica, request_id: str, target: Replica, last: bool
     ) -> MoveReply:
-        """Have a run's memory copied to another engine, and stop the run if it is the last time."""
+        """Copy the KV cache of a run to another engine; with `last`, stop the run as well."""
         ...
 
     async def ends_in_s(self, replica: Replica) -> float | None:
-        """Return how long an engine has until it is gone, in seconds; None if that is not told."""
+        """Return the time until an engine is removed, in seconds; None if unknown."""
         ...
 
     async def word(self, replica: Replica) -> EngineRunsReport | None:
-        """Return what an engine says of the requests that it has; None if that is not told."""
+        """Return the runs that an engine reports; None if it does not report them."""
         ...
 
     async def holdings(self, replica: Replica) -> tuple[Holding, ...] | None:
-        """Return the weights that an engine holds; None if that is not told."""
+        """Return the weights that an engine holds; None if it does not report them."""
         ...
 
     async def free(self, replica: Replica, handle: str) -> None:
-        """Have memory that is kept under a handle given up."""
+        """Release the copy of a KV cache that an engine keeps under a handle."""
         ...
 
 
 class Dialect(t.Protocol):
-    """How callers and replicas speak HTTP on a platform."""
+    """Reads and writes the HTTP messages of callers and replicas on a platform."""
 
     def read_request(self, inc: Incoming) -> Request:
-        """Return what a caller asks; raises `BadRequest`."""
+        """Parse a request of a caller; raises `BadRequest`."""
         ...
 
     def outgoing(self, req: Request, attempt: Attempt) -> OutgoingRequest:
-        """Return the request as it goes to a replica."""
+        """Build the HTTP request that is sent to a replica."""
         ...
 
     def is_own(self, head: ResponseHead, req: Request) -> bool:
-        """Tell whether an answer belongs to the request."""
+        """Return whether a response belongs to the request."""
         ...
 
     def judge(self, head: ResponseHead, replica: Replica) -> Verdict:
-        """Return what an answer's head says."""
+        """Classify a response by its head."""
         ...
 
     def limit(self, head: ResponseHead) -> LimitWord:
-        """Return what an answer's head says of the requests a second that its replica takes."""
+        """Return the request rate limit in the head of a response, in requests per second."""
         ...
 
     def leaves(self, head: ResponseHead) -> bool:
-        """Tell whether an answer's head says that its replica leaves."""
+        """Return whether the head of a response announces that its replica is leaving."""
         ...
 
     def rest(self, head: ResponseHead) -> RestWord:
-        """Return for how long the replica of an answer asks not to be sent anything."""
+        """Return the backoff that a response requests for its replica."""
         ...
 
     def weights(self, head: ResponseHead) -> ReportedVersion:
-        """Return what an answer's head says of the version of its replica's base model."""
+        """Return the version of the replica's base model in the head of a response."""
         ...
 
     def event_weights(self, events: bytes) -> ReportedVersion:
-        """Return what whole events say of it; the last one counts, since it may change."""
+        """Return the version of the base model in complete events.
+
+        The last one counts, since the version may change during a stream.
+        """
         ...
 
     def refusal(
         self, request_id: str, retry_after_s: float | None, wants_key: bool = False
     ) -> list[Header]:
-        """Return the headers of an answer of our own, one that asks for a key if so said."""
+        """Return the headers of an error response of the gateway itself.
+
+        Parameters
+        ----------
+        request_id : str
+            Identifier of the request; empty if it has none.
+        retry_after_s : float or None
+            Time after which the caller may retry, in seconds.
+        wants_key : bool
+            Whether the response asks the caller for credentials.
+        """
         ...
--- a/packages/gateway/src/gradelug_gateway/settings.py
+++ b/packages/gateway/src/gradelug_gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon."""
+"""Settings of the gateway daemon, as the platform's adapter passes them at startup."""
 
 from __future__ import annotations
 
@@ -7,59 +7,59 @@
 from enum import Enum
 
 OWN_MB = 64.0
-"""A process with its libraries and what it knows of a fleet: 26 to 50 MB at 9 to 195 instances."""
+"""Memory of a process with its libraries and fleet state: 26 to 50 MB at 9 to 195 instances."""
 UNREAD_MEMORY_SHARE = 0.3
-"""Part of the rest that is kept for callers that read slowly: what has arrived and waits for this
-process to read it counts as its memory too, and cannot be bounded from here."""
+"""Share of the remaining memory for responses that slow callers have not read. Data in socket
+receive buffers also counts as memory of this process and cannot be limited here."""
 MIN_UNREAD_MB = 4.0
 PLANNER_CORES = 1.0
 PLANNER_LINK_MBPS = 50.0
-"""Reckoned, not measured: a planner that tells 75 gateways all holdings sends some 26 Mbit/s."""
+"""A planner that sends all holdings to 75 gateways needs about 26 Mbit/s."""
 
 
 class Feature(Enum):
-    """Parts that can be switched off; without one the daemon does without its decisions."""
+    """Optional features; the daemon works without the decisions of a disabled one."""
 
     URGENT_QUOTAS = "urgent-quotas"
-    """What is left of a quota goes to the urgent first."""
+    """The remainder of a quota is granted to more urgent requests first."""
     ENGINE_ROOM = "engine-room"
-    """Engines are chosen by their slots, their memory and their own speed."""
+    """Engines are selected by free slots, memory and individual speed."""
     FAIR_SHARES = "fair-shares"
-    """Where engines are full, who used more than its share goes after the others."""
+    """When engines are full, organisations above their fair share are queued behind the others."""
     SHARED_HEALTH = "shared-health"
-    """What gateways find of replicas is told to all of them."""
+    """Gateways share their health observations of replicas."""
     LASTING_RUNS = "lasting-runs"
-    """Runs go on when their connection or their engine is lost."""
+    """Runs are resumed when their connection or their engine is lost."""
     SCOPED_NEWS = "scoped-news"
-    """Gateways are told of what they use alone."""
+    """Gateways receive updates only for the weights that they use."""
     REFILL = "refill"
-    """What an engine held alone is brought elsewhere when the engine is lost."""
+    """Weights that only a lost engine held are loaded on other engines."""
     EARLY_DOOR = "early-door"
-    """Callers find an open door before the program behind it is read."""
+    """The socket for callers listens before the rest of the program is imported."""
     POISON_GUARD = "poison-guard"
-    """Requests that end the replicas which run them are not sent to further ones."""
+    """Requests that crash the replicas which run them are not sent to other replicas."""
     REPLICA_LIMITS = "replica-limits"
-    """Replicas that name a limit get no more from all gateways together."""
+    """All gateways together respect the request rate limits that replicas announce."""
     SAID_DEPARTURES = "said-departures"
-    """A replica whose answers say that it leaves gets no new requests."""
+    """A replica that announces its removal in a response gets no new requests."""
     REPLICA_RESTS = "replica-rests"
-    """A replica that asks for rest gets nothing until it is over."""
+    """A replica that requests a backoff gets no requests until it ends."""
     KEPT_PARTS = "kept-parts"
-    """Engines are chosen by what they keep of prompts."""
+    """Engines are selected by the prompt prefixes in their caches."""
 
 
 @dataclass(slots=True, frozen=True)
 class Addresses:
-    """Where the daemon listens, as ``IP:port``.
+    """Listen addresses of the daemon, as ``IP:port``.
 
     Parameters
     ----------
     callers : str
-        For callers' requests.
+        Address for requests of callers.
     status : str
-        For readiness and metrics.
+        Address for readiness checks and metrics.
     peers : str
-        For other instances.
+        Address for RPCs of other instances.
     """
 
     callers: str
@@ -69,39 +69,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """What the operators of the fleet ask for.
+    """Limits and guarantees that the operators of the fleet require.
 
     Parameters
     ----------
     grace_s : float
-        From a request to stop until the process is killed, in seconds.
+        Time from a stop signal until the process is killed, in seconds.
     holder_s : float
-        Two holders of a duty must not act within this time of each other, in seconds.
+        Minimum time between actions of two successive holders of a duty, in seconds.
     fenced : bool
         Whether engines check fencing tokens.
     retry_ratio : float
-        Repeated sendings that all instances together may make per request.
+        Retries per request that all instances together may make.
     retry_extra : float
-        Repeated sendings beyond that in a window.
+        Additional retries per window.
     retry_window_s : float
-        Length of the window, in seconds.
+        Length of the retry window, in seconds.
     load_window_s, load_overage : float
         Window in which loads of base models are counted, in seconds, and the factor by which
-        they may exceed the weight store's rate.
+        they may exceed the rate of the weight store.
     forgets_idle : bool
-        Whether replicas forget idle connections without closing them.
+        Whether replicas drop idle connections without closing them.
     notice_s : float
-        A change on the platform must be acted on within this time, in seconds.
+        Maximum time from a change on the platform until it takes effect, in seconds.
     revoke_s : float
-        No instance runs a request that was sent so long after its key was taken away, in seconds;
-        infinite where the time for changes is all that binds.
+        Maximum time from the revocation of a key until its requests are rejected everywhere, in
+        seconds; infinite if only `notice_s` applies.
     quota_window_s : float
         Length of the windows in which quotas of organisations are counted, in seconds.
     drain_s : float
-        How long a replica goes on after it was said to be leaving, in seconds.
+        Time for which a replica runs on after its removal was announced, in seconds.
     version_s : float
-        No request begins under an older version of its adapter so long after a newer one was named,
-        in seconds.
+        Maximum time after the announcement of a newer adapter version in which requests may still
+        start under an older one, in seconds.
     """
 
     grace_s: float = 8.0
@@ -122,22 +122,26 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewaySettings:
-    """What an instance must know of itself.
+    """Settings of one instance.
 
     Parameters
     ----------
     name, hall : str
-        The instance, and where it stands.
+        Name of the instance, and the hall that it is in.
+    addresses : Addresses
+        Listen addresses.
+    bounds : Bounds
+        Limits and guarantees that the operators require.
     first_start : bool
-        Whether the whole system starts for the first time.
+        Whether the whole system is being started for the first time.
     cores : float
-        Processor time that it has, in cores.
+        CPU capacity of the instance, in cores.
     link_mbps : float
-        Bandwidth of its link, in megabits a second.
+        Bandwidth of its network link, in megabits per second.
     memory_mb : float
-        Memory that the process may take, in megabytes.
+        Memory limit of the process, in megabytes.
     features : frozenset of Feature
-        Those that are switched on.
+        Enabled features.
     """
 
     name: str
@@ -152,12 +156,12 @@
 
     @property
     def unread_bytes(self) -> int:
-        """How much may be kept for callers that read slowly, in bytes."""
+        """Maximum size of responses buffered for slow callers, in bytes."""
         return round(
             max(MIN_UNREAD_MB, UNREAD_MEMORY_SHARE * (self.memory_mb - OWN_MB)) * 1_000_000
         )
 
     @property
     def strength(self) -> float:
-        """How well the instance can carry more than its own requests; from 1 on, well."""
+        """Capacity of the instance for planning; 1 or more is sufficient."""
         return min(self.cores / PLANNER_CORES, self.link_mbps / PLANNER_LINK_MBPS)
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Features that an operator switches off by an argument of the program."""
+"""Tests of the ``--without=`` argument, with which an operator disables features."""
 
 import asyncio
 import json
@@ -43,34 +43,34 @@
 
 
 class TestArgument:
-    def test_all_is_on_by_itself(self, settings):
+    def test_all_features_are_enabled_by_default(self, settings):
         assert features(settings) == set(Feature)
         assert features(settings, "--check") == set(Feature)
 
     @pytest.mark.parametrize("feature", Feature)
-    def test_one_that_is_named_is_off_and_the_others_stay_on(self, settings, feature):
+    def test_only_the_named_feature_is_disabled(self, settings, feature):
         assert features(settings, f"--without={feature.value}") == set(Feature) - {feature}
 
-    def test_several_are_named_in_one_argument_or_in_several(self, settings):
+    def test_features_can_be_named_in_one_argument_or_in_several(self, settings):
         first, second, third = list(Feature)[:3]
         args = (f"--without={first.value},{second.value}", f"--without={third.value}")
         assert features(settings, *args) == set(Feature) - {first, second, third}
 
     @pytest.mark.parametrize("name", ["shared-heath", "", "SHARED_HEALTH", " shared-health"])
-    def test_an_unknown_name_is_told_with_those_there_are(self, settings, name):
+    def test_an_unknown_name_is_reported_with_the_known_names(self, settings, name):
         with pytest.raises(InvalidConfig) as raised:
             features(settings, f"--without={NAMES[0]},{name}")
         (finding,) = raised.value.findings
-        assert f"no feature {name!r}, but {', '.join(NAMES)}" in str(finding)
+        assert f"unknown feature {name!r}; features are {', '.join(NAMES)}" in str(finding)
 
-    def test_all_unknown_names_come_at_once(self, settings):
+    def test_all_unknown_names_are_reported_together(self, settings):
         with pytest.raises(InvalidConfig) as raised:
             features(settings, "--without=a,b", "--without=c")
         assert len(raised.value.findings) == 3
 
 
 class TestProgram:
-    def test_it_ends_with_one_line_on_an_unknown_name(self, tmp_path):
+    def test_an_unknown_name_prints_one_line_and_exits(self, tmp_path):
         path = Gateway(0, tmp_path, 1, (2, 3, 4), True).settings
         done = subprocess.run(
             [sys.executable, str(ROOT / "platform" / "serve.py"), "--without=nonsense"],
@@ -82,10 +82,10 @@
         )
         assert done.returncode == EXIT_BAD_SETTINGS
         (line,) = done.stderr.splitlines()
-        assert "no feature 'nonsense'" in line
+        assert "unknown feature 'nonsense'" in line
 
     @pytest.mark.parametrize("name", [*NAMES, ",".join(NAMES)])
-    def test_it_starts_and_serves_without(self, tmp_path, name):
+    def test_it_serves_with_features_disabled(self, tmp_path, name):
         async def scenario():
             site = _Site()
             port = await site.start()
@@ -132,7 +132,7 @@
         return await self.server.start(HOST, 0)
 
     async def until_served(self, port, target):
-        """Ask until a request is answered: the program may not listen or know all yet."""
+        """Retry until a request succeeds: the program may still be starting."""
         while await self._ask(port, target) != 200:
             await asyncio.sleep(0.05)
 
