--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -161,8 +161,8 @@
             random.Random(settings.name),
             Feature.REPLICA_LIMITS in settings.features,
         )
-        limits.find_desk = self._find_limit_reporter
-        rests = ReplicaRests(
+        limits.find_desk = self._find_limit_client
+        backoffs = ReplicaRests(
             self._clock,
             random.Random(settings.name),
             Feature.REPLICA_RESTS in settings.features,
@@ -175,9 +175,9 @@
             has_engine_capacity,
             prefix_cache,
             limits,
-            rests,
+            backoffs,
         )
-        self._limit_reporters: dict[str, LimitTeller] = {}
+        self._limit_clients: dict[str, LimitTeller] = {}
         self._duties: dict[str, Duty] = {}
         self._ownership = None if settings.bounds.fenced else self._new_ownership()
         executor = None
@@ -223,7 +223,7 @@
         )
         self._gateway_count = GatewayCount(bounds.retry_window_s)
         self._meters = Meters()
-        self._share_tally = ShareTally(self._clock, self._meters, self._has_organisations)
+        self._usage_tally = ShareTally(self._clock, self._meters, self._has_organisations)
         run_recovery = self._handover = None
         if runs is not None and Feature.LASTING_RUNS in settings.features:
             run_recovery = RunRecovery(
@@ -275,7 +275,7 @@
             lambda: not self._mirror.is_lost,
             Feature.SHARED_HEALTH in settings.features,
             run_recovery,
-            self._share_tally,
+            self._usage_tally,
         )
         self._callers = EarlyServer(
             self._pipeline.serve, self._limits, self._clock, settings.unread_bytes, pool
@@ -341,7 +341,7 @@
         log.info("stopping", requests=self._callers.in_progress)
         self._callers.draining = True
         self._pipeline.refuse_from(started_at + BALANCER_REMOVAL_S)
-        await asyncio.gather(*(duty.resign() for duty in self._duties.values()))
+        await asyncio.gather(*(role.resign() for role in self._duties.values()))
         end_at = started_at + self.settings.bounds.grace_s - EXIT_MARGIN_S
         while self._clock() < end_at:
             removed = self._clock() - started_at >= BALANCER_REMOVAL_S
@@ -376,12 +376,12 @@
             return
         for name, service in snapshot.services.items():
             if service.engine is not None and name not in self._duties:
-                self._duties[name] = self._new_duty(name)
+                self._duties[name] = self._new_planner_role(name)
                 self._tasks.start(self._duties[name].run(), f"duty {name}")
         self._directory.ensure(self._duties)
-        for duty in self._duties.values():
-            if duty.planner is not None:
-                duty.planner.refresh()
+        for role in self._duties.values():
+            if role.planner is not None:
+                role.planner.refresh()
 
     def _link_parts(self, service: str) -> t.Iterator[GatewayPart]:
         """Yield the components that exchange messages with the planner of a service."""
@@ -400,11 +400,11 @@
                 service, tally, fleet.engine_estimator.paces, fleet.speeds, self._clock
             )
         if Feature.FAIR_SHARES in self.settings.features:
-            yield ShareTeller(service, self._share_tally, self._clock)
+            yield ShareTeller(service, self._usage_tally, self._clock)
         if Feature.POISON_GUARD in self.settings.features:
             yield self._poison.teller(service)
         if Feature.REPLICA_LIMITS in self.settings.features:
-            yield self._new_limit_reporter(service)
+            yield self._new_limit_client(service)
         if Feature.SAID_DEPARTURES in self.settings.features:
             yield DepartureTeller(service, self._feed, lambda: self._directory.link_to(service))
 
@@ -412,18 +412,18 @@
         if Feature.SAID_DEPARTURES in self.settings.features:
             self._feed.mark_leaving(replica.name, replica.born, "answer")
 
-    def _new_limit_reporter(self, service: str) -> LimitTeller:
-        reporter = self._limit_reporters[service] = LimitTeller(
+    def _new_limit_client(self, service: str) -> LimitTeller:
+        client = self._limit_clients[service] = LimitTeller(
             service,
             self._fleet.limits,
             self._state,
             self._clock,
             lambda: self._directory.link_to(service),
         )
-        return reporter
+        return client
 
-    def _find_limit_reporter(self, service: str) -> LimitTeller | None:
-        """Return the reporter to the planner that grants capacity on replicas of a service.
+    def _find_limit_client(self, service: str) -> LimitTeller | None:
+        """Return the client of the planner that grants capacity on replicas of a service.
 
         None if that planner has no live link.
         """
@@ -431,7 +431,7 @@
         link = self._directory.link_to(planner)
         if link is None or link.is_quiet:
             return None
-        return self._limit_reporters.get(planner)
+        return self._limit_clients.get(planner)
 
     def _new_ownership(self) -> LastingOwnership:
         host, _ = _split_address(self.settings.addresses.peers)
@@ -468,7 +468,7 @@
     def _is_strong(self) -> bool:
         return self.settings.strength >= 1
 
-    def _new_duty(self, service: str) -> Duty:
+    def _new_planner_role(self, service: str) -> Duty:
         lease = LeaseKeeper(self._kv, LEASE_TTL_S, self._clock, self._rng)
         election = Election(
             self._kv,
@@ -519,10 +519,10 @@
                 else None
             ),
             poison,
-            self._new_departure_aggregator(service),
+            self._new_departure_forwarder(service),
         )
 
-    def _new_departure_aggregator(self, service: str) -> DepartureDesk | None:
+    def _new_departure_forwarder(self, service: str) -> DepartureDesk | None:
         if Feature.SAID_DEPARTURES not in self.settings.features:
             return None
         return DepartureDesk(service, self._feed)
@@ -536,8 +536,8 @@
         return found.engine
 
     def _locate(self, service: str) -> PlannerAddress | None:
-        duty = self._duties.get(service)
-        return duty.address() if duty is not None else None
+        role = self._duties.get(service)
+        return role.address() if role is not None else None
 
     def _can_pause_polling(self) -> bool:
         """Return whether store updates from a planner suffice, so that polling can pause."""
@@ -584,7 +584,7 @@
         inc.respond(200 if self._is_ready() else 503, [], b"")
 
     def _planners(self) -> list[Planner]:
-        return [duty.planner for duty in self._duties.values() if duty.planner is not None]
+        return [role.planner for role in self._duties.values() if role.planner is not None]
 
     def _has_organisations(self) -> bool:
         return self._state.snapshot is not None and bool(self._state.snapshot.organisations)
--- a/tests/crowded_store.py
+++ b/tests/crowded_store.py
@@ -1,4 +1,4 @@
-"""A store that many instances read at once: its rate and its link are bounded."""
+"""Fake of the platform store with a rate limit and a limited link, for tests of mass startups."""
 
 import asyncio
 import json
@@ -14,16 +14,16 @@
 
 
 class CrowdedStore(StoreStandIn):
-    """Answers calls within a rate, one after the other over its link.
+    """Fake store that throttles calls above a rate and sends responses one by one over its link.
 
     Parameters
     ----------
     page : int
-        Entries of a page.
+        Maximum number of entries per page.
     reads_per_s : float
-        Calls beyond it are refused.
+        Maximum rate of calls; calls beyond it are throttled with status 429.
     link_bps : float
-        Bits a second.
+        Bandwidth of the link, in bits per second.
     """
 
     def __init__(self, page, reads_per_s, link_bps):
@@ -39,7 +39,7 @@
         return 0
 
     async def exchange(self, address, out, limit_s, most_bytes, whole_s=0.0):
-        """Stand for a pool of connections to this store."""
+        """Handle a call in place of `HttpPool.exchange`."""
         parts = urlsplit(out.target.decode())
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         body = json.loads(out.body) if out.body else {}
@@ -56,7 +56,7 @@
         )
         raw = json.dumps(reply).encode()
         async with asyncio.timeout(limit_s):
-            # An answer that was given up before it began is not sent.
+            # A response whose call timed out before it began is not sent.
             await self._link.acquire()
         try:
             self.sent += len(raw)
@@ -77,9 +77,25 @@
 
 
 async def start_together(store, instances, most_s=60.0, silent_s=0.0):
-    """Start mirrors of a store within half a second; return when each had read all of it.
+    """Start mirrors of a store within half a second and wait until all are synchronised.
 
-    The store is silent so long.
+    Parameters
+    ----------
+    store : CrowdedStore
+        Store that the mirrors read.
+    instances : int
+        Number of mirrors.
+    most_s : float
+        Maximum waiting time, in seconds.
+    silent_s : float
+        Time for which the store does not respond, in seconds.
+
+    Returns
+    -------
+    list of float
+        Time at which each finished mirror was synchronised, in seconds since the start.
+    int
+        Number of mirrors that were not synchronised in time.
     """
     clock = asyncio.get_running_loop().time
     began, done = clock(), []
@@ -87,8 +103,8 @@
     store.silent = silent_s > 0
     for number in range(instances):
         await asyncio.sleep(0.5 / instances)
-        own = random.Random(number)
-        mirror = Mirror(PlatformStore(ADDRESS, store, own), "", own, 0.8, 1.2, 2.2, True)
+        rng = random.Random(number)
+        mirror = Mirror(PlatformStore(ADDRESS, store, rng), "", rng, 0.8, 1.2, 2.2, True)
         mirrors.append(mirror)
         tasks.append(asyncio.create_task(mirror.run()))
     waiting = list(mirrors)
@@ -104,6 +120,6 @@
 
 
 async def fill(store, entries, value_bytes):
-    """Write entries as replicas have them."""
+    """Write entries under the keys of replicas."""
     for number in range(entries):
         await store.kv.swap(f"servers/r-{number:05}", b"x" * value_bytes, ABSENT)
--- a/tests/platform_stand_in.py
+++ b/tests/platform_stand_in.py
@@ -1,4 +1,4 @@
-"""The platform's store, as its calls say, for tests and the soak."""
+"""Fake of the platform's metadata store with its HTTP API, for tests and soak runs."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 
 
 class StoreStandIn:
-    """Speaks the store's calls for a service in memory."""
+    """Serves the HTTP API of the store from an in-memory key-value store."""
 
     def __init__(self, page=500):
         self.kv = MemoryKv()
@@ -25,7 +25,7 @@
         self.raw = None
         self.silent = False
         self.era = None
-        """What stands in the header for the era instead of the right one."""
+        """Value of the era header in place of the correct one; no header if empty."""
         self.lose = 0
 
     async def serve(self, inc):
@@ -105,7 +105,7 @@
             return 410, {}
 
     def at(self, revision):
-        """Return a revision of the present era as a position; 0 stays what it is."""
+        """Return a revision of the current era as a position; 0 is returned unchanged."""
         return position(era_of(self.kv.revision), revision) if revision else 0
 
     async def transact(self, body):
--- a/tests/soak_settings.py
+++ b/tests/soak_settings.py
@@ -1,15 +1,15 @@
-"""What a soak configures, and its organisations."""
+"""Configuration and organisations of soak runs."""
 
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
 REVOKE_S = 5.0
-"""No request runs that was sent so long after its key was taken away."""
+"""Maximum time after the revocation of a key in which its requests may still run."""
 REVOKED_PART = 0.1
-"""Part of the requests that carry a key which was taken away."""
+"""Share of the requests that carry a revoked key."""
 PLAIN_TOKENS = 10
 LIMITED = {"Name": "limited", "RatePerS": 40, "Burst": 40}
-"""Four requests a second, which is less than half of what its callers send."""
+"""Four requests per second, less than half the rate at which its callers send."""
 CONFIG = {
     "Version": 1,
     "Routes": [
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""The runtime's clock, on machines that are suspended."""
+"""Tests of the runtime's clock, which must advance while the machine is suspended."""
 
 import asyncio
 import random
@@ -19,22 +19,22 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a function that lets the machine be suspended for some seconds."""
-    real, away = steady_s, [0.0]
-    monkeypatch.setattr(clock_module, "steady_s", lambda: real() + away[0])
+    """Return a function that simulates a suspension of the machine for some seconds."""
+    real, suspended_s = steady_s, [0.0]
+    monkeypatch.setattr(clock_module, "steady_s", lambda: real() + suspended_s[0])
 
     def do(seconds=SUSPENDED_S):
-        away[0] += seconds
+        suspended_s[0] += seconds
 
     return do
 
 
-def test_the_clock_goes_forward():
+def test_the_clock_is_monotonic():
     times = [steady_s() for _ in range(100)]
     assert times == sorted(times)
 
 
-def test_both_daemons_run_by_it():
+def test_both_daemons_use_the_clock():
     async def loop_type():
         return type(asyncio.get_running_loop())
 
@@ -43,8 +43,9 @@
     assert process_module.run is run
 
 
-def test_a_lease_that_lapsed_while_the_machine_was_suspended_is_over_at_once(suspend):
-    """It was taken for valid, and its holder went on ordering engines beside its successor."""
+def test_a_lease_that_expired_during_suspension_is_invalid_at_once(suspend):
+    """Guards against a clock that stops during suspension: the holder of an expired lease then
+    considers it valid and sends orders to engines at the same time as its successor."""
 
     async def main():
         loop = asyncio.get_running_loop()
@@ -57,7 +58,7 @@
     assert run(main()) is False
 
 
-def test_a_window_of_repeated_sendings_that_passed_meanwhile_is_over(suspend):
+def test_a_retry_window_ends_during_suspension(suspend):
     async def main():
         budgets = RetryBudgets(0.0, 4.0, SUSPENDED_S, asyncio.get_running_loop().time)
         budgets.share_among(1)
@@ -69,7 +70,7 @@
     assert run(main()) is True
 
 
-def test_a_configuration_that_was_proven_before_is_proven_no_longer(suspend):
+def test_a_configuration_proof_expires_during_suspension(suspend):
     async def main():
         clock = asyncio.get_running_loop().time
         mirror = mock.Mock(proven_at=clock(), looked_at=clock())
@@ -83,7 +84,7 @@
     assert run(main()) == (True, False)
 
 
-def test_what_was_due_meanwhile_is_done_at_once(suspend):
+def test_timers_due_during_suspension_run_at_once(suspend):
     async def main():
         loop = asyncio.get_running_loop()
         sleeping = asyncio.create_task(asyncio.sleep(SUSPENDED_S))
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -1,4 +1,4 @@
-"""Moves of runs between engines as they stand on the platform's wire."""
+"""Tests of the platform adapter for runs: moves between engines, reports, headers and versions."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 
 
 def call(script, work):
-    """Return what a call gives, and what was sent."""
+    """Return the result of a call and the bytes that it sent."""
     loop = new_loop()
 
     async def scenario():
@@ -52,14 +52,14 @@
 
 
 class TestMove:
-    def test_it_names_the_run_the_target_and_whether_it_stops(self):
+    def test_a_move_carries_run_target_and_whether_to_stop(self):
         body = b'{"handle":"h1","CreateRevision":12}'
         reply, sent = move([[answer(200, body)]])
         assert (reply.outcome, reply.handle, reply.events) == (MoveOutcome.COPIED, "h1", 12)
         assert sent.startswith(b"POST /gradelug/kv-move HTTP/1.1\r\n")
         assert b"X-Gradelug-Expect-Instance: s0\r\n" in sent
-        told = json.loads(sent.partition(b"\r\n\r\n")[2])
-        assert told == {"Id": "q1", "TargetVersion": "10.0.0.2:80", "Last": True}
+        body_sent = json.loads(sent.partition(b"\r\n\r\n")[2])
+        assert body_sent == {"Id": "q1", "TargetVersion": "10.0.0.2:80", "Last": True}
 
     @pytest.mark.parametrize(
         ("status", "outcome"),
@@ -71,37 +71,37 @@
             (500, MoveOutcome.LOST),
         ],
     )
-    def test_every_status_says_what_became_of_it(self, status, outcome):
+    def test_each_status_gives_an_outcome(self, status, outcome):
         reply, _ = move([[answer(status, b"")]])
         assert reply.outcome is outcome
         assert not reply.handle
 
-    def test_a_run_that_was_stopped_without_room_elsewhere_has_its_handle(self):
+    def test_a_run_stopped_without_capacity_on_the_target_has_a_handle(self):
         reply, _ = move([[answer(503, b'{"handle":"h2","CreateRevision":3}')]])
         assert (reply.outcome, reply.handle) == (MoveOutcome.NO_CAPACITY, "h2")
 
     @pytest.mark.parametrize("script", [[["reset"]], [[]]])
-    def test_silence_leaves_it_in_doubt(self, script):
+    def test_the_outcome_of_a_move_without_a_response_is_unknown(self, script):
         assert move(script)[0].outcome is MoveOutcome.LOST
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=60))
-    def test_whatever_is_answered_gives_no_handle_that_is_none(self, raw):
+    def test_an_arbitrary_response_gives_no_invalid_handle(self, raw):
         reply, _ = move([[answer(200, raw)]])
         assert reply.outcome is MoveOutcome.LOST or reply.handle.isascii()
 
     @pytest.mark.parametrize("handle", ["a\\r\\nX: 1", "a/b", "a b", ""])
-    def test_a_handle_that_cannot_stand_in_a_header_is_none(self, handle):
+    def test_a_handle_that_is_invalid_in_a_header_is_discarded(self, handle):
         reply, _ = move([[answer(200, b'{"handle":"%b"}' % handle.encode())]])
         assert not reply.handle
 
 
 class TestOtherCalls:
-    def test_memory_is_given_up(self):
+    def test_a_handle_is_released(self):
         _, sent = call([[answer(200, b"")]], lambda runs: runs.free(SOURCE, "h1"))
         assert sent.startswith(b"DELETE /gradelug/kv-handle/h1 HTTP/1.1\r\n")
 
-    def test_memory_that_cannot_be_given_up_is_no_harm(self):
+    def test_a_failed_release_is_ignored(self):
         call([["reset"]], lambda runs: runs.free(SOURCE, "h1"))
 
     @pytest.mark.parametrize(
@@ -114,13 +114,13 @@
             (b"{", None),
         ],
     )
-    def test_an_engine_tells_how_long_it_has(self, body, left_s):
+    def test_the_remaining_time_of_an_engine_is_read(self, body, left_s):
         found, sent = call([[answer(200, body)]], lambda runs: runs.ends_in_s(SOURCE))
         assert found == left_s
         assert sent.startswith(b"GET /gradelug/report HTTP/1.1\r\n")
 
     @pytest.mark.parametrize(
-        ("status", "body", "word"),
+        ("status", "body", "expected"),
         [
             (
                 200,
@@ -137,13 +137,13 @@
             (421, b'{"Queued":0,"Active":0,"Runs":[]}', None),
         ],
     )
-    def test_an_engine_tells_of_what_it_has(self, status, body, word):
-        """Whatever is not whole says nothing: a run is given up only on a whole answer."""
+    def test_the_runs_of_an_engine_are_read(self, status, body, expected):
+        """An incomplete report is ignored: a run is only abandoned after a complete one."""
         found, _ = call([[answer(status, body)]], lambda runs: runs.word(SOURCE))
-        assert found == word
+        assert found == expected
 
     @pytest.mark.parametrize("script", [[["reset"]], [[]]])
-    def test_an_engine_that_does_not_answer_tells_nothing(self, script):
+    def test_the_runs_of_an_engine_that_does_not_respond_are_unknown(self, script):
         found, _ = call(script, lambda runs: runs.word(SOURCE))
         assert found is None
 
@@ -154,18 +154,18 @@
     def headers(self, **more):
         return dict(PlatformDialect().outgoing(REQUEST, replace(self.ATTEMPT, **more)).headers)
 
-    def test_a_copy_is_asked_for(self):
+    def test_a_backup_is_requested(self):
         assert self.headers(backup="10.0.0.2:80")[b"X-Gradelug-Kv-Backup"] == b"10.0.0.2:80"
         assert b"X-Gradelug-Kv-Backup" not in self.headers()
 
     @pytest.mark.parametrize("after", [0, 7])
-    def test_a_run_goes_on_from_its_memory_after_its_last_event(self, after):
+    def test_a_run_is_resumed_from_its_kv_cache_after_its_last_event(self, after):
         copy = KvCopy(KvCopyKind.MOVED, SOURCE.address, "h1", TARGET)
         sent = self.headers(copy=copy, after_event=after)
         assert sent[b"Kv-From"] == b"10.0.0.1:80/h1"
         assert sent[b"Last-Event-Id"] == b"%d" % after
 
-    def test_callers_cannot_ask_for_either(self):
+    def test_callers_cannot_set_these_headers(self):
         assert {b"kv-from", b"x-gradelug-kv-backup"} <= RESERVED_HEADERS
 
 
@@ -176,7 +176,7 @@
         entry = KvEntry("op/config", json.dumps(config).encode(), 1)
         return PlatformEntries().read(entry).services["llm"].engine
 
-    def test_it_tells_whether_runs_can_be_moved_and_copied(self):
+    def test_it_enables_moves_and_backups(self):
         spec = self.read(
             Moves=True, Backups=True, KvTokenBytes=131072, LinkMbps=5e5, Stride=2, handle_s=5.0
         )
@@ -186,7 +186,7 @@
         assert (terms.token_bytes, terms.link_mbps, terms.event_tokens) == (131072, 5e5, 2)
         assert terms.kept_s == 5.0
 
-    def test_where_it_does_not_say_so_they_cannot(self):
+    def test_moves_and_backups_are_disabled_by_default(self):
         spec = self.read()
         assert not spec.moves
         assert not spec.backups
@@ -209,22 +209,22 @@
             ((b"0",), 0),
         ],
     )
-    def test_an_answer_tells_the_version_of_the_base_model(self, values, version):
+    def test_the_version_of_the_base_model_is_read_from_a_response(self, values, version):
         assert PlatformDialect().weights(head(*values)).version == version
 
-    def test_what_cannot_be_read_is_told(self):
+    def test_an_invalid_version_is_reported(self):
         assert PlatformDialect().weights(head(b"new")).unreadable == "'new'"
         assert "3" in PlatformDialect().weights(head(b"3", b"4")).unreadable
 
-    def test_the_first_line_of_an_event_tells_a_change(self):
-        told = b"x-gradelug-weight-versions: 4\nid: 7\ndata: a\n\n"
-        tell = PlatformDialect().event_weights
-        assert tell(told).version == 4
-        assert tell(b"id: 6\ndata: a\n\n" + told).version == 4
-        assert tell(told + told.replace(b" 4", b" 2")).version == 2
-        assert tell(told.replace(b" 4", b" x")).unreadable
-
-    def test_an_event_that_only_contains_the_name_tells_nothing(self):
-        tell = PlatformDialect().event_weights
-        assert tell(b"id: 6\ndata: x-gradelug-weight-versions: 4\n\n") == ReportedVersion()
-        assert tell(b"id: 6\ndata: a\nx-gradelug-weight-versions: 4\n\n") == ReportedVersion()
+    def test_a_version_change_is_read_from_the_first_line_of_an_event(self):
+        event = b"x-gradelug-weight-versions: 4\nid: 7\ndata: a\n\n"
+        read_event = PlatformDialect().event_weights
+        assert read_event(event).version == 4
+        assert read_event(b"id: 6\ndata: a\n\n" + event).version == 4
+        assert read_event(event + event.replace(b" 4", b" 2")).version == 2
+        assert read_event(event.replace(b" 4", b" x")).unreadable
+
+    def test_a_version_elsewhere_in_an_event_is_ignored(self):
+        read_event = PlatformDialect().event_weights
+        assert read_event(b"id: 6\ndata: x-gradelug-weight-versions: 4\n\n") == ReportedVersion()
+        assert read_event(b"id: 6\ndata: a\nx-gradelug-weight-versions: 4\n\n") == ReportedVersion()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store client against a stand-in that speaks its calls, in memory."""
+"""Tests of the client of the platform store against an in-memory fake of the store."""
 
 import asyncio
 import json
@@ -43,14 +43,14 @@
         clock = asyncio.get_running_loop().time
         net.serve(ADDRESS, self.serve, ServerLimits, clock)
         self.store = PlatformStore(ADDRESS, HttpPool(clock, net.dial))
-        self.fails_at = set()
-        """Numbers of the listings that are refused, counted from 1."""
-        self._listings = 0
+        self.failing_pages = set()
+        """Numbers of the page requests that fail, counted from 1."""
+        self._page_requests = 0
 
     async def serve(self, inc):
         if inc.target.startswith(b"/gradelug/kv-range"):
-            self._listings += 1
-            if self._listings in self.fails_at:
+            self._page_requests += 1
+            if self._page_requests in self.failing_pages:
                 inc.respond(503, [], b"")
                 return
         await super().serve(inc)
@@ -59,8 +59,8 @@
 class TestStore:
     def test_entries_are_written_read_listed_in_pages_and_deleted(self):
         async def scenario():
-            stand_in = StandIn(page=2)
-            store = stand_in.store
+            fake = StandIn(page=2)
+            store = fake.store
             for at in range(5):
                 assert (await store.swap(f"k/{at}", b"\x00\xff", ABSENT)).swapped
             assert not (await store.swap("k/0", b"x", ABSENT)).swapped
@@ -73,7 +73,7 @@
 
         run(scenario)
 
-    def test_leases_are_kept_and_tell_when_they_are_over(self):
+    def test_leases_are_renewed_until_they_are_revoked(self):
         async def scenario():
             store = StandIn().store
             lease = await store.grant_lease(2.0)
@@ -85,22 +85,22 @@
 
         run(scenario)
 
-    def test_a_mirror_follows_through_an_outage(self):
+    def test_a_mirror_resumes_after_an_outage(self):
         async def scenario():
-            stand_in = StandIn()
-            mirror = Mirror(stand_in.store, "", random.Random(1), 0.5)
+            fake = StandIn()
+            mirror = Mirror(fake.store, "", random.Random(1), 0.5)
             task = asyncio.create_task(mirror.run())
-            await stand_in.kv.swap("a", b"1", ABSENT)
-            await stand_in.kv.swap("b", b"1", ABSENT)
+            await fake.kv.swap("a", b"1", ABSENT)
+            await fake.kv.swap("b", b"1", ABSENT)
             await asyncio.sleep(1.5)
             assert set(mirror.entries) == {"a", "b"}
-            stand_in.status = 503
+            fake.status = 503
             await asyncio.sleep(4.0)
             assert not mirror.synced
-            entry = await stand_in.kv.get("a")
-            await stand_in.kv.delete("a", entry.revision)
-            await stand_in.kv.swap("c", b"1", ABSENT)
-            stand_in.status = None
+            entry = await fake.kv.get("a")
+            await fake.kv.delete("a", entry.revision)
+            await fake.kv.swap("c", b"1", ABSENT)
+            fake.status = None
             await asyncio.sleep(1.5)
             assert set(mirror.entries) == {"b", "c"}
             assert mirror.missing == {"a"}
@@ -112,43 +112,43 @@
         ("status", "expected"),
         [(503, KvUnavailable), (429, KvThrottled), (500, CoordinationError)],
     )
-    def test_refusals_are_told_apart(self, status, expected):
+    def test_error_statuses_raise_distinct_exceptions(self, status, expected):
         async def scenario():
-            stand_in = StandIn()
-            stand_in.status = status
+            fake = StandIn()
+            fake.status = status
             with pytest.raises(expected):
-                await stand_in.store.get("k")
+                await fake.store.get("k")
 
         run(scenario)
 
-    def test_history_that_is_gone_is_told(self):
+    def test_a_compacted_history_raises(self):
         async def scenario():
-            stand_in = StandIn()
-            stand_in.status = 410
+            fake = StandIn()
+            fake.status = 410
             with pytest.raises(WatchCompacted):
-                async for _ in stand_in.store.watch("", 1):
+                async for _ in fake.store.watch("", 1):
                     pass
 
         run(scenario)
 
-    def test_silence_is_not_waited_for(self):
+    def test_a_call_without_a_response_times_out(self):
         async def scenario():
-            stand_in = StandIn()
-            stand_in.silent = True
+            fake = StandIn()
+            fake.silent = True
             began = asyncio.get_running_loop().time()
             with pytest.raises(KvUnavailable):
-                await stand_in.store.get("k")
+                await fake.store.get("k")
             assert asyncio.get_running_loop().time() - began < 1.0
 
         run(scenario)
 
-    def test_a_write_whose_answer_was_lost_is_found(self):
+    def test_a_write_whose_response_was_lost_is_detected(self):
         async def scenario():
-            stand_in = StandIn()
-            stand_in.lose = 1
-            swap = await swap_surely(stand_in.store, "k", b"mine", ABSENT)
+            fake = StandIn()
+            fake.lose = 1
+            swap = await swap_surely(fake.store, "k", b"mine", ABSENT)
             assert swap.swapped
-            assert (await stand_in.kv.get("k")).revision == swap.revision
+            assert (await fake.kv.get("k")).revision == swap.revision
 
         run(scenario)
 
@@ -170,11 +170,11 @@
             ).map(lambda data: json.dumps(data).encode()),
         )
     )
-    def test_whatever_it_answers_there_is_a_result_or_a_typed_error(self, raw):
+    def test_an_arbitrary_response_gives_a_result_or_a_typed_error(self, raw):
         async def scenario():
-            stand_in = StandIn()
-            stand_in.raw = raw
-            store = stand_in.store
+            fake = StandIn()
+            fake.raw = raw
+            store = fake.store
             calls = (
                 (store.get("k"), KvEntry),
                 (store.list(""), KvListing),
@@ -189,7 +189,7 @@
 
 
 class SlowLink:
-    """A store behind a weak link: its answer comes in parts, one after the other."""
+    """A store behind a slow link: its response arrives in parts with pauses before them."""
 
     def __init__(self, parts, pause_s, body=None):
         net, clock = Network(), asyncio.get_running_loop().time
@@ -206,12 +206,13 @@
 ITEM = {"TlsKey": "op/config", "Value": "e30=", "Revision": 9}
 
 
-class TestWeakLinks:
-    """After a loss of power 77 instances on links of 10 Mbit/s never had a configuration of 1,700
-    routes: what had come after 0.7 s was thrown away, again and again."""
+class TestSlowLinks:
+    """Guards against a total timeout on slow responses: 77 instances on 10 Mbit/s links never read
+    a configuration of 1,700 routes after a power loss, since each attempt was cancelled after 0.7 s
+    and its partial response discarded."""
 
     @pytest.mark.parametrize("pause_s", [0.1, 0.3])
-    def test_an_answer_that_goes_on_coming_is_read_to_its_end(self, pause_s):
+    def test_a_slow_response_is_read_to_its_end(self, pause_s):
         async def scenario():
             listing = await SlowLink(20, pause_s).store.list("")
             assert len(listing.entries) == 20
@@ -220,36 +221,36 @@
         run(scenario)
 
     @pytest.mark.parametrize(
-        ("parts", "pause_s", "most_s"), [(3, 1.0, CALL_TIMEOUT_S), (60, 0.5, MAX_RESPONSE_S)]
+        ("parts", "pause_s", "max_s"), [(3, 1.0, CALL_TIMEOUT_S), (60, 0.5, MAX_RESPONSE_S)]
     )
-    def test_one_that_stops_or_never_ends_is_given_up(self, parts, pause_s, most_s):
+    def test_a_response_that_stalls_or_takes_too_long_is_cancelled(self, parts, pause_s, max_s):
         async def scenario():
             began = asyncio.get_running_loop().time()
             with pytest.raises(KvUnavailable):
                 await SlowLink(parts, pause_s).store.list("")
-            assert asyncio.get_running_loop().time() - began <= most_s + 0.1
+            assert asyncio.get_running_loop().time() - began <= max_s + 0.1
 
         run(scenario)
 
-    def test_a_page_that_fails_does_not_cost_the_pages_before_it(self):
+    def test_a_failed_page_is_retried_without_the_pages_before_it(self):
         async def scenario():
-            stand_in = StandIn(page=2)
+            fake = StandIn(page=2)
             for at in range(6):
-                await stand_in.store.swap(f"k/{at}", b"v", ABSENT)
-            stand_in.fails_at = {3, 4}
-            before = stand_in.store.calls
-            listing = await stand_in.store.list("k/")
+                await fake.store.swap(f"k/{at}", b"v", ABSENT)
+            fake.failing_pages = {3, 4}
+            before = fake.store.calls
+            listing = await fake.store.list("k/")
             assert [entry.key for entry in listing.entries] == [f"k/{at}" for at in range(6)]
-            assert stand_in.store.calls - before == 5
+            assert fake.store.calls - before == 5
 
         run(scenario)
 
-    def test_a_first_page_that_fails_is_told_at_once(self):
+    def test_a_failed_first_page_raises_at_once(self):
         async def scenario():
-            stand_in = StandIn(page=2)
-            stand_in.fails_at = {1}
+            fake = StandIn(page=2)
+            fake.failing_pages = {1}
             with pytest.raises(KvUnavailable):
-                await stand_in.store.list("k/")
-            assert stand_in.store.calls == 1
+                await fake.store.list("k/")
+            assert fake.store.calls == 1
 
         run(scenario)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""Reading and writing what stands on the platform's wire."""
+"""Tests of the platform adapter: entries, HTTP messages, orders and the settings file."""
 
 import asyncio
 import json
@@ -101,10 +101,10 @@
     b"[" * 100_000,
     b'{"Models": ' + b"[" * 100_000,
 ]
-"""Whole numbers that no float holds or nobody reads, and nesting without an end."""
+"""Integers too large for a float or for the parser, and nesting too deep for it."""
 
 
-def read_or_error(item):
+def decode_or_error(item):
     try:
         return PlatformEntries().read(item)
     except MalformedEntry as exc:
@@ -112,7 +112,7 @@
 
 
 class TestEntries:
-    def test_a_configuration_is_read_into_our_words(self):
+    def test_a_configuration_is_decoded(self):
         snapshot = PlatformEntries().read(entry("op/config", CONFIG))
         first, second = snapshot.routes
         assert (first.host, first.repeat, first.timeout_s) == ("one.example", Repeat.RESUME, 6.0)
@@ -121,26 +121,26 @@
         assert snapshot.services["llm"].engine.adapter_slots == 6
         assert snapshot.limits.idle_s == 15.0
 
-    def test_a_replica_tells_what_it_holds_and_keeps(self):
+    def test_an_entry_of_a_replica_lists_held_and_cached_weights(self):
         replica = PlatformEntries().read(entry("servers/i-1", SERVER))
         assert (replica.name, replica.hall, replica.orders) == ("i-1", "z", 4)
         assert Holding(AdapterKey("m", "a3"), 2) in replica.holdings
         assert replica.cached == {Holding(AdapterKey("m", "a9"), 1)}
 
-    def test_a_new_version_is_read(self):
-        fact = PlatformEntries().read(
+    def test_a_newest_version_is_decoded(self):
+        version = PlatformEntries().read(
             entry("op/version/m.a3", {"Model": "m", "Adapter": "a3", "Version": 5})
         )
-        assert fact == NewestVersion(AdapterKey("m", "a3"), 5)
+        assert version == NewestVersion(AdapterKey("m", "a3"), 5)
 
-    def test_every_finding_is_told_with_its_place(self):
-        wrong = json.loads(json.dumps(CONFIG))
-        wrong["Routes"][0]["TimeoutMs"] = "soon"
-        del wrong["Routes"][1]["Hostname"]
-        with pytest.raises(MalformedEntry) as caught:
-            PlatformEntries().read(entry("op/config", wrong))
-        assert "op/config.Routes[0].TimeoutMs" in str(caught.value)
-        assert "op/config.Routes[1].Hostname" in str(caught.value)
+    def test_every_error_is_reported_with_its_path(self):
+        malformed = json.loads(json.dumps(CONFIG))
+        malformed["Routes"][0]["TimeoutMs"] = "soon"
+        del malformed["Routes"][1]["Hostname"]
+        with pytest.raises(MalformedEntry) as raised:
+            PlatformEntries().read(entry("op/config", malformed))
+        assert "op/config.Routes[0].TimeoutMs" in str(raised.value)
+        assert "op/config.Routes[1].Hostname" in str(raised.value)
 
     @settings(derandomize=True, deadline=None)
     @given(
@@ -155,8 +155,8 @@
             ).map(lambda data: json.dumps(data).encode()),
         ),
     )
-    def test_nonsense_is_told_as_malformed(self, key, raw):
-        outcome = read_or_error(entry(key, raw))
+    def test_arbitrary_values_are_decoded_or_malformed(self, key, raw):
+        outcome = decode_or_error(entry(key, raw))
         assert isinstance(outcome, (Snapshot, Replica, NewestVersion, MalformedEntry))
         assert str(outcome)
 
@@ -184,25 +184,25 @@
         feed = Feed(mirror, PlatformEntries(), state, lambda: self.now)
         return mirror, state, feed
 
-    def test_the_last_good_configuration_stays(self):
+    def test_a_malformed_configuration_keeps_the_previous_one(self):
         mirror, state, _ = self.feed()
         mirror.show(entry("op/config", CONFIG, 1))
         mirror.show(entry("op/config", b"{", 2))
         assert state.snapshot.version == 7
 
-    def test_a_configuration_never_goes_back(self):
+    def test_an_older_configuration_is_ignored(self):
         mirror, state, _ = self.feed()
         mirror.show(entry("op/config", CONFIG, 1))
         mirror.show(entry("op/config", {**CONFIG, "Version": 6}, 2))
         assert state.snapshot.version == 7
 
-    def test_a_deleted_replica_is_gone_at_once(self):
+    def test_a_deleted_replica_is_removed_at_once(self):
         mirror, state, _ = self.feed()
         mirror.show(entry("servers/i-1", SERVER))
         mirror.show()
         assert not state.replicas
 
-    def test_one_that_is_missing_after_an_outage_has_a_moment_to_come_back(self):
+    def test_a_replica_missing_after_an_outage_is_kept_for_a_grace_period(self):
         mirror, state, feed = self.feed()
         mirror.show(entry("servers/i-1", SERVER))
         mirror.show(missing=["servers/i-1"])
@@ -211,7 +211,7 @@
         feed.refresh()
         assert not state.replicas
 
-    def test_one_that_drains_is_known_as_leaving(self):
+    def test_a_draining_replica_is_leaving(self):
         mirror, state, _ = self.feed()
         mirror.show(entry("servers/i-1", SERVER, 1))
         mirror.show(entry("servers/i-1", {**SERVER, "State": "draining"}, 2))
@@ -232,21 +232,23 @@
             (500, [], Verdict.FAILED),
         ],
     )
-    def test_only_a_replicas_own_word_counts_as_not_run(self, status, headers, verdict):
+    def test_only_the_header_of_a_replica_classifies_a_request_as_not_run(
+        self, status, headers, verdict
+    ):
         head = ResponseHead(status, tuple(headers))
         assert PlatformDialect().judge(head, Replica("me", "s", "a:1", "h")) is verdict
 
 
 class TestOrders:
-    def give(self, script):
+    def send_order(self, script):
         async def scenario():
             net, servers = Network(), []
 
-            def make():
+            def new_server():
                 servers.append(RawServer(script))
                 return servers[-1]
 
-            net.servers["e:1"] = make
+            net.servers["e:1"] = new_server
             orders = PlatformOrders(HttpPool(asyncio.get_running_loop().time, net.dial))
             order = Order(True, AdapterKey("m", "a3"), 2, 5, "me", 41)
             replica = Replica("i-1", "llm", "e:1", "h")
@@ -266,10 +268,12 @@
             (500, OrderOutcome.LOST),
         ],
     )
-    def test_an_order_names_owner_token_and_count_and_its_answer_is_told(self, status, outcome):
+    def test_an_order_carries_owner_token_and_count_and_its_status_gives_the_outcome(
+        self, status, outcome
+    ):
         raw = b"HTTP/1.1 %d X\r\nContent-Length: 0\r\n\r\n" % status
-        told, _, sent = self.give([[raw], []])
-        assert told is outcome
+        actual, _, sent = self.send_order([[raw], []])
+        assert actual is outcome
         body = json.loads(sent.split(b"\r\n\r\n")[1].partition(b"GET")[0])
         assert body == {
             "Operation": "model_load",
@@ -282,13 +286,13 @@
         }
         assert b"X-Gradelug-Expect-Instance: i-1\r\n" in sent
 
-    def test_silence_leaves_an_order_in_doubt(self):
-        assert self.give([[], []])[0] is OrderOutcome.LOST
+    def test_the_outcome_of_an_order_without_a_response_is_unknown(self):
+        assert self.send_order([[], []])[0] is OrderOutcome.LOST
 
-    def test_a_report_that_cannot_be_read_is_none(self):
+    def test_a_malformed_report_is_none(self):
         ok = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        nonsense = b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"Models": 12}'
-        assert self.give([[ok], [nonsense]])[1] is None
+        malformed = b'HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{"Models": 12}'
+        assert self.send_order([[ok], [malformed]])[1] is None
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(
@@ -307,10 +311,10 @@
             ).map(lambda data: json.dumps(data).encode()),
         )
     )
-    def test_whatever_a_report_says_it_is_read_or_none(self, raw):
+    def test_an_arbitrary_report_is_decoded_or_none(self, raw):
         ok = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(raw), raw)
-        report = self.give([[ok], [answer]])[1]
+        report = self.send_order([[ok], [answer]])[1]
         assert report is None or isinstance(report, EngineReport)
 
 
@@ -318,7 +322,7 @@
     @pytest.mark.parametrize(
         ("text", "version_s"), [("", math.inf), ("[Bounds]\nversion_ms = 5000\n", 5.0)]
     )
-    def test_the_bound_for_versions_is_read(self, tmp_path, text, version_s):
+    def test_the_version_bound_is_read(self, tmp_path, text, version_s):
         path = tmp_path / "settings.toml"
         path.write_text(
             'Node = "n"\nZone = "z"\nIp = "10.0.0.1"\nPortRange = [7380, 7395]\n'
@@ -327,12 +331,12 @@
         )
         assert load(path).gateway.bounds.version_s == version_s
 
-    def test_every_finding_is_told_together(self, tmp_path):
+    def test_all_errors_are_reported_together(self, tmp_path):
         path = tmp_path / "settings.toml"
         path.write_text('Node = 3\nZone = "z"\nUnknown = 1\n[Bounds]\nGraceS = -1\n')
-        with pytest.raises(InvalidConfig) as caught:
+        with pytest.raises(InvalidConfig) as raised:
             load(path)
-        places = " ".join(str(finding) for finding in caught.value.findings)
+        messages = " ".join(str(finding) for finding in raised.value.findings)
         for name in (
             "Node",
             "Ip",
@@ -341,5 +345,5 @@
             "Bounds.GraceS",
             "Provider.Address",
         ):
-            assert name in places
-        assert "Unknown" not in places
+            assert name in messages
+        assert "Unknown" not in messages
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -23,7 +23,7 @@
 from soak_parts import Gateway, free_ports
 from soak_settings import CONFIG, PLAIN_TOKENS, ROOT
 
-SERVED_S = 30.0
+SERVE_TIMEOUT_S = 30.0
 ORGANISATION = {
     "Name": "free",
     "Unit": "token_stream",
@@ -87,29 +87,29 @@
     @pytest.mark.parametrize("name", [*NAMES, ",".join(NAMES)])
     def test_it_serves_with_features_disabled(self, tmp_path, name):
         async def scenario():
-            site = _Site()
-            port = await site.start()
+            platform = _Platform()
+            port = await platform.start()
             gateway = Gateway(0, tmp_path, port, free_ports(3), True, [f"--without={name}"])
             gateway.start()
             try:
-                async with asyncio.timeout(SERVED_S):
+                async with asyncio.timeout(SERVE_TIMEOUT_S):
                     for target in (b"/s/x", b"/i/x", b"/u/x"):
-                        await site.until_served(gateway.front, target)
+                        await platform.wait_until_served(gateway.front, target)
             except TimeoutError:
                 pytest.fail(gateway.log.read_text())
             finally:
                 gateway.process.terminate()
-                await asyncio.to_thread(gateway.process.wait, SERVED_S)
-                await site.close()
+                await asyncio.to_thread(gateway.process.wait, SERVE_TIMEOUT_S)
+                await platform.close()
             assert gateway.process.returncode == 0
             assert "Traceback" not in gateway.log.read_text()
-            assert site.ledger.faults == []
+            assert platform.ledger.faults == []
 
         asyncio.run(scenario())
 
 
-class _Site:
-    """A store, two engines and a plain replica."""
+class _Platform:
+    """A fake platform store, two engines and a replica without an engine."""
 
     def __init__(self):
         self.clock = asyncio.get_running_loop().time
@@ -118,10 +118,10 @@
         self.server = HttpServer(self.store.serve, ServerLimits, self.clock)
         self.ledger = Ledger()
         self.replicas = []
-        self.asked = 0
+        self.request_count = 0
 
     async def start(self):
-        """Return the store's port."""
+        """Start all servers and return the port of the store."""
         config = {**CONFIG, "Tenants": [ORGANISATION]}
         await self.store.kv.swap("op/config", json.dumps(config).encode(), 0)
         for number, service in enumerate(("llm", "llm", "plain")):
@@ -131,14 +131,14 @@
             self.replicas.append(replica)
         return await self.server.start(HOST, 0)
 
-    async def until_served(self, port, target):
+    async def wait_until_served(self, port, target):
         """Retry until a request succeeds: the program may still be starting."""
-        while await self._ask(port, target) != 200:
+        while await self._send(port, target) != 200:
             await asyncio.sleep(0.05)
 
-    async def _ask(self, port, target):
-        self.asked += 1
-        request_id = f"q{self.asked}"
+    async def _send(self, port, target):
+        self.request_count += 1
+        request_id = f"q{self.request_count}"
         self.ledger.bodies[request_id] = b"body"
         self.ledger.organisations[request_id] = ORGANISATION["Name"]
         headers = [
