--- a/packages/gateway/src/gradelug_gateway/metrics.py
+++ b/packages/gateway/src/gradelug_gateway/metrics.py
@@ -132,12 +132,12 @@
         """Count a finished request by its outcome."""
         self._outcomes.labels(route, end).inc()
 
-    def limited(self, organisation: str, rank: int, standing: str) -> None:
+    def limited(self, organisation: str, rank: int, retry_state: str) -> None:
         """Count a request over the quota of its organisation.
 
         Label values are bounded: organisations by the configuration, urgencies by `URGENCIES`.
         """
-        self._limited.labels(organisation, min(rank, URGENCIES - 1), standing).inc()
+        self._limited.labels(organisation, min(rank, URGENCIES - 1), retry_state).inc()
 
     def granted(self, organisation: str, rank: int, tokens: int) -> None:
         """Count tokens granted from the quota of an organisation."""
@@ -164,9 +164,9 @@
         """Record the time to the first event of a stream, in seconds."""
         self._first_event_latency.observe(seconds)
 
-    def went_on(self, how: str, pause_s: float, weights: str) -> None:
+    def went_on(self, resume_kind: str, pause_s: float, weights: str) -> None:
         """Record the pause of a resumed run, and whether it kept its weights."""
-        self._run_pauses.labels(how).observe(pause_s)
+        self._run_pauses.labels(resume_kind).observe(pause_s)
         self._resumed_runs.labels(weights).inc()
 
     def left_run(self, end: str) -> None:
--- a/tests/crowded_store.py
+++ b/tests/crowded_store.py
@@ -98,7 +98,7 @@
         Number of mirrors that were not synchronised in time.
     """
     clock = asyncio.get_running_loop().time
-    began, done = clock(), []
+    started_at, finish_times_s = clock(), []
     mirrors, tasks = [], []
     store.silent = silent_s > 0
     for number in range(instances):
@@ -107,16 +107,16 @@
         mirror = Mirror(PlatformStore(ADDRESS, store, rng), "", rng, 0.8, 1.2, 2.2, True)
         mirrors.append(mirror)
         tasks.append(asyncio.create_task(mirror.run()))
-    waiting = list(mirrors)
-    while waiting and clock() < began + most_s:
-        store.silent = clock() < began + silent_s
+    unsynchronised = list(mirrors)
+    while unsynchronised and clock() < started_at + most_s:
+        store.silent = clock() < started_at + silent_s
         await asyncio.sleep(0.05)
-        done += [clock() - began for mirror in waiting if mirror.revision]
-        waiting = [mirror for mirror in waiting if not mirror.revision]
+        finish_times_s += [clock() - started_at for mirror in unsynchronised if mirror.revision]
+        unsynchronised = [mirror for mirror in unsynchronised if not mirror.revision]
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    return done, len(waiting)
+    return finish_times_s, len(unsynchronised)
 
 
 async def fill(store, entries, value_bytes):
--- a/tests/platform_stand_in.py
+++ b/tests/platform_stand_in.py
@@ -9,7 +9,7 @@
 from gradelug_standins.kv import MemoryKv
 
 
-def item(entry):
+def encode_entry(entry):
     value = base64.b64encode(entry.value).decode()
     revision = revision_of(entry.revision)
     return {"TlsKey": entry.key, "Value": value, "Revision": revision, "Lease": entry.lease}
@@ -26,7 +26,7 @@
         self.silent = False
         self.era = None
         """Value of the era header in place of the correct one; no header if empty."""
-        self.lose = 0
+        self.lost_response_count = 0
 
     async def serve(self, inc):
         if self.silent:
@@ -46,8 +46,8 @@
             )
         except KvUnavailable:
             status, reply = 503, {}
-        if self.lose and inc.method == b"POST":
-            self.lose -= 1
+        if self.lost_response_count and inc.method == b"POST":
+            self.lost_response_count -= 1
             return
         era = era_of(self.kv.revision) if self.era is None else self.era
         headers = [(b"Store-Era", str(era).encode())] if era != "" else []
@@ -56,12 +56,12 @@
     async def call(self, method, call, query, body):
         if call == "kv-key":
             entry = await self.kv.get(query["TlsKey"])
-            return (200, item(entry)) if entry else (404, {})
+            return (200, encode_entry(entry)) if entry else (404, {})
         if call == "kv-range":
             listing = await self.kv.list(query.get("PathPrefix", ""))
-            rest = [entry for entry in listing.entries if entry.key > query.get("after", "")]
-            page = [item(entry) for entry in rest[: self.page]]
-            more = len(rest) > self.page
+            remaining = [entry for entry in listing.entries if entry.key > query.get("after", "")]
+            page = [encode_entry(entry) for entry in remaining[: self.page]]
+            more = len(remaining) > self.page
             return 200, {
                 "items": page,
                 "HasMore": more,
@@ -82,13 +82,13 @@
         return 400, {}
 
     async def watch(self, query):
-        after, prefix = self.at(int(query["after"])), query.get("PathPrefix", "")
+        after, prefix = self.to_position(int(query["after"])), query.get("PathPrefix", "")
         try:
             async with asyncio.timeout(int(query["WaitMs"]) / 1000):
                 async for events in self.kv.watch(prefix, after):
                     rows = [
                         (
-                            item(ev.entry)
+                            encode_entry(ev.entry)
                             if ev.entry is not None
                             else {
                                 "TlsKey": ev.key,
@@ -104,13 +104,13 @@
         except WatchCompacted:
             return 410, {}
 
-    def at(self, revision):
+    def to_position(self, revision):
         """Return a revision of the current era as a position; 0 is returned unchanged."""
         return position(era_of(self.kv.revision), revision) if revision else 0
 
     async def transact(self, body):
         (condition,) = body["Expected"]
-        expected = self.at(condition["Revision"])
+        expected = self.to_position(condition["Revision"])
         if body["SetKeys"]:
             (put,) = body["SetKeys"]
             if put.get("Lease", 0) and not self.kv.has_lease(put["Lease"]):
@@ -122,5 +122,9 @@
                 if swap.swapped
                 else (412, {"items": []})
             )
-        done = await self.kv.delete(condition["TlsKey"], expected)
-        return (200, {"Revision": revision_of(self.kv.revision)}) if done else (412, {"items": []})
+        is_deleted = await self.kv.delete(condition["TlsKey"], expected)
+        return (
+            (200, {"Revision": revision_of(self.kv.revision)})
+            if is_deleted
+            else (412, {"items": []})
+        )
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -115,8 +115,8 @@
         ],
     )
     def test_the_remaining_time_of_an_engine_is_read(self, body, left_s):
-        found, sent = call([[answer(200, body)]], lambda runs: runs.ends_in_s(SOURCE))
-        assert found == left_s
+        actual, sent = call([[answer(200, body)]], lambda runs: runs.ends_in_s(SOURCE))
+        assert actual == left_s
         assert sent.startswith(b"GET /gradelug/report HTTP/1.1\r\n")
 
     @pytest.mark.parametrize(
@@ -139,13 +139,13 @@
     )
     def test_the_runs_of_an_engine_are_read(self, status, body, expected):
         """An incomplete report is ignored: a run is only abandoned after a complete one."""
-        found, _ = call([[answer(status, body)]], lambda runs: runs.word(SOURCE))
-        assert found == expected
+        actual, _ = call([[answer(status, body)]], lambda runs: runs.word(SOURCE))
+        assert actual == expected
 
     @pytest.mark.parametrize("script", [[["reset"]], [[]]])
     def test_the_runs_of_an_engine_that_does_not_respond_are_unknown(self, script):
-        found, _ = call(script, lambda runs: runs.word(SOURCE))
-        assert found is None
+        actual, _ = call(script, lambda runs: runs.word(SOURCE))
+        assert actual is None
 
 
 class TestRequests:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -145,7 +145,7 @@
     def test_a_write_whose_response_was_lost_is_detected(self):
         async def scenario():
             fake = StandIn()
-            fake.lose = 1
+            fake.lost_response_count = 1
             swap = await swap_surely(fake.store, "k", b"mine", ABSENT)
             assert swap.swapped
             assert (await fake.kv.get("k")).revision == swap.revision
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -171,50 +171,50 @@
     def __init__(self):
         super().__init__(None, "", None)
 
-    def show(self, *entries, missing=()):
+    def set_entries(self, *entries, missing=()):
         self.entries = {item.key: item for item in entries}
         self.missing = set(missing)
         self._notify()
 
 
 class TestFeed:
-    def feed(self):
+    def new_feed(self):
         self.now = 0.0
         mirror, state = StubMirror(), FleetState()
         feed = Feed(mirror, PlatformEntries(), state, lambda: self.now)
         return mirror, state, feed
 
     def test_a_malformed_configuration_keeps_the_previous_one(self):
-        mirror, state, _ = self.feed()
-        mirror.show(entry("op/config", CONFIG, 1))
-        mirror.show(entry("op/config", b"{", 2))
+        mirror, state, _ = self.new_feed()
+        mirror.set_entries(entry("op/config", CONFIG, 1))
+        mirror.set_entries(entry("op/config", b"{", 2))
         assert state.snapshot.version == 7
 
     def test_an_older_configuration_is_ignored(self):
-        mirror, state, _ = self.feed()
-        mirror.show(entry("op/config", CONFIG, 1))
-        mirror.show(entry("op/config", {**CONFIG, "Version": 6}, 2))
+        mirror, state, _ = self.new_feed()
+        mirror.set_entries(entry("op/config", CONFIG, 1))
+        mirror.set_entries(entry("op/config", {**CONFIG, "Version": 6}, 2))
         assert state.snapshot.version == 7
 
     def test_a_deleted_replica_is_removed_at_once(self):
-        mirror, state, _ = self.feed()
-        mirror.show(entry("servers/i-1", SERVER))
-        mirror.show()
+        mirror, state, _ = self.new_feed()
+        mirror.set_entries(entry("servers/i-1", SERVER))
+        mirror.set_entries()
         assert not state.replicas
 
     def test_a_replica_missing_after_an_outage_is_kept_for_a_grace_period(self):
-        mirror, state, feed = self.feed()
-        mirror.show(entry("servers/i-1", SERVER))
-        mirror.show(missing=["servers/i-1"])
+        mirror, state, feed = self.new_feed()
+        mirror.set_entries(entry("servers/i-1", SERVER))
+        mirror.set_entries(missing=["servers/i-1"])
         assert state.replicas
         self.now = EXPIRED_ENTRY_GRACE_S + 0.1
         feed.refresh()
         assert not state.replicas
 
     def test_a_draining_replica_is_leaving(self):
-        mirror, state, _ = self.feed()
-        mirror.show(entry("servers/i-1", SERVER, 1))
-        mirror.show(entry("servers/i-1", {**SERVER, "State": "draining"}, 2))
+        mirror, state, _ = self.new_feed()
+        mirror.set_entries(entry("servers/i-1", SERVER, 1))
+        mirror.set_entries(entry("servers/i-1", {**SERVER, "State": "draining"}, 2))
         assert state.replicas["i-1"].leaving
 
 
