--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,4 +1,4 @@
-"""Features that an operator switches off by an argument of the program."""
+"""Tests of the ``--without=`` argument, with which an operator disables features."""
 
 import asyncio
 import json
@@ -17,13 +17,13 @@
     ResponseBroken,
     ServerLimits,
 )
-from gradelug_platform.main import EXIT_BAD_SETTINGS, _without
+from gradelug_platform.main import EXIT_BAD_SETTINGS, _disable_features
 from gradelug_platform.settings import load
 from platform_stand_in import StoreStandIn
 from soak_parts import Gateway, free_ports
 from soak_settings import CONFIG, PLAIN_TOKENS, ROOT
 
-SERVED_S = 30.0
+SERVE_TIMEOUT_S = 30.0
 ORGANISATION = {
     "Name": "free",
     "Unit": "token_stream",
@@ -39,38 +39,38 @@
 
 
 def features(settings, *args):
-    return _without(settings, list(args)).gateway.features
+    return _disable_features(settings, list(args)).gateway.features
 
 
 class TestArgument:
-    def test_all_is_on_by_itself(self, settings):
+    def test_all_features_are_enabled_by_default(self, settings):
         assert features(settings) == set(Feature)
         assert features(settings, "--check") == set(Feature)
 
     @pytest.mark.parametrize("feature", Feature)
-    def test_one_that_is_named_is_off_and_the_others_stay_on(self, settings, feature):
+    def test_only_the_named_feature_is_disabled(self, settings, feature):
         assert features(settings, f"--without={feature.value}") == set(Feature) - {feature}
 
-    def test_several_are_named_in_one_argument_or_in_several(self, settings):
+    def test_features_can_be_named_in_one_argument_or_in_several(self, settings):
         first, second, third = list(Feature)[:3]
         args = (f"--without={first.value},{second.value}", f"--without={third.value}")
         assert features(settings, *args) == set(Feature) - {first, second, third}
 
     @pytest.mark.parametrize("name", ["shared-heath", "", "SHARED_HEALTH", " shared-health"])
-    def test_an_unknown_name_is_told_with_those_there_are(self, settings, name):
+    def test_an_unknown_name_is_reported_with_the_known_names(self, settings, name):
         with pytest.raises(InvalidConfig) as raised:
             features(settings, f"--without={NAMES[0]},{name}")
         (finding,) = raised.value.findings
-        assert f"no feature {name!r}, but {', '.join(NAMES)}" in str(finding)
+        assert f"unknown feature {name!r}; features are {', '.join(NAMES)}" in str(finding)
 
-    def test_all_unknown_names_come_at_once(self, settings):
+    def test_all_unknown_names_are_reported_together(self, settings):
         with pytest.raises(InvalidConfig) as raised:
             features(settings, "--without=a,b", "--without=c")
         assert len(raised.value.findings) == 3
 
 
 class TestProgram:
-    def test_it_ends_with_one_line_on_an_unknown_name(self, tmp_path):
+    def test_an_unknown_name_prints_one_line_and_exits(self, tmp_path):
         path = Gateway(0, tmp_path, 1, (2, 3, 4), True).settings
         done = subprocess.run(
             [sys.executable, str(ROOT / "platform" / "serve.py"), "--without=nonsense"],
@@ -82,34 +82,34 @@
         )
         assert done.returncode == EXIT_BAD_SETTINGS
         (line,) = done.stderr.splitlines()
-        assert "no feature 'nonsense'" in line
+        assert "unknown feature 'nonsense'" in line
 
     @pytest.mark.parametrize("name", [*NAMES, ",".join(NAMES)])
-    def test_it_starts_and_serves_without(self, tmp_path, name):
+    def test_it_serves_with_features_disabled(self, tmp_path, name):
         async def scenario():
-            site = _Site()
-            port = await site.start()
+            platform = _Platform()
+            port = await platform.start()
             gateway = Gateway(0, tmp_path, port, free_ports(3), True, [f"--without={name}"])
             gateway.start()
             try:
-                async with asyncio.timeout(SERVED_S):
+                async with asyncio.timeout(SERVE_TIMEOUT_S):
                     for target in (b"/s/x", b"/i/x", b"/u/x"):
-                        await site.until_served(gateway.front, target)
+                        await platform.wait_until_served(gateway.front, target)
             except TimeoutError:
                 pytest.fail(gateway.log.read_text())
             finally:
                 gateway.process.terminate()
-                await asyncio.to_thread(gateway.process.wait, SERVED_S)
-                await site.close()
+                await asyncio.to_thread(gateway.process.wait, SERVE_TIMEOUT_S)
+                await platform.close()
             assert gateway.process.returncode == 0
             assert "Traceback" not in gateway.log.read_text()
-            assert site.ledger.faults == []
+            assert platform.ledger.faults == []
 
         asyncio.run(scenario())
 
 
-class _Site:
-    """A store, two engines and a plain replica."""
+class _Platform:
+    """A fake platform store, two engines and a replica without an engine."""
 
     def __init__(self):
         self.clock = asyncio.get_running_loop().time
@@ -118,10 +118,10 @@
         self.server = HttpServer(self.store.serve, ServerLimits, self.clock)
         self.ledger = Ledger()
         self.replicas = []
-        self.asked = 0
+        self.request_count = 0
 
     async def start(self):
-        """Return the store's port."""
+        """Start all servers and return the port of the store."""
         config = {**CONFIG, "Tenants": [ORGANISATION]}
         await self.store.kv.swap("op/config", json.dumps(config).encode(), 0)
         for number, service in enumerate(("llm", "llm", "plain")):
@@ -131,14 +131,14 @@
             self.replicas.append(replica)
         return await self.server.start(HOST, 0)
 
-    async def until_served(self, port, target):
-        """Ask until a request is answered: the program may not listen or know all yet."""
-        while await self._ask(port, target) != 200:
+    async def wait_until_served(self, port, target):
+        """Retry until a request succeeds: the program may still be starting."""
+        while await self._send(port, target) != 200:
             await asyncio.sleep(0.05)
 
-    async def _ask(self, port, target):
-        self.asked += 1
-        request_id = f"q{self.asked}"
+    async def _send(self, port, target):
+        self.request_count += 1
+        request_id = f"q{self.request_count}"
         self.ledger.bodies[request_id] = b"body"
         self.ledger.organisations[request_id] = ORGANISATION["Name"]
         headers = [
