--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -25,11 +25,11 @@
 
 log = logbook.Logger("directory")
 RECONNECT_S = 0.1
-PEERS_ASKED = 2
+PEERS_PER_LOOKUP = 2
 """So many peers are asked at a time where the planner is."""
-REFUSED_RETRY_S = 0.5
+REFUSAL_RETRY_AFTER_S = 0.5
 NOBODY = Party("")
-LATE_RETRY_S = 0.5
+TIMEOUT_RETRY_AFTER_S = 0.5
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,15 +95,15 @@
     """
 
     __slots__ = (
-        "_hurry",
+        "_request_poll",
         "_address",
         "_clock",
         "_executor",
         "_fleet",
-        "_hints",
+        "_peer_reported",
         "_instance",
         "_links",
-        "_listener",
+        "_store_subscriber",
         "_locate",
         "_make_parts",
         "_searches",
@@ -130,15 +130,15 @@
         self._make_parts = make_parts
         self._shares = shares
         self._strength = strength
-        self._listener = listener
+        self._store_subscriber = listener
         self._instance = instance
         self._address = address
         self._fleet = fleet
         self._clock = clock
         self._locate = locate
-        self._hurry = hurry
+        self._request_poll = hurry
         self._executor = executor
-        self._hints: dict[str, PlannerAddress] = {}
+        self._peer_reported: dict[str, PlannerAddress] = {}
         """Planners that peers told of."""
         self._links: dict[str, PlannerLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
@@ -230,11 +230,13 @@
                     raise Refused("its replicas rest", rest_s) from None
                 if known is not None:
                     return known
-                raise Refused("the weights could not be placed in time", LATE_RETRY_S) from None
+                raise Refused(
+                    "the weights could not be placed in time", TIMEOUT_RETRY_AFTER_S
+                ) from None
             if answer.HasField("standing"):
                 tell_standing(wish.request, wish.party, wish.rank, answer)
             if not answer.replica:
-                raise Refused(answer.reason, answer.retry_after_ms / 1000 or REFUSED_RETRY_S)
+                raise Refused(answer.reason, answer.retry_after_ms / 1000 or REFUSAL_RETRY_AFTER_S)
             replica = self._fleet.state.replicas.get(answer.replica)
             if replica is not None and self._fleet.is_unavailable(replica):
                 # The planner does not know of it.
@@ -253,7 +255,7 @@
 
     def known(self, service: str) -> PlannerAddress | None:
         """Return the newest planner of a service that the platform or a peer told of."""
-        told, hint = self._locate(service), self._hints.get(service)
+        told, hint = self._locate(service), self._peer_reported.get(service)
         if told is None or (hint is not None and hint.fence > told.fence):
             return hint
         return told
@@ -331,24 +333,24 @@
                 self._clock,
                 self._executor,
                 self._strength,
-                self._listener,
+                self._store_subscriber,
                 self._shares,
                 self._make_parts(service),
             )
             self._links[service] = link
-            self._tasks[service] = asyncio.create_task(self._keep(link))
+            self._tasks[service] = asyncio.create_task(self._maintain_link(link))
         return link
 
-    async def _keep(self, link: PlannerLink) -> None:
+    async def _maintain_link(self, link: PlannerLink) -> None:
         while True:
             planner = self.known(link.service)
             if planner is not None:
                 await self._follow(link, planner)
-            self._look(link)
+            self._poll_if_due(link)
             await asyncio.sleep(RECONNECT_S)
             if planner is not None and self._is_newest(link.service, planner):
                 # Lost, and the platform tells of no other.
-                await self._ask_peers(link)
+                await self._query_peers(link)
 
     async def _follow(self, link: PlannerLink, planner: PlannerAddress) -> None:
         """Follow a planner until the stream breaks or there is a newer one."""
@@ -367,7 +369,7 @@
                     self._search(link).found()
                 else:
                     # A successor may be entered at any moment, and this one may never answer.
-                    self._look(link)
+                    self._poll_if_due(link)
             following.result()
         finally:
             following.cancel()
@@ -376,22 +378,22 @@
     def _search(self, link: PlannerLink) -> Search:
         return self._searches.setdefault(link.service, Search(self._clock))
 
-    def _look(self, link: PlannerLink) -> None:
+    def _poll_if_due(self, link: PlannerLink) -> None:
         """Look for a planner in the store, those that could plan themselves as often as may be."""
         gateways = 1 if self._strength >= 1 else link.gateways
         if self._search(link).is_due(gateways):
-            self._hurry()
+            self._request_poll()
 
-    async def _ask_peers(self, link: PlannerLink) -> None:
-        asked, link.peers = link.peers[:PEERS_ASKED], [
-            *link.peers[PEERS_ASKED:],
-            *link.peers[:PEERS_ASKED],
+    async def _query_peers(self, link: PlannerLink) -> None:
+        asked, link.peers = link.peers[:PEERS_PER_LOOKUP], [
+            *link.peers[PEERS_PER_LOOKUP:],
+            *link.peers[:PEERS_PER_LOOKUP],
         ]
         for address in asked:
             found = await ask_where(address, link.service)
             known = self.known(link.service)
             if found is not None and (known is None or found.fence > known.fence):
-                self._hints[link.service] = found
+                self._peer_reported[link.service] = found
                 log.info("planner told by a peer", service=link.service, owner=found.owner)
                 return
 
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -16,30 +16,30 @@
 from .model import AdapterKey, ReportedLoad
 from .pacing import Pacing
 from .pending import Pending, merge_store
-from .scope import MOST_KEYS, Scopes
+from .scope import MAX_SCOPE_KEYS, Scopes
 from .store_updates import MIN_FOLLOWERS, StorePublisher
 
 if t.TYPE_CHECKING:
     from .parts import PlannerPart
 
 log = logbook.Logger("followers")
-NEWS_SLACK_S = 0.01
+TIMER_TOLERANCE_S = 0.01
 """Timers fire a little late or early."""
-HEARD_S = 0.8
+STATE_REPORT_VALIDITY_S = 0.8
 """What a gateway said last holds for so long: it says something twice a second."""
-PEERS_TOLD = 6
-PEERS_S = 2.0
+MAX_PEERS_PER_MESSAGE = 6
+PEERS_INTERVAL_S = 2.0
 """So many other gateways are named so often to each."""
-ALL_TOLD_ENGINES = 256
-ALL_TOLD_PAIRS = 4096
+MAX_UNSCOPED_ENGINES = 256
+MAX_UNSCOPED_PAIRS = 4096
 """Up to so many engines, and engines times gateways, each gateway is told of all engines: some
 1.2 MB when all join at once. 300 gateways of 3,000 engines took 300 MB."""
-KEPT_PART = 0.5
+UNSCOPE_FRACTION = 0.5
 """All are told of all again below this part of those bounds."""
-MOST_HOMES = 32
+MAX_LOCATIONS_PER_KEY = 32
 """Of more engines with the same weights a gateway is told of so many, others than its peers."""
-MOST_ANSWERS = 4096
-MOST_ORDERS = 256
+MAX_QUEUED_ANSWERS = 4096
+MAX_QUEUED_ORDERS = 256
 """So many wait for a gateway that reads slowly; it has given up the oldest by then: orders are
 awaited 0.25 s."""
 
@@ -70,7 +70,7 @@
         "listed_revision",
         "number",
         "outbox",
-        "peers_told_at",
+        "peers_sent_at",
         "pending",
         "quota_answers",
         "room_answers",
@@ -96,7 +96,7 @@
         self.outbox: list[pb.FromPlanner] = []
         """Orders; news are in `pending`."""
         self.pending = pending or Pending()
-        self.peers_told_at = -math.inf
+        self.peers_sent_at = -math.inf
         self.has_store = False
         """Whether it was told all that was in the store before, beside what has changed since."""
         self.listed_revision: int | None = None
@@ -122,28 +122,28 @@
     def answer(self, answer: pb.Answer) -> None:
         """Answer a question soon."""
         self.answers.append(answer)
-        del self.answers[:-MOST_ANSWERS]
+        del self.answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def answer_quota(self, answer: pb.QuotaAnswer) -> None:
         """Answer a question for a quota soon."""
         self.quota_answers.append(answer)
-        del self.quota_answers[:-MOST_ANSWERS]
+        del self.quota_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def answer_room(self, answer: pb.RoomAnswer) -> None:
         """Answer a question for room at a replica soon."""
         self.room_answers.append(answer)
-        del self.room_answers[:-MOST_ANSWERS]
+        del self.room_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def send(self, message: pb.FromPlanner) -> None:
         """Send a message soon."""
         self.outbox.append(message)
-        del self.outbox[:-MOST_ORDERS]
+        del self.outbox[:-MAX_QUEUED_ORDERS]
         self.wake.set()
 
-    def tell(self, news: pb.FromPlanner, store: pb.StoreNews | None = None) -> None:
+    def queue_update(self, news: pb.FromPlanner, store: pb.StoreNews | None = None) -> None:
         """Tell news soon, with those that it has not read yet."""
         self.pending.add(news, store)
         self.wake.set()
@@ -198,15 +198,15 @@
         "_changed",
         "_clock",
         "_engines",
-        "_holdings_at",
+        "_holdings_sent_at",
         "_index",
         "_may_scope",
         "_numbers",
         "_parts",
         "_scopes",
         "_store",
-        "_told_homes",
-        "_told_loads",
+        "_sent_locations",
+        "_sent_loads",
         "has_resigned",
         "is_scoped",
         "pacing",
@@ -232,15 +232,15 @@
         self._by_number: dict[int, Follower] = {}
         self._numbers = itertools.count(1)
         self._changed: set[str] = set()
-        self._holdings_at = -math.inf
+        self._holdings_sent_at = -math.inf
         """When it was told last what is held."""
         self.has_resigned = False
         self.pacing = Pacing(clock())
         self._scopes = Scopes()
         self.is_scoped = False
         """Whether gateways are told of what they use alone."""
-        self._told_loads: dict[str, ReportedLoad] = {}
-        self._told_homes: dict[AdapterKey, dict[str, int]] = {}
+        self._sent_loads: dict[str, ReportedLoad] = {}
+        self._sent_locations: dict[AdapterKey, dict[str, int]] = {}
         """Where weights that any gateway uses were when it was told last."""
 
     def __len__(self) -> int:
@@ -252,8 +252,8 @@
         follower = Follower(number, instance, address, Pending(self._complete))
         self._by_number[number] = follower
         self.pacing.note_gateways(len(self))
-        self._choose_scope()
-        follower.tell(self._news() if self.is_scoped else self._all_news())
+        self._update_scoping()
+        follower.queue_update(self._base_update() if self.is_scoped else self._full_update())
         return follower
 
     def find(self, instance: str, address: str) -> Follower | None:
@@ -276,7 +276,7 @@
 
         Only those count that call it all the time: the others do not know.
         """
-        since = self._clock() - HEARD_S
+        since = self._clock() - STATE_REPORT_VALIDITY_S
         heard = [
             follower
             for follower in self._by_number.values()
@@ -291,10 +291,10 @@
     def resign(self) -> None:
         """Tell everybody at once that a successor is to be looked for."""
         self.has_resigned = True
-        news = self._news()
+        news = self._base_update()
         news.active = True
         for follower in self._by_number.values():
-            follower.tell(news)
+            follower.queue_update(news)
 
     def mark(self, replica: str) -> None:
         """Note that what a replica holds has changed."""
@@ -318,27 +318,29 @@
         """Tell everybody what has changed since the last time, as far as it is of use there."""
         now = self._clock()
         self.pacing.step(now)
-        self._choose_scope()
-        news = self._news()
+        self._update_scoping()
+        news = self._base_update()
         news.active = active
         news.cut_off = self.cut_off()
-        holdings_due = now - self._holdings_at >= self.pacing.holdings_s - NEWS_SLACK_S
+        holdings_due = (
+            now - self._holdings_sent_at >= self.pacing.holdings_interval_s - TIMER_TOLERANCE_S
+        )
         if holdings_due:
-            self._holdings_at = now
-        self._expire(now)
+            self._holdings_sent_at = now
+        self._expire_scopes(now)
         if self.is_scoped:
-            self._note_loads()
+            self._mark_changed_loads()
             if holdings_due:
-                self._note_homes()
+                self._mark_changed_locations()
         else:
-            self._add_all(news, holdings_due)
+            self._add_changes(news, holdings_due)
         store = None
         if self.tells_store and self._store is not None:
             store = self._store.next_update()
         for part in self._parts:
             part.fill(news, now)
         for follower in self._by_number.values():
-            follower.tell(news, store)
+            follower.queue_update(news, store)
 
     @property
     def behind(self) -> int:
@@ -352,7 +354,7 @@
 
     # What all are told.
 
-    def _news(self) -> pb.FromPlanner:
+    def _base_update(self) -> pb.FromPlanner:
         return pb.FromPlanner(
             gateways=len(self),
             news_ms=round(self.pacing.news_s * 1000),
@@ -362,14 +364,14 @@
             scoped=self.is_scoped,
         )
 
-    def _all_news(self) -> pb.FromPlanner:
-        message = self._news()
+    def _full_update(self) -> pb.FromPlanner:
+        message = self._base_update()
         for name, engine in self._engines.items():
             message.holdings.append(self._holdings(name))
             message.loads.append(encode_load(name, engine))
         return message
 
-    def _add_all(self, news: pb.FromPlanner, holdings_due: bool) -> None:
+    def _add_changes(self, news: pb.FromPlanner, holdings_due: bool) -> None:
         """Add what has changed of all engines."""
         if holdings_due:
             news.holdings.extend(self._holdings(name) for name in self._changed)
@@ -377,39 +379,39 @@
             self._index.changed_keys.clear()
         for name in self._index.changed_loads:
             engine = self._engines.get(name)
-            if engine is not None and self._told_loads.get(name) != engine.load():
-                self._told_loads[name] = engine.load()
+            if engine is not None and self._sent_loads.get(name) != engine.load():
+                self._sent_loads[name] = engine.load()
                 news.loads.append(encode_load(name, engine))
         self._index.changed_loads.clear()
 
-    def _choose_scope(self) -> None:
+    def _update_scoping(self) -> None:
         """Begin or end to tell gateways of what they use alone."""
-        part = KEPT_PART if self.is_scoped else 1.0
+        part = UNSCOPE_FRACTION if self.is_scoped else 1.0
         engines, pairs = len(self._engines), len(self._engines) * len(self)
-        large = engines > part * ALL_TOLD_ENGINES or pairs > part * ALL_TOLD_PAIRS
+        large = engines > part * MAX_UNSCOPED_ENGINES or pairs > part * MAX_UNSCOPED_PAIRS
         if self.is_scoped == (large and self._may_scope):
             return
         self.is_scoped = not self.is_scoped
         log.info("scope of news", scoped=self.is_scoped, engines=engines, gateways=len(self))
-        self._told_loads.clear()
-        self._told_homes.clear()
+        self._sent_loads.clear()
+        self._sent_locations.clear()
         for follower in self._by_number.values():
             if self.is_scoped:
                 follower.pending.is_whole = True
             else:
-                follower.tell(self._all_news())
+                follower.queue_update(self._full_update())
 
     # What one is told.
 
-    def _expire(self, now: float) -> None:
+    def _expire_scopes(self, now: float) -> None:
         for number, follower in self._by_number.items():
             pending = follower.pending
             pending.keys.update(self._scopes.expire(number, now))
-            if len(pending.keys) > 2 * MOST_KEYS:
+            if len(pending.keys) > 2 * MAX_SCOPE_KEYS:
                 pending.is_whole = True
                 pending.keys.clear()
 
-    def _note_loads(self) -> None:
+    def _mark_changed_loads(self) -> None:
         """Note to whom it matters what runs on the engines where that has changed."""
         changed = self._index.changed_loads
         chooses = not self.pacing.ask_first
@@ -419,23 +421,23 @@
                 continue
             numbers = set(engine.gateways)
             if chooses:
-                numbers.update(self._choosers(engine))
+                numbers.update(self._direct_senders(engine))
             for number in numbers:
                 follower = self._by_number.get(number)
                 if follower is not None:
                     follower.pending.replicas.add(name)
         for follower in self._by_number.values() if chooses else ():
-            for homes in follower.pending.some.values():
+            for homes in follower.pending.location_subsets.values():
                 follower.pending.replicas.update(changed & homes.keys())
         changed.clear()
 
-    def _choosers(self, engine: Engine) -> t.Iterator[int]:
+    def _direct_senders(self, engine: Engine) -> t.Iterator[int]:
         """Yield the gateways that may send requests there without a question."""
         for key in engine.weight_slots:
-            if len(self._index.engines_holding(key)) <= MOST_HOMES:
+            if len(self._index.engines_holding(key)) <= MAX_LOCATIONS_PER_KEY:
                 yield from self._scopes.watchers(key)
 
-    def _note_homes(self) -> None:
+    def _mark_changed_locations(self) -> None:
         """Note to whom it matters where weights are, if that has changed."""
         changed, self._index.changed_keys = self._index.changed_keys, set()
         for name in self._changed:
@@ -446,12 +448,12 @@
         for key in changed:
             watchers = self._scopes.watchers(key)
             if not watchers:
-                self._told_homes.pop(key, None)
+                self._sent_locations.pop(key, None)
                 continue
-            homes = self._homes(key)
-            if self._told_homes.get(key) == homes:
+            homes = self._ready_locations(key)
+            if self._sent_locations.get(key) == homes:
                 continue
-            self._told_homes[key] = homes
+            self._sent_locations[key] = homes
             for number in watchers:
                 self._by_number[number].pending.keys.add(key)
 
@@ -463,13 +465,13 @@
             message.peers.extend(peers)
             message.echo.CopyFrom(follower.echo)
         if message.HasField("store") and not follower.has_store and self._store is not None:
-            self._add_listing(follower, message, self._store)
+            self._add_listing_page(follower, message, self._store)
         if self.is_scoped:
-            self._add_used(follower, message)
+            self._add_scoped_state(follower, message)
         pending.keys.clear()
         pending.replicas.clear()
 
-    def _add_listing(
+    def _add_listing_page(
         self, follower: Follower, message: pb.FromPlanner, store: StorePublisher
     ) -> None:
         """Add the next piece of what was told of the store before this gateway joined."""
@@ -480,28 +482,28 @@
         follower.listed_revision = reached
         follower.has_store = not reached
 
-    def _add_used(self, follower: Follower, message: pb.FromPlanner) -> None:
+    def _add_scoped_state(self, follower: Follower, message: pb.FromPlanner) -> None:
         """Add what has changed of what a gateway uses, or all of it."""
-        pending, used = follower.pending, self._scopes.used(follower.number)
+        pending, used = follower.pending, self._scopes.used_keys(follower.number)
         if pending.is_whole:
             pending.is_whole = False
             message.whole = True
             pending.keys = set(used)
-            pending.some.clear()
+            pending.location_subsets.clear()
         for key in pending.keys:
-            homes = self._homes(key) if key in used else {}
-            if len(homes) > MOST_HOMES:
-                homes = self._some(follower, homes)
-                if pending.some.get(key) == homes:
+            homes = self._ready_locations(key) if key in used else {}
+            if len(homes) > MAX_LOCATIONS_PER_KEY:
+                homes = self._location_subset(follower, homes)
+                if pending.location_subsets.get(key) == homes:
                     continue
-                pending.some[key] = homes
+                pending.location_subsets[key] = homes
             else:
-                pending.some.pop(key, None)
-                if self._told_homes.get(key) != homes:
+                pending.location_subsets.pop(key, None)
+                if self._sent_locations.get(key) != homes:
                     # Read between two ticks: should it be again as it was told before, the one
                     # that has read would not be told.
-                    self._told_homes.pop(key, None)
-            message.homes.append(_encode_homes(key, homes))
+                    self._sent_locations.pop(key, None)
+            message.homes.append(_encode_locations(key, homes))
         for name in pending.replicas:
             engine = self._engines.get(name)
             if engine is not None:
@@ -509,16 +511,16 @@
 
     def _peers(self, follower: Follower) -> list[str]:
         now = self._clock()
-        if now - follower.peers_told_at < PEERS_S:
+        if now - follower.peers_sent_at < PEERS_INTERVAL_S:
             return []
-        follower.peers_told_at = now
+        follower.peers_sent_at = now
         others = [other for other in self._by_number.values() if other is not follower]
         start = follower.number % len(others) if others else 0
         # Those that could plan look for a successor most often.
         others = sorted(others[start:] + others[:start], key=lambda other: other.strength < 1)
-        return [other.address for other in others if other.address][:PEERS_TOLD]
+        return [other.address for other in others if other.address][:MAX_PEERS_PER_MESSAGE]
 
-    def _homes(self, key: AdapterKey) -> dict[str, int]:
+    def _ready_locations(self, key: AdapterKey) -> dict[str, int]:
         """Return the versions of weights that can be used, by engine."""
         return {
             name: engine.weight_slots[key].version
@@ -526,10 +528,10 @@
             if engine.weight_slots[key].phase is Phase.READY
         }
 
-    def _some(self, follower: Follower, homes: t.Mapping[str, int]) -> dict[str, int]:
+    def _location_subset(self, follower: Follower, homes: t.Mapping[str, int]) -> dict[str, int]:
         """Return a few of very many engines, which stay the same for a gateway while they can."""
         names = (name for name in self._cells.ranked_engines(follower.process) if name in homes)
-        return {name: homes[name] for name in itertools.islice(names, MOST_HOMES)}
+        return {name: homes[name] for name in itertools.islice(names, MAX_LOCATIONS_PER_KEY)}
 
     def _holdings(self, name: str) -> pb.Holdings:
         holdings = pb.Holdings(replica=name)
@@ -542,7 +544,7 @@
         return holdings
 
 
-def _encode_homes(key: AdapterKey, homes: t.Mapping[str, int]) -> pb.Homes:
+def _encode_locations(key: AdapterKey, homes: t.Mapping[str, int]) -> pb.Homes:
     """Return where weights are; nowhere as well if a gateway is not told of them any more."""
     encoded = pb.Homes(model=key.model, adapter=key.adapter)
     for name, version in homes.items():
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -25,18 +25,18 @@
 from .store_updates import StoreSubscriber
 
 log = logbook.Logger("link")
-FIRST_USE_PART = 0.25
+FIRST_USE_SPACING_FRACTION = 0.25
 """But not within this part of the spacing after the last message: so the planner takes 1,600
 messages a second at most, however many instances there are."""
-ASKS_S = 0.002
+ASK_BATCH_S = 0.002
 """Questions that come within this time go out together."""
-IDLE_FLUSH_S = 0.5
+KEEPALIVE_INTERVAL_S = 0.5
 """Without news a message goes out this often, so that both ends know of each other."""
-SILENT_S = 1.0
-SILENT_NEWS = 2.5
+PLANNER_TIMEOUT_S = 1.0
+PLANNER_TIMEOUT_UPDATES = 2.5
 """A planner that sends nothing for so long, or for the time of so many of its news, is lost. Its
 lease runs out at about the same time, so that a successor can be looked for."""
-QUIET_S = 0.15
+UPDATE_OVERDUE_S = 0.15
 """A planner from which nothing has come for the time of its news and this may be lost."""
 REPLACED_S = 4.0
 """A planner that is lost is followed by another one within this: 2 s, and 3.3 s where the store was
@@ -59,31 +59,31 @@
 
     __slots__ = (
         "_address",
-        "_ahead_s",
-        "_asked",
+        "_clock_offset_s",
+        "_flush_requested",
         "_cancelled",
         "_changed",
         "_clock",
         "_executor",
         "_fleet",
         "_flush_s",
-        "_heard_at",
+        "_last_received_at",
         "_instance",
-        "_listener",
-        "_missed_at",
+        "_store_subscriber",
+        "_disconnected_at",
         "_parts",
         "_questions",
         "_quotas",
         "_results",
-        "_retold",
+        "_loads_to_resend",
         "_sent_at",
         "_shares",
         "_started",
         "_started_tokens",
-        "_stream",
+        "_stream_number",
         "_strength",
-        "_told_loads",
-        "_told_owned",
+        "_sent_loads",
+        "_sent_owned",
         "_wake",
         "active",
         "ask_first",
@@ -110,7 +110,7 @@
     ) -> None:
         self._shares = shares or LocalShares()
         self._strength = strength
-        self._listener = listener
+        self._store_subscriber = listener
         self.service = service
         self.active: Counter[tuple[str, AdapterKey]] = Counter()
         """Requests of this instance by replica and weights."""
@@ -127,8 +127,8 @@
         self.news_s = NEWS_S
         """How long the planner gathers its news, in seconds."""
         self._flush_s = FLUSH_S
-        self._heard_at = -math.inf
-        self._retold: set[str] = set()
+        self._last_received_at = -math.inf
+        self._loads_to_resend: set[str] = set()
         """Replicas for which the planner has booked requests: it is told what really is there."""
         self._address = address
         self._instance = instance
@@ -136,22 +136,22 @@
         self._clock = clock
         self._executor = executor
         self._results: list[pb.OrderResult] = []
-        self._told_owned: frozenset[str] | None = None
-        self._stream = 0
+        self._sent_owned: frozenset[str] | None = None
+        self._stream_number = 0
         """Number of the present stream: what belongs to an earlier one is not told on it."""
-        self._ahead_s = math.inf
+        self._clock_offset_s = math.inf
         """The planner's clock is at most so much ahead of the clock here."""
         self._questions: dict[int, _Question] = {}
         self._sent_at = -math.inf
-        self._missed_at = clock()
+        self._disconnected_at = clock()
         """Since when no planner is followed."""
         self._cancelled: list[int] = []
         self._changed: set[tuple[str, AdapterKey]] = set()
         self._started: Counter[tuple[str, AdapterKey]] = Counter()
         self._started_tokens: Counter[tuple[str, AdapterKey]] = Counter()
-        self._told_loads: dict[str, ReportedLoad] = {}
+        self._sent_loads: dict[str, ReportedLoad] = {}
         self._wake = asyncio.Event()
-        self._asked = asyncio.Event()
+        self._flush_requested = asyncio.Event()
         self._quotas = QuotaQuestions(clock, self.hurry)
         self._parts: tuple[GatewayPart, ...] = (self._quotas, *parts)
         """What else is told on the stream."""
@@ -169,17 +169,17 @@
     @property
     def news_age_s(self) -> float:
         """Time since the planner told something, in seconds."""
-        return self._clock() - self._heard_at
+        return self._clock() - self._last_received_at
 
     @property
     def missed_s(self) -> float:
         """Time since the last planner was lost, in seconds; 0 while one is followed."""
-        return 0.0 if self.is_followed else self._clock() - self._missed_at
+        return 0.0 if self.is_followed else self._clock() - self._disconnected_at
 
     @property
     def is_quiet(self) -> bool:
         """Whether the planner may be lost: none is followed, or nothing has come when it should."""
-        return not self.is_followed or self.news_age_s > self.news_s + QUIET_S
+        return not self.is_followed or self.news_age_s > self.news_s + UPDATE_OVERDUE_S
 
     async def ask(
         self,
@@ -211,14 +211,14 @@
             If it is given up.
         """
         question = self._questions[ticket] = _Question(ask)
-        self._asked.set()
+        self._flush_requested.set()
         self._wake.set()
         try:
             async with asyncio.timeout_at(until):
                 while not question.fut.done():
                     if has_choice and self.is_quiet or should_give_up():
                         raise TimeoutError
-                    if not self.is_followed and self._clock() >= self._missed_at + REPLACED_S:
+                    if not self.is_followed and self._clock() >= self._disconnected_at + REPLACED_S:
                         raise TimeoutError
                     await asyncio.wait([question.fut], timeout=LOOK_S)
                 return question.fut.result()
@@ -235,9 +235,13 @@
             self._started[use] += 1
             self._started_tokens[use] += tokens
         rested_s = self._clock() - self._sent_at
-        if change > 0 and self.active[use] == 1 and rested_s >= FIRST_USE_PART * self._flush_s:
+        if (
+            change > 0
+            and self.active[use] == 1
+            and rested_s >= FIRST_USE_SPACING_FRACTION * self._flush_s
+        ):
             # Told at once: until the planner knows, it may order the weights to be unloaded.
-            self._asked.set()
+            self._flush_requested.set()
         self._changed.add(use)
         self._wake.set()
 
@@ -252,7 +256,7 @@
 
     def hurry(self) -> None:
         """Tell the planner at once what has changed."""
-        self._asked.set()
+        self._flush_requested.set()
         self._wake.set()
 
     async def follow(self, planner: PlannerAddress) -> None:
@@ -262,22 +266,22 @@
         for question in self._questions.values():
             question.sent = False
         self._changed.update(self.active)
-        self._told_loads.clear()
-        self._retold.clear()
-        self._told_owned = None
+        self._sent_loads.clear()
+        self._loads_to_resend.clear()
+        self._sent_owned = None
         self._results.clear()
-        self._stream += 1
+        self._stream_number += 1
         for part in self._parts:
             part.begin_stream()
-        self._ahead_s = math.inf
+        self._clock_offset_s = math.inf
         try:
-            async with asyncio.timeout(SILENT_S) as limit:
+            async with asyncio.timeout(PLANNER_TIMEOUT_S) as limit:
                 async with PlacementStub(channel).Follow.open() as stream:
                     await stream.send_message(self._message(True))
                     sender = asyncio.create_task(self._send(stream))
                     try:
                         while (message := await stream.recv_message()) is not None:
-                            silent_s = max(SILENT_S, SILENT_NEWS * self.news_s)
+                            silent_s = max(PLANNER_TIMEOUT_S, PLANNER_TIMEOUT_UPDATES * self.news_s)
                             limit.reschedule(self._clock() + silent_s)
                             self._note_followed(planner)
                             self._take(message)
@@ -287,7 +291,7 @@
             log.info("planner lost", service=self.service, owner=planner.owner, why=repr(exc))
         finally:
             if self.is_followed:
-                self._missed_at = self._clock()
+                self._disconnected_at = self._clock()
             self.is_followed = self.has_resigned = False
             channel.close()
 
@@ -300,17 +304,17 @@
     async def _send(self, stream: t.Any) -> None:
         while True:
             try:
-                async with asyncio.timeout(IDLE_FLUSH_S):
+                async with asyncio.timeout(KEEPALIVE_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
-            self._asked.clear()
+            self._flush_requested.clear()
             await stream.send_message(self._message(False))
-            await asyncio.sleep(ASKS_S)
+            await asyncio.sleep(ASK_BATCH_S)
             try:
                 async with asyncio.timeout(self._flush_s):
-                    await self._asked.wait()
+                    await self._flush_requested.wait()
             except TimeoutError:
                 # No question came, so what is in use is told by now.
                 pass
@@ -325,8 +329,8 @@
             message.address = self._address
             message.hall = self._fleet.hall
             message.strength = self._strength
-            if self._listener is not None:
-                message.store_revision = self._listener.revision
+            if self._store_subscriber is not None:
+                message.store_revision = self._store_subscriber.revision
             message.shares.update(self._shares.holding(self._sent_at))
         for question in self._questions.values():
             if not question.sent:
@@ -356,12 +360,12 @@
         return message
 
     def _add_loads(self, message: pb.FromGateway) -> None:
-        for name in self._retold:
+        for name in self._loads_to_resend:
             self._fleet.load(name)
         for name, load in self._fleet.loads():
             own = load.own()
-            if name in self._retold or self._told_loads.get(name, ReportedLoad()) != own:
-                self._told_loads[name] = own
+            if name in self._loads_to_resend or self._sent_loads.get(name, ReportedLoad()) != own:
+                self._sent_loads[name] = own
                 message.loads.add(
                     replica=name,
                     starting=own.starting,
@@ -369,10 +373,10 @@
                     queued=own.queued,
                     memory_tokens=own.memory,
                 )
-        for name in [name for name in self._told_loads if not self._fleet.has_load(name)]:
-            if self._told_loads.pop(name) != ReportedLoad():
+        for name in [name for name in self._sent_loads if not self._fleet.has_load(name)]:
+            if self._sent_loads.pop(name) != ReportedLoad():
                 message.loads.add(replica=name)
-        self._retold.clear()
+        self._loads_to_resend.clear()
 
     def _add_owned(self, message: pb.FromGateway) -> None:
         message.results.extend(self._results)
@@ -382,15 +386,15 @@
         message.knows_store = self._executor.knows_store
         message.store_away = self._executor.is_cut_off
         owned = self._executor.owned(self.service)
-        if owned != self._told_owned:
-            self._told_owned = owned
+        if owned != self._sent_owned:
+            self._sent_owned = owned
             message.owned.CopyFrom(pb.OwnedEngines(replicas=sorted(owned)))
 
     def _carry_out(self, order: pb.EngineOrder) -> None:
-        stream = self._stream
+        stream = self._stream_number
 
         def tell(result: pb.OrderResult) -> None:
-            if stream == self._stream:
+            if stream == self._stream_number:
                 self._results.append(result)
                 self.hurry()
 
@@ -398,19 +402,19 @@
             self._executor.carry_out(order, tell)
 
     def _take(self, message: pb.FromPlanner) -> None:
-        self._heard_at = self._clock()
+        self._last_received_at = self._clock()
         if message.gateways:
-            self._take_pacing(message)
+            self._apply_pacing(message)
         if message.HasField("echo") and message.echo.sent_ms:
             ahead_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
-            self._ahead_s = min(self._ahead_s, ahead_s)
-        if message.HasField("store") and self._listener is not None:
-            self._listener.apply_update(message.store, self._ahead_s)
+            self._clock_offset_s = min(self._clock_offset_s, ahead_s)
+        if message.HasField("store") and self._store_subscriber is not None:
+            self._store_subscriber.apply_update(message.store, self._clock_offset_s)
         if message.peers:
             self.peers = list(message.peers)
         # Answers were made before the news that came with them were gathered.
         for answer in message.answers:
-            self._take_placement(answer)
+            self._apply_placement(answer)
         for holdings in message.holdings:
             self._fleet.set_holdings(
                 holdings.replica,
@@ -425,7 +429,7 @@
                 {home.replica: home.version for home in homes.homes},
             )
         for told in message.loads:
-            self._take_load(told, ReportedLoad())
+            self._apply_load(told, ReportedLoad())
         if message.cut_off and self._executor is not None:
             self._executor.note_outage(message.cut_off)
         for order in message.orders:
@@ -433,19 +437,19 @@
         for part in self._parts:
             part.take(message)
         for answer in message.answers:
-            self._take_booking(answer)
+            self._apply_booking(answer)
             question = self._questions.get(answer.ticket)
             if question is not None and not question.fut.done():
                 question.fut.set_result(answer)
 
-    def _take_placement(self, answer: pb.Answer) -> None:
+    def _apply_placement(self, answer: pb.Answer) -> None:
         """Note that the weights of a question are on the replica that its answer names."""
         question = self._questions.get(answer.ticket)
         if question is not None and answer.replica:
             key = AdapterKey(question.ask.model, question.ask.adapter)
             self._fleet.add_holding(answer.replica, key, answer.version)
 
-    def _take_pacing(self, message: pb.FromPlanner) -> None:
+    def _apply_pacing(self, message: pb.FromPlanner) -> None:
         self.gateways = message.gateways
         # A planner of an earlier version, as in a rolling restart, tells neither.
         self.news_s = self._fleet.state_age_s = message.news_ms / 1000 or NEWS_S
@@ -454,7 +458,7 @@
         self._fleet.is_scoped = message.scoped
         self.has_resigned = message.resigned
 
-    def _take_load(self, told: pb.Load, booked: ReportedLoad) -> None:
+    def _apply_load(self, told: pb.Load, booked: ReportedLoad) -> None:
         """Take over what runs at a replica.
 
         Parameters
@@ -465,7 +469,7 @@
             What the planner counts beyond that for a request of this instance.
         """
         load = self._fleet.load(told.replica)
-        own = self._told_loads.get(told.replica, ReportedLoad())
+        own = self._sent_loads.get(told.replica, ReportedLoad())
         load.others = ReportedLoad(
             max(0, told.starting - own.starting - booked.starting),
             max(0, told.running - own.running),
@@ -477,15 +481,15 @@
             self._fleet.health(told.replica).last_received_at = self._clock()
         load.reported_running = told.running
 
-    def _take_booking(self, answer: pb.Answer) -> None:
+    def _apply_booking(self, answer: pb.Answer) -> None:
         """Take over the state of the replica that an answer names, less what is booked there."""
         if not answer.replica:
             return
-        self._retold.add(answer.replica)
+        self._loads_to_resend.add(answer.replica)
         self._wake.set()
         question = self._questions.get(answer.ticket)
         if question is None or not answer.HasField("load"):
             return
         queued = (0,) * question.ask.rank + (question.ask.prompt_tokens - answer.kept_tokens,)
         memory = question.ask.prompt_tokens + question.ask.answer_tokens
-        self._take_load(answer.load, ReportedLoad(1, 0, queued, memory))
+        self._apply_load(answer.load, ReportedLoad(1, 0, queued, memory))
--- a/packages/gateway/src/gradelug_gateway/pacing.py
+++ b/packages/gateway/src/gradelug_gateway/pacing.py
@@ -4,9 +4,9 @@
 
 NEWS_S = 0.05
 """News are gathered this long and told to everybody in one message."""
-NEWS_S_PER_GATEWAY = 0.003
+UPDATE_INTERVAL_S_PER_GATEWAY = 0.003
 """With many gateways news are rarer: telling them costs 330 messages a second however many."""
-HOLDINGS_S = 1.0
+MIN_HOLDINGS_INTERVAL_S = 1.0
 """What is held is told no more often than this to gateways that ask first: it is most of the bytes
 of news, and they use it only while no planner answers."""
 FRESH_S = 0.1
@@ -14,15 +14,15 @@
 0.25 s, and callers want a first event within a second."""
 FLUSH_S = 0.04
 """What ends and how much runs is told by a gateway in messages at least so far apart."""
-FLUSH_S_PER_GATEWAY = 0.0025
+MAX_FLUSH_S_PER_GATEWAY = 0.0025
 """The most that they are spaced, for each gateway: 400 messages a second however many."""
-MESSAGES_PER_S = 800.0
+TARGET_MESSAGES_PER_S = 800.0
 """Messages that a planner takes a second: 0.17 ms each, grpclib's part included, is a seventh of a
 core."""
 STARTS_PER_S = 600.0
 """Requests a second up to which each is asked for: 0.3 ms each is a fifth of a core. With more,
 gateways rely on what they were told of weights that are held."""
-AVERAGE_S = 1.0
+RATE_WINDOW_S = 1.0
 """Time over which rates are taken."""
 
 
@@ -52,7 +52,7 @@
     @property
     def news_s(self) -> float:
         """How long news are gathered, in seconds."""
-        return max(NEWS_S, NEWS_S_PER_GATEWAY * self._gateways)
+        return max(NEWS_S, UPDATE_INTERVAL_S_PER_GATEWAY * self._gateways)
 
     @property
     def ask_first(self) -> bool:
@@ -60,15 +60,15 @@
         return self.news_s > FRESH_S and self.starts <= STARTS_PER_S
 
     @property
-    def holdings_s(self) -> float:
+    def holdings_interval_s(self) -> float:
         """How long changes of what is held are gathered, in seconds."""
-        return max(HOLDINGS_S, self.news_s) if self.ask_first else self.news_s
+        return max(MIN_HOLDINGS_INTERVAL_S, self.news_s) if self.ask_first else self.news_s
 
     def note_gateways(self, gateways: int) -> None:
         """Note how many gateways there are."""
         if gateways > self._gateways:
             # Those that come tell all at once; there is no rate of them yet.
-            self.flush_s = max(self.flush_s, FLUSH_S_PER_GATEWAY * gateways)
+            self.flush_s = max(self.flush_s, MAX_FLUSH_S_PER_GATEWAY * gateways)
         self._gateways = gateways
 
     def note_message(self, starts: int) -> None:
@@ -81,10 +81,10 @@
         passed_s = now - self._at
         if passed_s <= 0:
             return
-        weight = min(1.0, passed_s / AVERAGE_S)
+        weight = min(1.0, passed_s / RATE_WINDOW_S)
         self.messages += weight * (self._messages / passed_s - self.messages)
         self.starts += weight * (self._starts / passed_s - self.starts)
         self._at, self._messages, self._starts = now, 0, 0
-        most_s = max(FLUSH_S, FLUSH_S_PER_GATEWAY * self._gateways)
-        wanted_s = self.flush_s * self.messages / MESSAGES_PER_S
+        most_s = max(FLUSH_S, MAX_FLUSH_S_PER_GATEWAY * self._gateways)
+        wanted_s = self.flush_s * self.messages / TARGET_MESSAGES_PER_S
         self.flush_s = min(most_s, max(FLUSH_S, wanted_s))
--- a/packages/gateway/src/gradelug_gateway/pending.py
+++ b/packages/gateway/src/gradelug_gateway/pending.py
@@ -12,7 +12,7 @@
     from .followers import Follower
 
 
-class Named(t.Protocol):
+class ReplicaRecord(t.Protocol):
     """What news tell of a replica."""
 
     replica: str
@@ -30,7 +30,7 @@
         Adds to a message what this gateway alone is told.
     """
 
-    __slots__ = ("_complete", "_news", "_store", "is_whole", "keys", "replicas", "some")
+    __slots__ = ("_complete", "_news", "_store", "is_whole", "keys", "replicas", "location_subsets")
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         """Weights of which it is to be told where they are, or that it is not told of any more."""
         self.is_whole = True
         """Whether it is to be told of all weights that it uses, and to forget of others."""
-        self.some: dict[AdapterKey, dict[str, int]] = {}
+        self.location_subsets: dict[AdapterKey, dict[str, int]] = {}
         """What it was told of weights that very many replicas have."""
         self.replicas: set[str] = set()
         """Replicas of which it is to be told what runs there."""
@@ -104,7 +104,7 @@
     return merged
 
 
-def _keep_newest(old: t.Iterable[Named], merged: t.Any) -> None:
+def _keep_newest(old: t.Iterable[ReplicaRecord], merged: t.Any) -> None:
     """Add what was told of replicas of which nothing newer is told."""
     told = {fact.replica for fact in merged}
     merged.extend(fact for fact in old if fact.replica not in told)
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -17,10 +17,10 @@
 from .search import PlannerAddress
 
 log = logbook.Logger("placement")
-SPACING_S = 0.005
+SEND_SPACING_S = 0.005
 """What is to be told within this time goes out together."""
 LOOK_S = 0.05
-GATEWAY_SILENT_S = 2.5
+GATEWAY_TIMEOUT_S = 2.5
 """A gateway says something every 0.5 s and the gathering of its news (0.9 s with 370 gateways); of
 one that says nothing for so long the stream has fallen silent. What it ran is forgotten."""
 
@@ -38,13 +38,13 @@
         How well this instance can plan: a weak one lets a strong one have the duty.
     """
 
-    __slots__ = ("_make", "_strength", "election", "planner")
+    __slots__ = ("_make_planner", "_strength", "election", "planner")
 
     def __init__(
         self, election: Election, make: t.Callable[[], Planner], strength: float = 1.0
     ) -> None:
         self.election = election
-        self._make = make
+        self._make_planner = make
         self._strength = strength
         self.planner: Planner | None = None
 
@@ -65,14 +65,14 @@
         try:
             while True:
                 if self.election.fence:
-                    await self._hold()
+                    await self._run_planner()
                 await asyncio.sleep(LOOK_S)
         finally:
             standing.cancel()
 
-    async def _hold(self) -> None:
+    async def _run_planner(self) -> None:
         fence = self.election.fence
-        planner = self.planner = self._make()
+        planner = self.planner = self._make_planner()
         planning = asyncio.create_task(planner.run())
         acted = has_stepped_aside = False
         try:
@@ -144,17 +144,17 @@
         if planner is None:
             raise GRPCError(Status.UNAVAILABLE, "this instance does not plan for the service")
         gateway = planner.join(first.instance, first.address)
-        telling = asyncio.create_task(_tell(stream, gateway))
+        telling = asyncio.create_task(_send_messages(stream, gateway))
         try:
             planner.take(gateway, first)
-            while (message := await _next(stream)) is not None:
+            while (message := await _receive_message(stream)) is not None:
                 if gateway.is_gone or (duty is not None and duty.planner is not planner):
                     return
                 planner.take(gateway, message)
         except StreamTerminatedError as exc:
             log.info("gateway left", instance=gateway.instance, why=str(exc))
         except TimeoutError:
-            log.info("gateway silent", instance=gateway.instance, after_s=GATEWAY_SILENT_S)
+            log.info("gateway silent", instance=gateway.instance, after_s=GATEWAY_TIMEOUT_S)
         except Exception as exc:
             log.error("a gateway's stream failed", instance=gateway.instance, why=repr(exc))
             raise
@@ -163,16 +163,16 @@
             planner.leave(gateway)
 
 
-async def _next(stream: t.Any) -> pb.FromGateway | None:
+async def _receive_message(stream: t.Any) -> pb.FromGateway | None:
     """Return a gateway's next message; raises `TimeoutError` if it falls silent."""
-    async with asyncio.timeout(GATEWAY_SILENT_S):
+    async with asyncio.timeout(GATEWAY_TIMEOUT_S):
         return t.cast("pb.FromGateway | None", await stream.recv_message())
 
 
-async def _tell(stream: t.Any, gateway: Follower) -> None:
+async def _send_messages(stream: t.Any, gateway: Follower) -> None:
     while True:
         await gateway.wake.wait()
         gateway.wake.clear()
         for message in gateway.take_messages():
             await stream.send_message(message)
-        await asyncio.sleep(SPACING_S)
+        await asyncio.sleep(SEND_SPACING_S)
--- a/packages/gateway/src/gradelug_gateway/relay.py
+++ b/packages/gateway/src/gradelug_gateway/relay.py
@@ -71,7 +71,7 @@
     def take(self, follower: Follower, message: pb.FromGateway) -> None:
         """Take what a gateway says of its engines and of orders that it gave."""
         if message.HasField("owned"):
-            self._disown(follower)
+            self._remove_ownership(follower)
             for name in message.owned.replicas:
                 self._owners[name] = follower
         for result in message.results:
@@ -80,12 +80,12 @@
 
     def forget(self, follower: Follower) -> None:
         """Take a gateway for gone: whether it gave its last orders is not known."""
-        self._disown(follower)
+        self._remove_ownership(follower)
         for ticket, (owner, _) in list(self._pending.items()):
             if owner is follower:
                 self._resolve(ticket, OrderOutcome.LOST)
 
-    def _disown(self, follower: Follower) -> None:
+    def _remove_ownership(self, follower: Follower) -> None:
         self._owners = {
             name: owner for name, owner in self._owners.items() if owner is not follower
         }
--- a/packages/gateway/src/gradelug_gateway/scope.py
+++ b/packages/gateway/src/gradelug_gateway/scope.py
@@ -10,15 +10,15 @@
 
 from .model import AdapterKey
 
-SCOPE_S = 10.0
+SCOPE_RETENTION_S = 10.0
 """Weights are used for so long after the last request for them: what is asked for every few seconds
 stays known, so that a request for it finds its engine also while no planner answers."""
-MOST_KEYS = 1024
+MAX_SCOPE_KEYS = 1024
 """Weights that one gateway is told of at most: 27 requests a second for other weights each in
-`SCOPE_S` are 270."""
+`SCOPE_RETENTION_S` are 270."""
 
 
-class _Gateway:
+class _GatewayScope:
     __slots__ = ("runs", "used_at")
 
     def __init__(self) -> None:
@@ -34,12 +34,12 @@
     __slots__ = ("_gateways", "_watchers")
 
     def __init__(self) -> None:
-        self._gateways: dict[int, _Gateway] = {}
+        self._gateways: dict[int, _GatewayScope] = {}
         self._watchers: dict[AdapterKey, dict[int, None]] = {}
 
     def note(self, number: int, key: AdapterKey, now: float) -> bool:
         """Note that a gateway uses weights; tell whether it did not before."""
-        gateway = self._gateways.setdefault(number, _Gateway())
+        gateway = self._gateways.setdefault(number, _GatewayScope())
         is_new = gateway.used_at.pop(key, None) is None
         gateway.used_at[key] = now
         if is_new:
@@ -58,7 +58,7 @@
                 del runs[key]
         return is_new
 
-    def used(self, number: int) -> t.KeysView[AdapterKey]:
+    def used_keys(self, number: int) -> t.KeysView[AdapterKey]:
         """Return what a gateway uses."""
         gateway = self._gateways.get(number)
         return gateway.used_at.keys() if gateway is not None else {}.keys()
@@ -70,7 +70,7 @@
     def expire(self, number: int, now: float) -> list[AdapterKey]:
         """Drop and return what a gateway does not use any more.
 
-        Its cost goes with what is dropped and with what runs for longer than `SCOPE_S`.
+        Its cost goes with what is dropped and with what runs for longer than `SCOPE_RETENTION_S`.
         """
         gateway = self._gateways.get(number)
         if gateway is None:
@@ -79,7 +79,7 @@
         used_at = gateway.used_at
         for _ in range(len(used_at)):
             key = next(iter(used_at))
-            if now - used_at[key] < SCOPE_S and len(used_at) <= MOST_KEYS:
+            if now - used_at[key] < SCOPE_RETENTION_S and len(used_at) <= MAX_SCOPE_KEYS:
                 break
             del used_at[key]
             if key in gateway.runs:
--- a/packages/gateway/src/gradelug_gateway/search.py
+++ b/packages/gateway/src/gradelug_gateway/search.py
@@ -16,13 +16,13 @@
 log = logbook.Logger("search")
 LOOK_S = 0.1
 """How often it is looked whether there is a newer planner than the one that is followed."""
-GATEWAYS_PER_LOOK = 20
+GATEWAYS_PER_POLL_INTERVAL = 20
 """While a planner is missed, so many gateways look at the store as often as one would: each 0.1 s,
 195 of them are 1,950 calls a second."""
-LOOK_GROWTH = 1.25
-UNKNOWN_MOST_S = 0.5
+POLL_BACKOFF_FACTOR = 1.25
+MAX_POLL_INTERVAL_UNKNOWN_FLEET_S = 0.5
 """While it is not known how many gateways there are, looks are at most this far apart."""
-ASK_PEER_S = 0.3
+PEER_TIMEOUT_S = 0.3
 """A peer that knows answers in a round trip."""
 
 
@@ -54,7 +54,7 @@
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_due_at", "_pause_s")
+    __slots__ = ("_clock", "_due_at", "_interval_s")
 
     def __init__(self, clock: t.Callable[[], float]) -> None:
         self._clock = clock
@@ -63,7 +63,7 @@
     def found(self) -> None:
         """Begin anew with the next search."""
         self._due_at = -math.inf
-        self._pause_s = LOOK_S
+        self._interval_s = LOOK_S
 
     def is_due(self, gateways: int) -> bool:
         """Tell whether to look now; the next look is due after a pause.
@@ -76,10 +76,14 @@
         now = self._clock()
         if now < self._due_at:
             return False
-        most_s = LOOK_S * gateways / GATEWAYS_PER_LOOK if gateways else UNKNOWN_MOST_S
+        most_s = (
+            LOOK_S * gateways / GATEWAYS_PER_POLL_INTERVAL
+            if gateways
+            else MAX_POLL_INTERVAL_UNKNOWN_FLEET_S
+        )
         # The loops that look are a little early or late.
-        self._due_at = now + 0.9 * self._pause_s
-        self._pause_s = max(LOOK_S, min(most_s, self._pause_s * LOOK_GROWTH))
+        self._due_at = now + 0.9 * self._interval_s
+        self._interval_s = max(LOOK_S, min(most_s, self._interval_s * POLL_BACKOFF_FACTOR))
         return True
 
 
@@ -88,7 +92,7 @@
     host, _, port = address.rpartition(":")
     channel = Channel(host, int(port))
     try:
-        async with asyncio.timeout(ASK_PEER_S):
+        async with asyncio.timeout(PEER_TIMEOUT_S):
             reply = await PlacementStub(channel).Locate(pb.Where(service=service))
     except (GRPCError, ProtocolError, StreamTerminatedError, OSError, TimeoutError) as exc:
         log.info("a peer does not answer", address=address, why=repr(exc))
--- a/packages/gateway/src/gradelug_gateway/share_tally.py
+++ b/packages/gateway/src/gradelug_gateway/share_tally.py
@@ -20,7 +20,7 @@
 )
 
 
-class Amount:
+class PartyUsage:
     """What a party used since it was told last.
 
     Parameters
@@ -65,7 +65,7 @@
         Tells whether the configuration in force names any.
     """
 
-    __slots__ = ("_clock", "_has_organisations", "_meters", "_untold")
+    __slots__ = ("_clock", "_has_organisations", "_meters", "_unreported")
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         self._clock = clock
         self._meters = meters
         self._has_organisations = has_organisations
-        self._untold: dict[str, dict[Party, Amount]] = {}
+        self._unreported: dict[str, dict[Party, PartyUsage]] = {}
 
     def party(self, job: Job) -> Party:
         """Return whose a request is."""
@@ -95,19 +95,19 @@
         if job.service.engine is not None and outcome in NOT_RUN:
             self._note(job, -1)
 
-    def take(self, service: str) -> dict[Party, Amount]:
+    def take(self, service: str) -> dict[Party, PartyUsage]:
         """Return what was used since the last call, and begin anew."""
-        return self._untold.pop(service, {})
+        return self._unreported.pop(service, {})
 
     def _note(self, job: Job, sign: int) -> int:
         tokens = cost(job.work.prompt_tokens, job.work.answer_tokens)
-        untold = self._untold.setdefault(job.service.name, {})
+        untold = self._unreported.setdefault(job.service.name, {})
         party = self.party(job)
         amount = untold.get(party)
         if amount is None:
             if len(untold) >= MOST_UNTOLD:
                 return tokens
-            amount = untold[party] = Amount(self._clock())
+            amount = untold[party] = PartyUsage(self._clock())
         amount.tokens += sign * tokens
         amount.requests += sign
         return tokens
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -10,20 +10,20 @@
 
 from .model import Request, Route
 
-RANK_FACTOR = 0.72
+VALUE_FACTOR_PER_RANK = 0.72
 """Each rank is worth this part of the one before; sheets of both users fall about so."""
 OUTPUT_WEIGHT = 10
 """A token generated costs about as much as ten that are read."""
-PLACE_S = 0.35
-PLACE_S_PER_TOKEN = 0.012
+SLOT_HOLD_S = 0.35
+SLOT_HOLD_S_PER_TOKEN = 0.012
 """A request holds the place of its adapter this long, and so much longer for each token that it
 may generate: a batch makes a token in 10 to 20 ms."""
-PLACE_WEIGHT = 0.3
+SLOT_HOLD_EXPONENT = 0.3
 """How much that counts; at 0.5 the most urgent kind was served less often than the others."""
-SIZE_PART = 0.7
+SIZE_WEIGHT = 0.7
 """Part of a request's value that grows with its size."""
 MAX_SIZE_FACTOR = 4.0
-MEAN_WEIGHT = 0.02
+SIZE_SMOOTHING = 0.02
 """Share of the newest size in a route's mean."""
 
 
@@ -53,11 +53,13 @@
         """Return what an answer in time is worth, 1 for an ordinary request of rank 0."""
         size = req.prompt_tokens + OUTPUT_WEIGHT * req.max_answer_tokens
         mean = self._mean_size.get(route.name, size)
-        self._mean_size[route.name] = mean + MEAN_WEIGHT * (size - mean)
-        part = 1 - SIZE_PART + SIZE_PART * (size / mean if mean else 1.0)
+        self._mean_size[route.name] = mean + SIZE_SMOOTHING * (size - mean)
+        part = 1 - SIZE_WEIGHT + SIZE_WEIGHT * (size / mean if mean else 1.0)
         # Places are what is scarce, and a long request holds one for long.
-        place_s = PLACE_S + PLACE_S_PER_TOKEN * req.max_answer_tokens
-        return RANK_FACTOR**rank * min(MAX_SIZE_FACTOR, part) / place_s**PLACE_WEIGHT
+        place_s = SLOT_HOLD_S + SLOT_HOLD_S_PER_TOKEN * req.max_answer_tokens
+        return (
+            VALUE_FACTOR_PER_RANK**rank * min(MAX_SIZE_FACTOR, part) / place_s**SLOT_HOLD_EXPONENT
+        )
 
     def longest_wait(self, route: str, wait_s: float) -> float:
         """Return the longest time that callers of a route gave a request, this one included."""
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -6,7 +6,7 @@
 import pytest
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.link import QUIET_S, REPLACED_S, PlannerLink
+from gradelug_gateway.link import REPLACED_S, UPDATE_OVERDUE_S, PlannerLink
 from gradelug_gateway.model import AdapterKey, FleetState, ReportedLoad
 from gradelug_gateway.pacing import FLUSH_S, NEWS_S
 from gradelug_gateway.search import PlannerAddress, Search
@@ -114,7 +114,7 @@
             link.is_followed = True
             await asyncio.sleep(1.1)
             assert not link.is_quiet
-            await asyncio.sleep(QUIET_S + 0.1)
+            await asyncio.sleep(UPDATE_OVERDUE_S + 0.1)
             assert link.is_quiet
 
         run(scenario)
@@ -135,7 +135,7 @@
             began = clock()
             with pytest.raises(TimeoutError):
                 await link.ask(1, pb.Ask(ticket=1), began + 4.0, has_choice=True)
-            assert clock() - began <= 0.27 + QUIET_S + 0.11
+            assert clock() - began <= 0.27 + UPDATE_OVERDUE_S + 0.11
 
         run(scenario)
 
@@ -148,7 +148,7 @@
                 def apply_update(self, news, ahead_s):
                     taken.append((news.age_ms, ahead_s))
 
-            link._listener = Listener()
+            link._store_subscriber = Listener()
             link._take(pb.FromPlanner(gateways=20, news_ms=60))
             link._take(pb.FromPlanner(gateways=20, news_ms=60, store=pb.StoreNews(age_ms=7)))
             assert taken == [(7, math.inf)]
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -2,9 +2,9 @@
 
 from gradelug_gateway.pacing import (
     FLUSH_S,
-    FLUSH_S_PER_GATEWAY,
-    MESSAGES_PER_S,
+    MAX_FLUSH_S_PER_GATEWAY,
     STARTS_PER_S,
+    TARGET_MESSAGES_PER_S,
     Pacing,
 )
 
@@ -36,8 +36,8 @@
 
     def test_gateways_gather_what_the_planner_cannot_take(self):
         pacing = play(Pacing(0.0), 370, 80.0, 10_000.0)
-        assert 0.7 * MESSAGES_PER_S < pacing.messages < 1.3 * MESSAGES_PER_S
-        assert FLUSH_S < pacing.flush_s <= 370 * FLUSH_S_PER_GATEWAY
+        assert 0.7 * TARGET_MESSAGES_PER_S < pacing.messages < 1.3 * TARGET_MESSAGES_PER_S
+        assert FLUSH_S < pacing.flush_s <= 370 * MAX_FLUSH_S_PER_GATEWAY
 
     def test_not_every_request_of_a_great_load_is_asked_for(self):
         assert not play(Pacing(0.0), 370, 80.0, 1.5 * STARTS_PER_S).ask_first
@@ -45,4 +45,4 @@
     def test_gateways_that_come_at_once_begin_with_care(self):
         pacing = Pacing(0.0)
         pacing.note_gateways(195)
-        assert pacing.flush_s == 195 * FLUSH_S_PER_GATEWAY
+        assert pacing.flush_s == 195 * MAX_FLUSH_S_PER_GATEWAY
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -16,7 +16,7 @@
     Replica,
     Term,
 )
-from gradelug_gateway.placement import GATEWAY_SILENT_S, Duty, PlacementService
+from gradelug_gateway.placement import GATEWAY_TIMEOUT_S, Duty, PlacementService
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.relay import OrderRelay
 from gradelug_policy.residency import LoadRateLimiter
@@ -148,7 +148,7 @@
             pair = Pair(e0=41)
             pair.transport.wait_s = 0.1
             pair.link._carry_out(pb.EngineOrder(ticket=1, replica="e0", model="m", adapter="a1"))
-            pair.link._stream += 1
+            pair.link._stream_number += 1
             await asyncio.sleep(0.2)
             assert pair.transport.given
             assert not pair.link._message(False).results
@@ -165,7 +165,7 @@
             stream = SilentStream([pb.FromGateway(instance="me", service="llm", address="a:1")])
             planner = FollowedPlanner()
             service = PlacementService({"llm": DutyOf(planner)}, lambda service: None)
-            await asyncio.wait_for(service.Follow(stream), GATEWAY_SILENT_S + 0.1)
+            await asyncio.wait_for(service.Follow(stream), GATEWAY_TIMEOUT_S + 0.1)
             assert planner.left == [planner.joined[0]]
 
         run(scenario)
@@ -173,11 +173,11 @@
     def test_a_gateway_that_says_something_is_kept(self):
         async def scenario():
             first = pb.FromGateway(instance="me", service="llm", address="a:1")
-            stream = SilentStream([first, *[pb.FromGateway()] * 5], GATEWAY_SILENT_S * 0.8)
+            stream = SilentStream([first, *[pb.FromGateway()] * 5], GATEWAY_TIMEOUT_S * 0.8)
             planner = FollowedPlanner()
             service = PlacementService({"llm": DutyOf(planner)}, lambda service: None)
             following = asyncio.create_task(service.Follow(stream))
-            await asyncio.sleep(GATEWAY_SILENT_S * 0.8 * 5)
+            await asyncio.sleep(GATEWAY_TIMEOUT_S * 0.8 * 5)
             assert not planner.left
             following.cancel()
 
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -8,10 +8,10 @@
 from gradelug_gateway.engines import Engine, Phase, WeightSlot
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.followers import (
-    ALL_TOLD_ENGINES,
-    MOST_ANSWERS,
-    MOST_HOMES,
-    MOST_ORDERS,
+    MAX_LOCATIONS_PER_KEY,
+    MAX_QUEUED_ANSWERS,
+    MAX_QUEUED_ORDERS,
+    MAX_UNSCOPED_ENGINES,
     Followers,
 )
 from gradelug_gateway.link import PlannerLink
@@ -19,7 +19,7 @@
 from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
 from gradelug_gateway.pending import merge_news, merge_store
 from gradelug_gateway.planner import MAX_CONCURRENT_SYNCS, MAX_PENDING_SYNCS
-from gradelug_gateway.scope import MOST_KEYS, SCOPE_S
+from gradelug_gateway.scope import MAX_SCOPE_KEYS, SCOPE_RETENTION_S
 from gradelug_policy.cells import Cells
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import settings
@@ -28,7 +28,7 @@
 from simulated_fleet import SPEC, SimulatedFleet
 from world import new_loop
 
-ENGINES = ALL_TOLD_ENGINES + 4
+ENGINES = MAX_UNSCOPED_ENGINES + 4
 SITES = 2
 """Engines of the model on which anything changes."""
 KEYS = [AdapterKey("m", f"a{number}") for number in range(3)]
@@ -112,7 +112,7 @@
     model.read()
     assert model.view(key) == {"e0": 1}
     model.place("e0", key, 2)
-    model.tell(SCOPE_S / 2)
+    model.tell(SCOPE_RETENTION_S / 2)
     model.read()
     assert model.view(key) == {"e0": 2}
 
@@ -164,10 +164,10 @@
         self.model.followers.note_use(self.model.follower, key, f"e{number}", active)
         self.used[key] = self.model.now
 
-    @rule(seconds=st.sampled_from([0.05, 0.2, 1.1, 4.0, SCOPE_S]))
+    @rule(seconds=st.sampled_from([0.05, 0.2, 1.1, 4.0, SCOPE_RETENTION_S]))
     def tell(self, seconds):
         self.model.tell(seconds)
-        bound_s = max(self.model.followers.pacing.holdings_s, 0.05)
+        bound_s = max(self.model.followers.pacing.holdings_interval_s, 0.05)
         if seconds >= bound_s:
             # What is told is made when it is read, from what had changed until now at least.
             self.truths = {key: [self.model.truth(key)] for key in KEYS}
@@ -179,7 +179,7 @@
             return
         self.check()
 
-    @rule(seconds=st.sampled_from([1.1, SCOPE_S]))
+    @rule(seconds=st.sampled_from([1.1, SCOPE_RETENTION_S]))
     def tell_and_read(self, seconds):
         self.tell(seconds)
         self.read()
@@ -201,8 +201,8 @@
         running = {key for (_, key), active in self.runs.items() if active}
         for key in KEYS:
             view = self.model.view(key)
-            used_at = self.used.get(key, -SCOPE_S)
-            if key in running or self.model.now - used_at < SCOPE_S:
+            used_at = self.used.get(key, -SCOPE_RETENTION_S)
+            if key in running or self.model.now - used_at < SCOPE_RETENTION_S:
                 assert view in self.truths[key]
             else:
                 # Either it is still told of it, or it knows nothing.
@@ -253,13 +253,13 @@
             model.follower.answer(pb.Answer(ticket=step))
             model.tell(0.2)
         pending = model.follower.pending
-        assert len(pending.keys) <= 2 * MOST_KEYS + SITES
+        assert len(pending.keys) <= 2 * MAX_SCOPE_KEYS + SITES
         assert len(pending.replicas) <= SITES
-        assert len(model.follower.outbox) <= MOST_ORDERS
+        assert len(model.follower.outbox) <= MAX_QUEUED_ORDERS
         messages = model.read()
-        assert len(messages) <= MOST_ORDERS + 2
-        used = model.followers._scopes.used(model.follower.number)
-        assert len(used) <= MOST_KEYS
+        assert len(messages) <= MAX_QUEUED_ORDERS + 2
+        used = model.followers._scopes.used_keys(model.follower.number)
+        assert len(used) <= MAX_SCOPE_KEYS
         for key in used:
             assert model.view(key) == model.truth(key)
 
@@ -270,17 +270,17 @@
             model.followers.note_use(model.follower, AdapterKey("m", f"b{step}"))
             model.tell(0.2)
             model.read()
-        used = model.followers._scopes.used(model.follower.number)
-        assert len(used) <= SCOPE_S / 0.2 + 1
+        used = model.followers._scopes.used_keys(model.follower.number)
+        assert len(used) <= SCOPE_RETENTION_S / 0.2 + 1
 
     def test_answers_that_are_not_read_are_bounded(self):
         model = Model()
-        for ticket in range(MOST_ANSWERS + 50):
+        for ticket in range(MAX_QUEUED_ANSWERS + 50):
             model.follower.answer(pb.Answer(ticket=ticket))
             model.follower.answer_quota(pb.QuotaAnswer(ticket=ticket))
         first = model.follower.take_messages()[0]
-        assert len(first.answers) == len(first.quota_answers) == MOST_ANSWERS
-        assert first.answers[-1].ticket == MOST_ANSWERS + 49
+        assert len(first.answers) == len(first.quota_answers) == MAX_QUEUED_ANSWERS
+        assert first.answers[-1].ticket == MAX_QUEUED_ANSWERS + 49
 
     def test_weights_that_are_to_leave_are_told_as_gone(self):
         model = Model()
@@ -304,11 +304,11 @@
         model.tell(2.0)
         model.read()
         for _ in range(3):
-            model.tell(SCOPE_S)
+            model.tell(SCOPE_RETENTION_S)
         model.read()
         assert [bool(model.view(key)) for key in KEYS] == [False, True, False]
         model.followers.note_use(model.follower, KEYS[1], "e0", 0)
-        model.tell(2 * SCOPE_S)
+        model.tell(2 * SCOPE_RETENTION_S)
         model.read()
         assert not model.view(KEYS[1])
 
@@ -335,7 +335,7 @@
         model.tell(2.0)
         model.read()
         told = model.view(key)
-        assert len(told) == MOST_HOMES
+        assert len(told) == MAX_LOCATIONS_PER_KEY
         near, far = next(iter(told)), next(name for name in model.engines if name not in told)
         for name in (near, far):
             model.engines[name].update_load(77, ReportedLoad(0, 5))
@@ -347,8 +347,8 @@
         model.remove(near, key)
         model.tell(2.0)
         model.read()
-        assert len(model.view(key)) == MOST_HOMES
-        assert len(model.view(key).keys() & told.keys()) == MOST_HOMES - 1
+        assert len(model.view(key)) == MAX_LOCATIONS_PER_KEY
+        assert len(model.view(key).keys() & told.keys()) == MAX_LOCATIONS_PER_KEY - 1
 
     def test_a_gateway_is_told_what_runs_where_it_runs_something(self):
         model = Model(gateways=60)
@@ -387,7 +387,7 @@
             for gateway in fleet.gateways:
                 (homes,) = gateway.follower.take_messages()[-1].homes
                 told.append({home.replica for home in homes.homes})
-            assert [len(names) for names in told] == [MOST_HOMES] * 3
+            assert [len(names) for names in told] == [MAX_LOCATIONS_PER_KEY] * 3
             assert told[0] != told[1]
             await fleet.stop()
 
