--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -1,4 +1,8 @@
-"""Where weights are: what the planner tells, and questions to it."""
+"""Connections of a gateway to the planners of its services, and placement of requests through them.
+
+Used for every request to an engine: the planner selects the replica, and the gateway falls back to
+replicas known locally while no planner responds.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 log = logbook.Logger("directory")
 RECONNECT_S = 0.1
 PEERS_PER_LOOKUP = 2
-"""So many peers are asked at a time where the planner is."""
+"""Number of peers queried for the planner's address in one attempt."""
 REFUSAL_RETRY_AFTER_S = 0.5
 NOBODY = Party("")
 TIMEOUT_RETRY_AFTER_S = 0.5
@@ -34,26 +38,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Wish:
-    """How urgent and how valuable a request is.
+    """Urgency, value and deadlines of a request to be placed.
 
     Parameters
     ----------
     rank : int
-        Urgency, 0 first.
+        Urgency, 0 for the highest.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent request.
+        Value of an answer in time, 1 for an average urgent request.
     returning : bool
-        Whether its caller was refused before and has come back.
+        Whether the request is a retry after a refusal.
     target_at, until : float
-        Until when it is in time, and until when it waits, by the runtime's clock.
+        Deadline for the first event, and end of the wait for a replica, in seconds of the runtime's
+        clock.
     work : RequestWork
-        What the request asks of an engine.
+        Engine work of the request.
     begun : bool
-        Whether its caller has had a part of the answer.
+        Whether a part of the answer was sent to the caller.
     party : Party
-        Whose it is.
+        Owner and kind of the request.
     request : str
-        Its identifier, for the log.
+        Identifier of the request, for the log.
     """
 
     rank: int
@@ -68,30 +73,31 @@
 
 
 class Directory:
-    """Asks planners for weights and tells them what is in use.
+    """Places requests through the planners of services, and reports active requests to them.
 
     Parameters
     ----------
     instance, address : str
-        This instance, and where its peers reach it.
+        Name of this instance, and the ``IP:port`` at which its peers reach it.
     fleet : Fleet
-        Takes what planners tell.
+        State of the replicas, updated from the planners' messages.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     locate : callable
-        Returns a service's planner, or None.
+        Returns the address of a service's planner from the platform store, or None.
     hurry : callable
-        Called while a planner is missed.
+        Requests a poll of the platform store; called while a planner is missing.
     executor : Executor or None
-        Gives planners' orders to the engines that this instance owns, where engines have owners.
+        Sends planners' orders to engines that this instance owns; None where engines have no
+        owners.
     strength : float
-        How well this instance could plan itself.
+        Fitness of this instance to be the planner; 1 for a fully capable one.
     listener : StoreSubscriber or None
-        Takes what planners tell of the platform's store.
+        Applies the store changes that planners forward.
     shares : LocalShares or None
-        What this instance may use of quotas without asking.
+        Quotas that this instance may use without a request to a planner.
     make_parts : callable
-        Makes what else is told to the planner of a service, given the service's name.
+        Returns the message extensions for the link of a service, given the service's name.
     """
 
     __slots__ = (
@@ -139,7 +145,7 @@
         self._request_poll = hurry
         self._executor = executor
         self._peer_reported: dict[str, PlannerAddress] = {}
-        """Planners that peers told of."""
+        """Planner addresses received from peers, by service."""
         self._links: dict[str, PlannerLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._searches: dict[str, Search] = {}
@@ -147,12 +153,12 @@
 
     @property
     def gateways(self) -> int:
-        """Instances that share the work, 0 if unknown."""
+        """Largest number of gateways connected to a planner, 0 if unknown."""
         return max((link.gateways for link in self._links.values()), default=0)
 
     @property
     def news_age_s(self) -> float:
-        """Time since a planner that is followed told something, the longest of all, in seconds."""
+        """Longest time since the last message from a connected planner, in seconds."""
         followed = [link for link in self._links.values() if link.is_followed]
         return max((link.news_age_s for link in followed), default=0.0)
 
@@ -171,26 +177,31 @@
 
         Parameters
         ----------
+        service : str
+            Name of the service.
+        key : AdapterKey
+            Model and adapter.
         wish : Wish
-            How urgent and how valuable the request is.
+            Urgency, value and deadlines of the request.
         excluded : collection of str
-            Replicas that must not run it.
+            Names of replicas that must not run it.
         only : container of str or None
-            Replicas that may run it; None for any.
+            Names of replicas that may run it; None for any.
         absent : str
-            A replica that said it lacks the weights.
+            Name of a replica that responded that it lacks the weights, or an empty string.
         known : Replica or None
-            Where the request can run as far as is known here: it goes there if the planner may
-            be lost.
+            Replica that can run the request according to local state; used if the planner may be
+            lost.
 
         Raises
         ------
         Refused
-            If the planner says that it cannot be placed, or time runs out.
+            If the planner refuses the request, or the wait for a replica ends.
         """
         link = self._link(service)
         if known is None and not absent and self._fleet.is_scoped and not link.is_followed:
-            # Nobody tells where weights are that were not in use here; replicas do, later.
+            # No planner sends the locations of weights that were not used here; replicas report
+            # them later.
             reported = self._fleet.self_reported_holders(service, key)
             known = self._fleet.choose(reported, excluded, only, wish.work)
         while True:
@@ -225,9 +236,9 @@
                     lambda: self._fleet.rest_s(service, only) > 0,
                 )
             except TimeoutError:
-                rest_s = self._fleet.rest_s(service, only)
-                if rest_s:
-                    raise Refused("its replicas rest", rest_s) from None
+                backoff_s = self._fleet.rest_s(service, only)
+                if backoff_s:
+                    raise Refused("its replicas rest", backoff_s) from None
                 if known is not None:
                     return known
                 raise Refused(
@@ -239,7 +250,7 @@
                 raise Refused(answer.reason, answer.retry_after_ms / 1000 or REFUSAL_RETRY_AFTER_S)
             replica = self._fleet.state.replicas.get(answer.replica)
             if replica is not None and self._fleet.is_unavailable(replica):
-                # The planner does not know of it.
+                # The planner is not aware that the replica is unavailable.
                 excluded = {*excluded, replica.name}
             elif replica is not None:
                 if answer.has_room:
@@ -254,61 +265,61 @@
         return max(0, round((at - self._clock()) * 1000))
 
     def known(self, service: str) -> PlannerAddress | None:
-        """Return the newest planner of a service that the platform or a peer told of."""
-        told, hint = self._locate(service), self._peer_reported.get(service)
-        if told is None or (hint is not None and hint.fence > told.fence):
-            return hint
-        return told
+        """Return the newest planner of a service according to the platform store and peers."""
+        from_store, from_peer = self._locate(service), self._peer_reported.get(service)
+        if from_store is None or (from_peer is not None and from_peer.fence > from_store.fence):
+            return from_peer
+        return from_store
 
     def _is_newest(self, service: str, planner: PlannerAddress) -> bool:
         known = self.known(service)
         return known is None or known.fence <= planner.fence
 
     def quota_home(self) -> PlannerLink | None:
-        """Return the way to the instance that keeps all quotas: one service's planner."""
+        """Return the link to the planner that coordinates all quotas, None if there are no links."""
         return self._links[min(self._links)] if self._links else None
 
     def link_to(self, service: str) -> PlannerLink | None:
-        """Return the way to the planner of a service, None if there is none."""
+        """Return the link to the planner of a service, None if there is none."""
         return self._links.get(service)
 
     @property
     def home_service(self) -> str:
-        """The service whose planner is that home, empty if there is none."""
+        """Service whose planner coordinates quotas; empty if there are no links."""
         return min(self._links, default="")
 
     def is_followed(self, service: str) -> bool:
-        """Tell whether a planner of a service answers."""
+        """Return whether a planner of a service is connected."""
         link = self._links.get(service)
         return link is not None and link.is_followed
 
     def asks_first(self, service: str) -> bool:
-        """Tell whether the planner is to be asked although a holder of weights is known."""
+        """Return whether to ask the planner although a replica with the weights is known."""
         link = self._links.get(service)
         return link is not None and link.ask_first and not link.is_quiet
 
     def note_begin(self, replica: Replica, key: AdapterKey, work: RequestWork) -> None:
-        """Note that a request is being sent to a replica."""
+        """Record that a request is being sent to a replica."""
         memory = self._fleet.service_engine_capacity(replica.service).memory_tokens
         self._fleet.prefix_cache.note_sent(replica.name, work, memory, self.gateways)
         self._note(replica.name, key, 1, work.prompt_tokens)
 
     def note_end(self, replica: str, key: AdapterKey) -> None:
-        """Note that a request has left a replica."""
+        """Record that a request on a replica has ended."""
         self._note(replica, key, -1)
 
     def ensure(self, services: t.Iterable[str]) -> None:
-        """Keep a link to the planner of each of these services."""
+        """Maintain a link to the planner of each service."""
         for service in services:
             self._link(service)
 
     def note_owned(self) -> None:
-        """Tell planners at once which engines this instance owns."""
+        """Report the engines that this instance owns to all planners at once."""
         for link in self._links.values():
             link.hurry()
 
     async def close(self) -> None:
-        """End every link."""
+        """Close all links."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -349,37 +360,39 @@
             self._poll_if_due(link)
             await asyncio.sleep(RECONNECT_S)
             if planner is not None and self._is_newest(link.service, planner):
-                # Lost, and the platform tells of no other.
+                # The planner is lost, and the platform store lists no newer one.
                 await self._query_peers(link)
 
     async def _follow(self, link: PlannerLink, planner: PlannerAddress) -> None:
-        """Follow a planner until the stream breaks or there is a newer one."""
-        following = asyncio.create_task(link.follow(planner))
+        """Stay connected to a planner until the stream breaks or there is a newer planner."""
+        stream_task = asyncio.create_task(link.follow(planner))
         try:
-            while not following.done():
-                await asyncio.wait([following], timeout=LOOK_S)
+            while not stream_task.done():
+                await asyncio.wait([stream_task], timeout=LOOK_S)
                 newest = self.known(link.service)
                 if newest is not None and newest.fence > planner.fence:
                     if link.is_quiet or newest.address != planner.address:
-                        log.info("newer planner", service=link.service, old=planner.owner)
+                        log.info(
+                            "switching to a newer planner", service=link.service, old=planner.owner
+                        )
                         return
-                    # The same one, entered again.
+                    # The same planner was elected again.
                     planner = newest
                 if link.is_followed and not link.has_resigned:
                     self._search(link).found()
                 else:
-                    # A successor may be entered at any moment, and this one may never answer.
+                    # A successor may be elected at any moment, and this planner may never respond.
                     self._poll_if_due(link)
-            following.result()
+            stream_task.result()
         finally:
-            following.cancel()
-            await asyncio.gather(following, return_exceptions=True)
+            stream_task.cancel()
+            await asyncio.gather(stream_task, return_exceptions=True)
 
     def _search(self, link: PlannerLink) -> Search:
         return self._searches.setdefault(link.service, Search(self._clock))
 
     def _poll_if_due(self, link: PlannerLink) -> None:
-        """Look for a planner in the store, those that could plan themselves as often as may be."""
+        """Poll the store for a planner if due; instances that can plan poll at the highest rate."""
         gateways = 1 if self._strength >= 1 else link.gateways
         if self._search(link).is_due(gateways):
             self._request_poll()
@@ -394,7 +407,9 @@
             known = self.known(link.service)
             if found is not None and (known is None or found.fence > known.fence):
                 self._peer_reported[link.service] = found
-                log.info("planner told by a peer", service=link.service, owner=found.owner)
+                log.info(
+                    "planner address received from a peer", service=link.service, owner=found.owner
+                )
                 return
 
 
--- a/packages/gateway/src/gradelug_gateway/engine_orders.py
+++ b/packages/gateway/src/gradelug_gateway/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and what these say to them."""
+"""Orders to load or unload weights on engines, their outcomes, and the planner's term."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class OrderOutcome(Enum):
-    """What an engine said to an order."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"
-    """It is so already."""
+    """The engine is already in the requested state."""
     CONFLICT = "conflict"
-    """Another is under way, or the number of orders taken differs."""
+    """Another order is in progress, or the number of accepted orders is not the expected one."""
     OUTRANKED = "outranked"
-    """A greater fencing token has been seen."""
+    """The engine has seen a greater fencing token."""
     REFUSED = "refused"
-    """The engine cannot do it."""
+    """The engine cannot execute the order."""
     GONE = "gone"
-    """Another replica has the address, or it cannot be reached: not done."""
+    """Another replica has the address, or it is unreachable: the order was not executed."""
     LOST = "lost"
-    """No answer: done, not done, or done later."""
+    """No response: the order may have been executed, may be executed later, or not at all."""
     NOT_GIVEN = "not given"
-    """Nobody may order the engine now, so nothing was sent."""
+    """No instance may send orders to the engine now, so none was sent."""
 
 
 class Term:
-    """The time during which a planner may order, under one token.
+    """Period during which a planner may send orders under one fencing token.
 
     Parameters
     ----------
     fence : int
-        Its fencing token; never 0.
+        Fencing token of the term; never 0.
     """
 
     __slots__ = ("fence", "is_over")
@@ -51,17 +51,17 @@
     Parameters
     ----------
     load : bool
-        Load if set, otherwise unload.
+        Whether to load the weights; otherwise they are unloaded.
     key : AdapterKey
-        What.
+        Model and adapter.
     version : int
-        At which version; 0 for the newest.
+        Version of the weights; 0 for the newest.
     expected : int
-        How many orders the engine must have taken before.
+        Number of orders that the engine must have accepted before this one.
     owner : str
-        Who orders.
+        Name of the instance that sends the order.
     fence : int
-        The owner's fencing token.
+        Fencing token of the owner.
     """
 
     load: bool
--- a/packages/gateway/src/gradelug_gateway/executing.py
+++ b/packages/gateway/src/gradelug_gateway/executing.py
@@ -1,4 +1,8 @@
-"""Gives planners' orders to the engines that this instance owns."""
+"""Execution of planners' orders on the engines that this instance owns.
+
+Used by a gateway where engines have owners: the planner sends orders to the owner, which adds its
+own fencing token and passes them on to the engine.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +20,18 @@
 
 
 class Executor:
-    """Gives orders under this instance's own tokens.
+    """Sends orders to engines under this instance's own fencing tokens.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     ownership : LastingOwnership
-        Which engines it owns.
+        The engines that this instance owns, with their fencing tokens.
     state : FleetState
-        Where engines are.
+        Replicas of the fleet, with their addresses.
     transport : OrderTransport
-        Gives orders to engines.
+        Sends orders to engines.
     """
 
     __slots__ = ("_name", "_ownership", "_state", "_tasks", "_transport")
@@ -46,7 +50,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def owned(self, service: str) -> frozenset[str]:
-        """Return the engines of a service that may be ordered now."""
+        """Return the names of a service's engines that this instance may send orders to now."""
         replicas = self._state.replicas
         return frozenset(
             name
@@ -56,20 +60,20 @@
 
     @property
     def knows_store(self) -> bool:
-        """Whether this instance calls the platform's store all the time."""
+        """Whether this instance calls the platform store continuously."""
         return self._ownership.has_joined
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the platform's store did not answer this instance last."""
+        """Whether this instance's last call to the platform store got no response."""
         return self._ownership.is_cut_off
 
     def note_outage(self, cut_off: int) -> None:
-        """Take that so many instances cannot reach the platform's store, and none is known to."""
+        """Record how many instances cannot reach the platform store; no other is known to."""
         self._ownership.note_outage(cut_off)
 
     def carry_out(self, message: pb.EngineOrder, tell: t.Callable[[pb.OrderResult], None]) -> None:
-        """Give an order beside other work, and tell how it was taken."""
+        """Start executing an order in the background, and report its result to a callback."""
         task = asyncio.get_running_loop().create_task(self._carry_out(message, tell))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -84,10 +88,14 @@
         replica = self._state.replicas.get(message.replica)
         fence = self._ownership.token(message.replica)
         if replica is None or fence is None:
-            log.info("order not given", replica=message.replica, known=replica is not None)
+            log.info(
+                "order not sent: engine unknown or not owned",
+                replica=message.replica,
+                known=replica is not None,
+            )
             return OrderOutcome.NOT_GIVEN
         key = AdapterKey(message.model, message.adapter)
         order = Order(message.load, key, message.version, message.expected, self._name, fence)
         outcome = await self._transport.order(replica, order)
-        log.info("order given", replica=replica.name, fence=fence, outcome=outcome.value)
+        log.info("order sent", replica=replica.name, fence=fence, outcome=outcome.value)
         return outcome
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -1,4 +1,8 @@
-"""The gateways that follow a planner, and what they are told."""
+"""Connections of gateways to a planner, and the state updates that are sent to them.
+
+Used by a planner while it plans for a service: it queues answers, orders and state updates for each
+connected gateway, and limits updates in a large fleet to what a gateway uses.
+"""
 
 from __future__ import annotations
 
@@ -24,37 +28,41 @@
 
 log = logbook.Logger("followers")
 TIMER_TOLERANCE_S = 0.01
-"""Timers fire a little late or early."""
+"""Tolerance for timers that fire slightly early or late."""
 STATE_REPORT_VALIDITY_S = 0.8
-"""What a gateway said last holds for so long: it says something twice a second."""
+"""Time for which a gateway's last report counts as current; gateways send one at least twice a
+second."""
 MAX_PEERS_PER_MESSAGE = 6
 PEERS_INTERVAL_S = 2.0
-"""So many other gateways are named so often to each."""
+"""Maximum number of peer addresses in one message to a gateway, and the interval between lists of
+peers, in seconds."""
 MAX_UNSCOPED_ENGINES = 256
 MAX_UNSCOPED_PAIRS = 4096
-"""Up to so many engines, and engines times gateways, each gateway is told of all engines: some
-1.2 MB when all join at once. 300 gateways of 3,000 engines took 300 MB."""
+"""Maximum number of engines, and of engines times gateways, for which every gateway receives the
+state of all engines: some 1.2 MB when all connect at once. At 300 gateways and 3,000 engines full
+updates took 300 MB."""
 UNSCOPE_FRACTION = 0.5
-"""All are told of all again below this part of those bounds."""
+"""Fraction of these limits below which full updates resume; the gap prevents frequent switching."""
 MAX_LOCATIONS_PER_KEY = 32
-"""Of more engines with the same weights a gateway is told of so many, others than its peers."""
+"""Maximum number of engines listed to a gateway for the same weights; each gateway receives a
+different subset."""
 MAX_QUEUED_ANSWERS = 4096
 MAX_QUEUED_ORDERS = 256
-"""So many wait for a gateway that reads slowly; it has given up the oldest by then: orders are
-awaited 0.25 s."""
+"""Maximum number of orders queued for a gateway that reads slowly. The oldest have timed out by
+then: an order is awaited for 0.25 s."""
 
 
 class Follower:
-    """A gateway that follows this planner.
+    """A gateway connected to this planner.
 
     Parameters
     ----------
     number : int
-        Its number among those that ever followed.
+        Connection number, unique during this planner's lifetime.
     instance, address : str
-        The process.
+        Name of the gateway's instance, and its ``IP:port``.
     pending : Pending or None
-        The news that it is to be told when it reads.
+        Merges updates until the gateway reads them.
     """
 
     __slots__ = (
@@ -87,69 +95,73 @@
         self.instance = instance
         self.address = address
         self.hall = ""
-        """Where it stands, as it told first."""
+        """Hall of the gateway, from its first message."""
         self.answers: list[pb.Answer] = []
         self.quota_answers: list[pb.QuotaAnswer] = []
         self.room_answers: list[pb.RoomAnswer] = []
         self.echo = pb.Echo()
-        """When its newest message was sent, by its clock, and arrived, by the clock here."""
+        """Send time of the gateway's newest message by its own clock, and receive time by the local
+        clock."""
         self.outbox: list[pb.FromPlanner] = []
-        """Orders; news are in `pending`."""
+        """Orders and other messages sent as they are; state updates are in `pending`."""
         self.pending = pending or Pending()
         self.peers_sent_at = -math.inf
         self.has_store = False
-        """Whether it was told all that was in the store before, beside what has changed since."""
+        """Whether the gateway received the full store listing, in addition to the changes since it
+        connected."""
         self.listed_revision: int | None = None
-        """Up to which revision of the store it was told all, None before the first piece."""
+        """Store revision up to which the listing was sent, None before the first page."""
         self.heard_at = -math.inf
         self.is_gone = False
-        """Whether it was taken for lost: nothing that comes from it counts any more."""
+        """Whether the gateway was disconnected; its further messages are ignored."""
         self.knows_store = False
-        """Whether it calls the platform's store all the time."""
+        """Whether the gateway calls the platform store continuously."""
         self.store_away = False
-        """Whether it said last that it cannot reach the platform's store."""
+        """Whether the gateway last reported that it cannot reach the platform store."""
         self.store_revision = 0
-        """Revision of the store up to which it knew all when it joined, as it told first."""
+        """Store revision up to which the gateway had the full state when it connected, from its
+        first message."""
         self.strength = 0.0
-        """How well it could plan, as it told first."""
+        """Fitness of the gateway to be the planner, from its first message; 1 for a fully capable
+        one."""
         self.wake = asyncio.Event()
 
     @property
     def process(self) -> str:
-        """Name of the process, whatever stream it is on."""
+        """Name of the process, the same for all its connections."""
         return f"{self.instance}@{self.address}"
 
     def answer(self, answer: pb.Answer) -> None:
-        """Answer a question soon."""
+        """Queue an answer to a placement request."""
         self.answers.append(answer)
         del self.answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def answer_quota(self, answer: pb.QuotaAnswer) -> None:
-        """Answer a question for a quota soon."""
+        """Queue an answer to a quota request."""
         self.quota_answers.append(answer)
         del self.quota_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def answer_room(self, answer: pb.RoomAnswer) -> None:
-        """Answer a question for room at a replica soon."""
+        """Queue an answer to a request for replica capacity."""
         self.room_answers.append(answer)
         del self.room_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
     def send(self, message: pb.FromPlanner) -> None:
-        """Send a message soon."""
+        """Queue a message to be sent without merging."""
         self.outbox.append(message)
         del self.outbox[:-MAX_QUEUED_ORDERS]
         self.wake.set()
 
     def queue_update(self, news: pb.FromPlanner, store: pb.StoreNews | None = None) -> None:
-        """Tell news soon, with those that it has not read yet."""
+        """Queue a state update, merged with those that the gateway has not read yet."""
         self.pending.add(news, store)
         self.wake.set()
 
     def take_messages(self) -> list[pb.FromPlanner]:
-        """Return what is to be sent, answers first."""
+        """Return and clear the messages to send, answers first."""
         messages, self.outbox = self.outbox, []
         if self.answers or self.quota_answers or self.room_answers:
             first = pb.FromPlanner(
@@ -167,29 +179,30 @@
 
 
 class Followers:
-    """All gateways that follow a planner.
+    """All gateways connected to a planner.
 
-    With few engines and gateways each is told of all engines. With more it is told of what it uses:
-    where the weights are that it asked for or used in the last seconds, and what runs on engines at
-    which it has requests. What it is to be told is put together when it reads, so that what waits
-    for a slow reader is never more than what it uses.
+    In a small fleet each gateway receives the state of all engines. In a larger one it receives
+    what it uses: locations of weights that it requested or used within the last seconds, and the
+    load of engines on which it has requests. The update is built when the gateway reads it, so the
+    data queued for a slow reader never exceeds what it uses.
 
     Parameters
     ----------
     engines : mapping of str to Engine
-        The planner's engines.
+        The planner's engines by name.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     store : StorePublisher or None
-        Tells what the planner has seen in the platform's store; None to tell nothing of it.
+        Collects the platform store's changes for the gateways; None to distribute none.
     parts : sequence of PlannerPart
-        What else there is to tell everybody.
+        Extensions that add fields to every update.
     index : EngineIndex or None
-        Finds the engines that hold weights; it knows which have changed.
+        Finds engines by the weights they hold, and records which engines changed.
     may_scope : bool
-        Whether gateways of a large fleet are told of what they use alone.
+        Whether updates in a large fleet may be limited to what each gateway uses.
     cells : Cells or None
-        The engines in cells: of very many with the same weights each gateway is told of others.
+        Ranks engines for each gateway; selects the subset of engines listed when very many hold the
+        same weights.
     """
 
     __slots__ = (
@@ -233,21 +246,21 @@
         self._numbers = itertools.count(1)
         self._changed: set[str] = set()
         self._holdings_sent_at = -math.inf
-        """When it was told last what is held."""
+        """Time of the last update with held weights, in seconds."""
         self.has_resigned = False
         self.pacing = Pacing(clock())
         self._scopes = Scopes()
         self.is_scoped = False
-        """Whether gateways are told of what they use alone."""
+        """Whether updates are limited to what each gateway uses."""
         self._sent_loads: dict[str, ReportedLoad] = {}
         self._sent_locations: dict[AdapterKey, dict[str, int]] = {}
-        """Where weights that any gateway uses were when it was told last."""
+        """Locations of all weights in use, as of the last update."""
 
     def __len__(self) -> int:
         return len(self._by_number)
 
     def join(self, instance: str, address: str) -> Follower:
-        """Take a gateway on; in a small fleet it is told all that is held."""
+        """Connect a gateway; in a small fleet the full state is queued for it."""
         number = next(self._numbers)
         follower = Follower(number, instance, address, Pending(self._complete))
         self._by_number[number] = follower
@@ -257,39 +270,40 @@
         return follower
 
     def find(self, instance: str, address: str) -> Follower | None:
-        """Return the gateway of a process, None if it does not follow."""
+        """Return the connected gateway of a process, None if there is none."""
         for follower in self._by_number.values():
             if follower.instance == instance and follower.address == address:
                 return follower
         return None
 
     def leave(self, follower: Follower) -> bool:
-        """Forget a gateway; False if that was done before."""
+        """Disconnect a gateway; return False if it was disconnected already."""
         follower.is_gone = True
-        left = self._by_number.pop(follower.number, None) is not None
+        was_connected = self._by_number.pop(follower.number, None) is not None
         self._scopes.leave(follower.number)
         self.pacing.note_gateways(len(self))
-        return left
+        return was_connected
 
     def cut_off(self) -> int:
-        """Return how many gateways cannot reach the platform's store; 0 while any can.
+        """Return how many gateways cannot reach the platform store; 0 while any of them can.
 
-        Only those count that call it all the time: the others do not know.
+        Counts only gateways that call the store continuously, as others cannot detect an outage.
         """
         since = self._clock() - STATE_REPORT_VALIDITY_S
-        heard = [
+        reporting = [
             follower
             for follower in self._by_number.values()
             if follower.heard_at > since and follower.knows_store
         ]
-        return len(heard) if all(follower.store_away for follower in heard) else 0
+        return len(reporting) if all(follower.store_away for follower in reporting) else 0
 
     def has_stronger(self, strength: float) -> bool:
-        """Tell whether a gateway could plan and one of a strength can not."""
+        """Return whether a gateway is fully capable of planning while the given strength is below
+        that."""
         return strength < 1 and any(found.strength >= 1 for found in self._by_number.values())
 
     def resign(self) -> None:
-        """Tell everybody at once that a successor is to be looked for."""
+        """Request at once that all gateways search for a successor."""
         self.has_resigned = True
         news = self._base_update()
         news.active = True
@@ -297,13 +311,14 @@
             follower.queue_update(news)
 
     def mark(self, replica: str) -> None:
-        """Note that what a replica holds has changed."""
+        """Record that the weights held by a replica have changed."""
         self._changed.add(replica)
 
     def note_use(
         self, follower: Follower, key: AdapterKey, replica: str = "", active: int = 0
     ) -> None:
-        """Note that a gateway asks for weights, or how many of its requests use them somewhere."""
+        """Record that a gateway requests weights, or its number of active requests for them on a
+        replica."""
         if follower.number not in self._by_number:
             return
         now = self._clock()
@@ -315,7 +330,8 @@
             follower.pending.keys.add(key)
 
     def tell_news(self, active: bool) -> None:
-        """Tell everybody what has changed since the last time, as far as it is of use there."""
+        """Queue the changes since the last call for every gateway, limited to what it uses where
+        scoped."""
         now = self._clock()
         self.pacing.step(now)
         self._update_scoping()
@@ -344,15 +360,15 @@
 
     @property
     def behind(self) -> int:
-        """Gateways that have not read what they were told last."""
+        """Number of gateways that have not read their last update."""
         return sum(follower.pending.is_waiting for follower in self._by_number.values())
 
     @property
     def tells_store(self) -> bool:
-        """Whether there are enough gateways for the planner to look at the store for them."""
+        """Whether enough gateways are connected for the planner to poll the store for them."""
         return self._store is not None and len(self) >= MIN_FOLLOWERS
 
-    # What all are told.
+    # Updates common to all gateways.
 
     def _base_update(self) -> pb.FromPlanner:
         return pb.FromPlanner(
@@ -372,7 +388,7 @@
         return message
 
     def _add_changes(self, news: pb.FromPlanner, holdings_due: bool) -> None:
-        """Add what has changed of all engines."""
+        """Add the changes of all engines."""
         if holdings_due:
             news.holdings.extend(self._holdings(name) for name in self._changed)
             self._changed.clear()
@@ -385,14 +401,21 @@
         self._index.changed_loads.clear()
 
     def _update_scoping(self) -> None:
-        """Begin or end to tell gateways of what they use alone."""
-        part = UNSCOPE_FRACTION if self.is_scoped else 1.0
+        """Switch between full updates and updates limited to what each gateway uses."""
+        fraction = UNSCOPE_FRACTION if self.is_scoped else 1.0
         engines, pairs = len(self._engines), len(self._engines) * len(self)
-        large = engines > part * MAX_UNSCOPED_ENGINES or pairs > part * MAX_UNSCOPED_PAIRS
-        if self.is_scoped == (large and self._may_scope):
+        is_large = (
+            engines > fraction * MAX_UNSCOPED_ENGINES or pairs > fraction * MAX_UNSCOPED_PAIRS
+        )
+        if self.is_scoped == (is_large and self._may_scope):
             return
         self.is_scoped = not self.is_scoped
-        log.info("scope of news", scoped=self.is_scoped, engines=engines, gateways=len(self))
+        log.info(
+            "scope of state updates changed",
+            scoped=self.is_scoped,
+            engines=engines,
+            gateways=len(self),
+        )
         self._sent_loads.clear()
         self._sent_locations.clear()
         for follower in self._by_number.values():
@@ -401,7 +424,7 @@
             else:
                 follower.queue_update(self._full_update())
 
-    # What one is told.
+    # Updates for a single gateway.
 
     def _expire_scopes(self, now: float) -> None:
         for number, follower in self._by_number.items():
@@ -412,33 +435,33 @@
                 pending.keys.clear()
 
     def _mark_changed_loads(self) -> None:
-        """Note to whom it matters what runs on the engines where that has changed."""
+        """Mark engines whose load changed, for each gateway that needs it."""
         changed = self._index.changed_loads
-        chooses = not self.pacing.ask_first
+        sends_directly = not self.pacing.ask_first
         for name in changed:
             engine = self._engines.get(name)
             if engine is None:
                 continue
             numbers = set(engine.gateways)
-            if chooses:
+            if sends_directly:
                 numbers.update(self._direct_senders(engine))
             for number in numbers:
                 follower = self._by_number.get(number)
                 if follower is not None:
                     follower.pending.replicas.add(name)
-        for follower in self._by_number.values() if chooses else ():
-            for homes in follower.pending.location_subsets.values():
-                follower.pending.replicas.update(changed & homes.keys())
+        for follower in self._by_number.values() if sends_directly else ():
+            for subset in follower.pending.location_subsets.values():
+                follower.pending.replicas.update(changed & subset.keys())
         changed.clear()
 
     def _direct_senders(self, engine: Engine) -> t.Iterator[int]:
-        """Yield the gateways that may send requests there without a question."""
+        """Yield the gateways that may send requests to an engine without asking the planner."""
         for key in engine.weight_slots:
             if len(self._index.engines_holding(key)) <= MAX_LOCATIONS_PER_KEY:
                 yield from self._scopes.watchers(key)
 
     def _mark_changed_locations(self) -> None:
-        """Note to whom it matters where weights are, if that has changed."""
+        """Mark weights whose locations changed, for each gateway that uses them."""
         changed, self._index.changed_keys = self._index.changed_keys, set()
         for name in self._changed:
             engine = self._engines.get(name)
@@ -450,15 +473,15 @@
             if not watchers:
                 self._sent_locations.pop(key, None)
                 continue
-            homes = self._ready_locations(key)
-            if self._sent_locations.get(key) == homes:
+            locations = self._ready_locations(key)
+            if self._sent_locations.get(key) == locations:
                 continue
-            self._sent_locations[key] = homes
+            self._sent_locations[key] = locations
             for number in watchers:
                 self._by_number[number].pending.keys.add(key)
 
     def _complete(self, follower: Follower, message: pb.FromPlanner) -> None:
-        """Add what this gateway alone is told, as it is now."""
+        """Add the current state that only this gateway receives."""
         pending = follower.pending
         peers = self._peers(follower)
         if peers:
@@ -474,16 +497,16 @@
     def _add_listing_page(
         self, follower: Follower, message: pb.FromPlanner, store: StorePublisher
     ) -> None:
-        """Add the next piece of what was told of the store before this gateway joined."""
-        known = follower.listed_revision
-        since = follower.store_revision if known is None else known
-        piece, reached = store.next_listing_page(since, known is None)
-        message.store.CopyFrom(merge_store(piece, message.store))
+        """Add the next page of the store listing, with the state before this gateway connected."""
+        sent_revision = follower.listed_revision
+        since = follower.store_revision if sent_revision is None else sent_revision
+        page, reached = store.next_listing_page(since, sent_revision is None)
+        message.store.CopyFrom(merge_store(page, message.store))
         follower.listed_revision = reached
         follower.has_store = not reached
 
     def _add_scoped_state(self, follower: Follower, message: pb.FromPlanner) -> None:
-        """Add what has changed of what a gateway uses, or all of it."""
+        """Add the changes of what a gateway uses, or all of it if a full update is due."""
         pending, used = follower.pending, self._scopes.used_keys(follower.number)
         if pending.is_whole:
             pending.is_whole = False
@@ -491,19 +514,20 @@
             pending.keys = set(used)
             pending.location_subsets.clear()
         for key in pending.keys:
-            homes = self._ready_locations(key) if key in used else {}
-            if len(homes) > MAX_LOCATIONS_PER_KEY:
-                homes = self._location_subset(follower, homes)
-                if pending.location_subsets.get(key) == homes:
+            locations = self._ready_locations(key) if key in used else {}
+            if len(locations) > MAX_LOCATIONS_PER_KEY:
+                locations = self._location_subset(follower, locations)
+                if pending.location_subsets.get(key) == locations:
                     continue
-                pending.location_subsets[key] = homes
+                pending.location_subsets[key] = locations
             else:
                 pending.location_subsets.pop(key, None)
-                if self._sent_locations.get(key) != homes:
-                    # Read between two ticks: should it be again as it was told before, the one
-                    # that has read would not be told.
+                if self._sent_locations.get(key) != locations:
+                    # The gateway read between two ticks. If the locations change back before the
+                    # next tick, they equal the last ones recorded, and the gateway would keep what
+                    # it has just read.
                     self._sent_locations.pop(key, None)
-            message.homes.append(_encode_locations(key, homes))
+            message.homes.append(_encode_locations(key, locations))
         for name in pending.replicas:
             engine = self._engines.get(name)
             if engine is not None:
@@ -516,44 +540,46 @@
         follower.peers_sent_at = now
         others = [other for other in self._by_number.values() if other is not follower]
         start = follower.number % len(others) if others else 0
-        # Those that could plan look for a successor most often.
+        # Gateways that can plan come first: they search for a successor most often.
         others = sorted(others[start:] + others[:start], key=lambda other: other.strength < 1)
         return [other.address for other in others if other.address][:MAX_PEERS_PER_MESSAGE]
 
     def _ready_locations(self, key: AdapterKey) -> dict[str, int]:
-        """Return the versions of weights that can be used, by engine."""
+        """Return the usable versions of weights, by engine name."""
         return {
             name: engine.weight_slots[key].version
             for name, engine in self._index.engines_holding(key).items()
             if engine.weight_slots[key].phase is Phase.READY
         }
 
-    def _location_subset(self, follower: Follower, homes: t.Mapping[str, int]) -> dict[str, int]:
-        """Return a few of very many engines, which stay the same for a gateway while they can."""
-        names = (name for name in self._cells.ranked_engines(follower.process) if name in homes)
-        return {name: homes[name] for name in itertools.islice(names, MAX_LOCATIONS_PER_KEY)}
+    def _location_subset(
+        self, follower: Follower, locations: t.Mapping[str, int]
+    ) -> dict[str, int]:
+        """Return a limited subset of many engines, stable for each gateway as far as possible."""
+        names = (name for name in self._cells.ranked_engines(follower.process) if name in locations)
+        return {name: locations[name] for name in itertools.islice(names, MAX_LOCATIONS_PER_KEY)}
 
     def _holdings(self, name: str) -> pb.Holdings:
         holdings = pb.Holdings(replica=name)
         engine = self._engines.get(name)
         if engine is None:
             return holdings
-        for key, place in engine.weight_slots.items():
-            if place.phase is Phase.READY:
-                holdings.held.add(model=key.model, adapter=key.adapter, version=place.version)
+        for key, slot in engine.weight_slots.items():
+            if slot.phase is Phase.READY:
+                holdings.held.add(model=key.model, adapter=key.adapter, version=slot.version)
         return holdings
 
 
-def _encode_locations(key: AdapterKey, homes: t.Mapping[str, int]) -> pb.Homes:
-    """Return where weights are; nowhere as well if a gateway is not told of them any more."""
+def _encode_locations(key: AdapterKey, locations: t.Mapping[str, int]) -> pb.Homes:
+    """Encode the locations of weights; an empty list removes weights that are out of use."""
     encoded = pb.Homes(model=key.model, adapter=key.adapter)
-    for name, version in homes.items():
+    for name, version in locations.items():
         encoded.homes.add(replica=name, version=version)
     return encoded
 
 
 def encode_load(replica: str, engine: Engine) -> pb.Load:
-    """Return what runs on an engine, of all gateways."""
+    """Encode an engine's load, summed over all gateways."""
     load = engine.load()
     return pb.Load(
         replica=replica,
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -1,4 +1,8 @@
-"""The stream of one instance to the planner of a service."""
+"""Client side of the stream between a gateway and the planner of a service.
+
+Used by a gateway for each service: it sends placement requests and reports of its load, and applies
+the state updates, answers and orders that the planner sends.
+"""
 
 from __future__ import annotations
 
@@ -26,23 +30,24 @@
 
 log = logbook.Logger("link")
 FIRST_USE_SPACING_FRACTION = 0.25
-"""But not within this part of the spacing after the last message: so the planner takes 1,600
-messages a second at most, however many instances there are."""
+"""Part of the batching interval that must have passed since the last message before a first use is
+sent at once. It limits the planner to 1,600 messages a second, whatever the number of instances."""
 ASK_BATCH_S = 0.002
-"""Questions that come within this time go out together."""
+"""Batching interval of placement requests, in seconds."""
 KEEPALIVE_INTERVAL_S = 0.5
-"""Without news a message goes out this often, so that both ends know of each other."""
+"""Interval of messages without content, in seconds, so that both ends detect a lost connection."""
 PLANNER_TIMEOUT_S = 1.0
 PLANNER_TIMEOUT_UPDATES = 2.5
-"""A planner that sends nothing for so long, or for the time of so many of its news, is lost. Its
-lease runs out at about the same time, so that a successor can be looked for."""
+"""Time without any message after which a planner counts as lost: this many seconds, or this many
+update intervals if that is longer. Its lease expires at about the same time, so a successor can be
+elected."""
 UPDATE_OVERDUE_S = 0.15
-"""A planner from which nothing has come for the time of its news and this may be lost."""
+"""Delay of an update beyond its interval after which the planner may be lost, in seconds."""
 REPLACED_S = 4.0
-"""A planner that is lost is followed by another one within this: 2 s, and 3.3 s where the store was
-away as well (Tenger's trouble-3). Without one for longer nobody knows when there will be one."""
+"""Maximum time from the loss of a planner to its replacement, in seconds: 2 s, and 3.3 s if the
+store was unavailable too. After that, the time of a replacement is unknown."""
 LOOK_S = 0.1
-"""How often those who wait look whether a planner is followed."""
+"""Interval at which a waiting request checks the connection to the planner, in seconds."""
 
 
 class _Question:
@@ -55,7 +60,30 @@
 
 
 class PlannerLink:
-    """This instance's stream to the planner of one service."""
+    """Stream of this instance to the planner of one service.
+
+    Parameters
+    ----------
+    service : str
+        Name of the service.
+    instance, address : str
+        Name of this instance, and the ``IP:port`` at which its peers reach it.
+    fleet : Fleet
+        State of the replicas, updated from the planner's messages.
+    clock : callable
+        Returns the time of the runtime's clock, in seconds.
+    executor : Executor or None
+        Sends the planner's orders to engines that this instance owns; None where engines have no
+        owners.
+    strength : float
+        Fitness of this instance to be the planner; 1 for a fully capable one.
+    listener : StoreSubscriber or None
+        Applies the store changes that the planner forwards.
+    shares : LocalShares or None
+        Quotas that this instance may use without a request to the planner.
+    parts : iterable of GatewayPart
+        Extensions of the messages on the stream.
+    """
 
     __slots__ = (
         "_address",
@@ -113,23 +141,24 @@
         self._store_subscriber = listener
         self.service = service
         self.active: Counter[tuple[str, AdapterKey]] = Counter()
-        """Requests of this instance by replica and weights."""
+        """Active requests of this instance by replica and weights."""
         self.gateways = 0
-        """Instances that the planner knows, 0 if it has not told."""
+        """Number of gateways connected to the planner, 0 if unknown."""
         self.is_followed = False
-        """Whether a planner has said something on the present stream."""
+        """Whether a planner has sent a message on the current stream."""
         self.has_resigned = False
-        """Whether the planner that is followed has said that a successor is to be looked for."""
+        """Whether the connected planner has requested that gateways search for a successor."""
         self.peers: list[str] = []
-        """Some other instances, as the planner last told."""
+        """Addresses of some other instances, from the planner's last list."""
         self.ask_first = False
-        """Whether the planner wants to be asked also for weights that are known here."""
+        """Whether the planner is to be asked even for weights whose locations are known here."""
         self.news_s = NEWS_S
-        """How long the planner gathers its news, in seconds."""
+        """Interval between the planner's updates, in seconds."""
         self._flush_s = FLUSH_S
         self._last_received_at = -math.inf
         self._loads_to_resend: set[str] = set()
-        """Replicas for which the planner has booked requests: it is told what really is there."""
+        """Replicas with requests booked by the planner; their actual load is sent with the next
+        message."""
         self._address = address
         self._instance = instance
         self._fleet = fleet
@@ -138,13 +167,13 @@
         self._results: list[pb.OrderResult] = []
         self._sent_owned: frozenset[str] | None = None
         self._stream_number = 0
-        """Number of the present stream: what belongs to an earlier one is not told on it."""
+        """Number of the current stream; results of orders from earlier streams are dropped."""
         self._clock_offset_s = math.inf
-        """The planner's clock is at most so much ahead of the clock here."""
+        """Upper bound of the difference of the planner's clock to the local clock, in seconds."""
         self._questions: dict[int, _Question] = {}
         self._sent_at = -math.inf
         self._disconnected_at = clock()
-        """Since when no planner is followed."""
+        """Time at which the connection to the last planner was lost, in seconds."""
         self._cancelled: list[int] = []
         self._changed: set[tuple[str, AdapterKey]] = set()
         self._started: Counter[tuple[str, AdapterKey]] = Counter()
@@ -154,31 +183,31 @@
         self._flush_requested = asyncio.Event()
         self._quotas = QuotaQuestions(clock, self.hurry)
         self._parts: tuple[GatewayPart, ...] = (self._quotas, *parts)
-        """What else is told on the stream."""
+        """Extensions of the messages on the stream."""
 
     async def ask_quota(
         self, organisation: str, tokens: int, until: float, applicant: Applicant
     ) -> pb.QuotaAnswer:
-        """Return the planner's answer for a quota; raises `TimeoutError`."""
+        """Send a quota request and return the answer; raises `TimeoutError`."""
         return await self._quotas.ask(organisation, tokens, until, applicant)
 
     def return_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
-        """Give back what was granted at a moment to a request that has not run."""
+        """Refund a quota granted at a given time to a request that did not run."""
         self._quotas.give_back(organisation, tokens, granted_at)
 
     @property
     def news_age_s(self) -> float:
-        """Time since the planner told something, in seconds."""
+        """Time since the last message from the planner, in seconds."""
         return self._clock() - self._last_received_at
 
     @property
     def missed_s(self) -> float:
-        """Time since the last planner was lost, in seconds; 0 while one is followed."""
+        """Time since the loss of the last planner, in seconds; 0 while one is connected."""
         return 0.0 if self.is_followed else self._clock() - self._disconnected_at
 
     @property
     def is_quiet(self) -> bool:
-        """Whether the planner may be lost: none is followed, or nothing has come when it should."""
+        """Whether the planner may be lost: none is connected, or its update is overdue."""
         return not self.is_followed or self.news_age_s > self.news_s + UPDATE_OVERDUE_S
 
     async def ask(
@@ -189,26 +218,26 @@
         has_choice: bool = False,
         should_give_up: t.Callable[[], bool] = lambda: False,
     ) -> pb.Answer:
-        """Return the planner's answer.
+        """Send a placement request and return the planner's answer.
 
         Parameters
         ----------
         ticket : int
-            Names the question on this stream.
+            Identifies the request on this stream.
         ask : Ask
-            The question.
+            The placement request.
         until : float
-            It is given up at the latest then.
+            Deadline, in seconds of the runtime's clock.
         has_choice : bool
-            Whether the asker knows what to do without an answer: it is given up as soon as the
+            Whether the caller can proceed without an answer; waiting then ends as soon as the
             planner may be lost.
         should_give_up : callable
-            Polled while waiting; the question is given up once it returns true.
+            Polled while waiting; waiting ends once it returns true.
 
         Raises
         ------
         TimeoutError
-            If it is given up.
+            If there is no answer by the deadline, or waiting ends early.
         """
         question = self._questions[ticket] = _Question(ask)
         self._flush_requested.set()
@@ -228,39 +257,40 @@
                 self._cancelled.append(ticket)
 
     def note(self, replica: str, key: AdapterKey, change: int, tokens: int = 0) -> None:
-        """Note that a request began (1), with a prompt of some tokens, or ended (-1)."""
+        """Count a request that started (1), with the tokens of its prompt, or ended (-1)."""
         use = (replica, key)
         self.active[use] += change
         if change > 0:
             self._started[use] += 1
             self._started_tokens[use] += tokens
-        rested_s = self._clock() - self._sent_at
+        since_sent_s = self._clock() - self._sent_at
         if (
             change > 0
             and self.active[use] == 1
-            and rested_s >= FIRST_USE_SPACING_FRACTION * self._flush_s
+            and since_sent_s >= FIRST_USE_SPACING_FRACTION * self._flush_s
         ):
-            # Told at once: until the planner knows, it may order the weights to be unloaded.
+            # Sent at once: until the planner receives it, it may order the engine to unload the
+            # weights.
             self._flush_requested.set()
         self._changed.add(use)
         self._wake.set()
 
     @property
     def flush_s(self) -> float:
-        """How long what is told is gathered, in seconds, unless it is to go out at once."""
+        """Batching interval of messages that are not urgent, in seconds."""
         return self._flush_s
 
     def tell_soon(self) -> None:
-        """Have what is to be told go out with the next message."""
+        """Include pending changes in the next regular message."""
         self._wake.set()
 
     def hurry(self) -> None:
-        """Tell the planner at once what has changed."""
+        """Send pending changes to the planner at once."""
         self._flush_requested.set()
         self._wake.set()
 
     async def follow(self, planner: PlannerAddress) -> None:
-        """Exchange messages with a planner until the stream breaks or it falls silent."""
+        """Exchange messages with a planner until the stream breaks or times out."""
         host, _, port = planner.address.rpartition(":")
         channel = Channel(host, int(port))
         for question in self._questions.values():
@@ -288,7 +318,12 @@
                     finally:
                         sender.cancel()
         except (GRPCError, ProtocolError, StreamTerminatedError, OSError, TimeoutError) as exc:
-            log.info("planner lost", service=self.service, owner=planner.owner, why=repr(exc))
+            log.info(
+                "connection to planner lost",
+                service=self.service,
+                owner=planner.owner,
+                why=repr(exc),
+            )
         finally:
             if self.is_followed:
                 self._disconnected_at = self._clock()
@@ -316,12 +351,12 @@
                 async with asyncio.timeout(self._flush_s):
                     await self._flush_requested.wait()
             except TimeoutError:
-                # No question came, so what is in use is told by now.
+                # No urgent request arrived; the batched changes are sent now.
                 pass
 
     def _message(self, first: bool) -> pb.FromGateway:
         self._sent_at = self._clock()
-        # Rounded down: the planner's clock seems further ahead by that.
+        # Rounded down, which can only overestimate the offset of the planner's clock.
         message = pb.FromGateway(sent_ms=math.floor(self._sent_at * 1000))
         if first:
             message.instance = self._instance
@@ -393,26 +428,26 @@
     def _carry_out(self, order: pb.EngineOrder) -> None:
         stream = self._stream_number
 
-        def tell(result: pb.OrderResult) -> None:
+        def report(result: pb.OrderResult) -> None:
             if stream == self._stream_number:
                 self._results.append(result)
                 self.hurry()
 
         if self._executor is not None:
-            self._executor.carry_out(order, tell)
+            self._executor.carry_out(order, report)
 
     def _take(self, message: pb.FromPlanner) -> None:
         self._last_received_at = self._clock()
         if message.gateways:
             self._apply_pacing(message)
         if message.HasField("echo") and message.echo.sent_ms:
-            ahead_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
-            self._clock_offset_s = min(self._clock_offset_s, ahead_s)
+            clock_offset_s = (message.echo.received_ms - message.echo.sent_ms) / 1000
+            self._clock_offset_s = min(self._clock_offset_s, clock_offset_s)
         if message.HasField("store") and self._store_subscriber is not None:
             self._store_subscriber.apply_update(message.store, self._clock_offset_s)
         if message.peers:
             self.peers = list(message.peers)
-        # Answers were made before the news that came with them were gathered.
+        # Answers were created before the state updates in the same message.
         for answer in message.answers:
             self._apply_placement(answer)
         for holdings in message.holdings:
@@ -422,14 +457,14 @@
             )
         if message.whole:
             self._fleet.clear_weight_locations(self.service)
-        for homes in message.homes:
+        for location in message.homes:
             self._fleet.set_weight_locations(
                 self.service,
-                AdapterKey(homes.model, homes.adapter),
-                {home.replica: home.version for home in homes.homes},
+                AdapterKey(location.model, location.adapter),
+                {holder.replica: holder.version for holder in location.homes},
             )
-        for told in message.loads:
-            self._apply_load(told, ReportedLoad())
+        for load in message.loads:
+            self._apply_load(load, ReportedLoad())
         if message.cut_off and self._executor is not None:
             self._executor.note_outage(message.cut_off)
         for order in message.orders:
@@ -443,7 +478,7 @@
                 question.fut.set_result(answer)
 
     def _apply_placement(self, answer: pb.Answer) -> None:
-        """Note that the weights of a question are on the replica that its answer names."""
+        """Record that the replica named in an answer holds the requested weights."""
         question = self._questions.get(answer.ticket)
         if question is not None and answer.replica:
             key = AdapterKey(question.ask.model, question.ask.adapter)
@@ -451,7 +486,7 @@
 
     def _apply_pacing(self, message: pb.FromPlanner) -> None:
         self.gateways = message.gateways
-        # A planner of an earlier version, as in a rolling restart, tells neither.
+        # Planners of earlier versions, as in a rolling upgrade, send neither interval.
         self.news_s = self._fleet.state_age_s = message.news_ms / 1000 or NEWS_S
         self._flush_s = message.flush_ms / 1000 or FLUSH_S
         self.ask_first = message.ask_first
@@ -459,14 +494,14 @@
         self.has_resigned = message.resigned
 
     def _apply_load(self, told: pb.Load, booked: ReportedLoad) -> None:
-        """Take over what runs at a replica.
+        """Apply the load of a replica.
 
         Parameters
         ----------
         told : pb.Load
-            Of all gateways.
+            Load summed over all gateways.
         booked : ReportedLoad
-            What the planner counts beyond that for a request of this instance.
+            Load that the planner has added for a request of this instance.
         """
         load = self._fleet.load(told.replica)
         own = self._sent_loads.get(told.replica, ReportedLoad())
@@ -477,12 +512,12 @@
             max(0, told.memory_tokens - own.memory - booked.memory),
         )
         if told.running > load.reported_running:
-            # Some instance had a first event from it.
+            # Some instance received a first event from the replica.
             self._fleet.health(told.replica).last_received_at = self._clock()
         load.reported_running = told.running
 
     def _apply_booking(self, answer: pb.Answer) -> None:
-        """Take over the state of the replica that an answer names, less what is booked there."""
+        """Apply the load of the replica named in an answer, less the booking for this request."""
         if not answer.replica:
             return
         self._loads_to_resend.add(answer.replica)
--- a/packages/gateway/src/gradelug_gateway/pacing.py
+++ b/packages/gateway/src/gradelug_gateway/pacing.py
@@ -1,38 +1,45 @@
-"""How often a planner and its gateways speak to each other, from how much there is to say."""
+"""Message intervals between a planner and its gateways, adjusted to the message rate.
+
+Used by a planner on every tick to set the interval of its updates and the batching interval of its
+gateways, so that its CPU load stays bounded in a large fleet.
+"""
 
 from __future__ import annotations
 
 NEWS_S = 0.05
-"""News are gathered this long and told to everybody in one message."""
+"""Minimum interval between the planner's updates to its gateways, in seconds."""
 UPDATE_INTERVAL_S_PER_GATEWAY = 0.003
-"""With many gateways news are rarer: telling them costs 330 messages a second however many."""
+"""Update interval per connected gateway, in seconds. It limits updates to about 330 messages a
+second in total."""
 MIN_HOLDINGS_INTERVAL_S = 1.0
-"""What is held is told no more often than this to gateways that ask first: it is most of the bytes
-of news, and they use it only while no planner answers."""
+"""Minimum interval between updates of held weights to gateways that ask the planner first, in
+seconds: held weights are most of the bytes of an update, and those gateways use them only while no
+planner responds."""
 FRESH_S = 0.1
-"""What is known of engines for longer does not tell where a request had better run: a load takes
-0.25 s, and callers want a first event within a second."""
+"""Maximum age of engine state that is useful to choose an engine, in seconds: a load takes 0.25 s,
+and callers want a first event within a second."""
 FLUSH_S = 0.04
-"""What ends and how much runs is told by a gateway in messages at least so far apart."""
+"""Minimum interval between a gateway's reports of its loads and ended requests, in seconds."""
 MAX_FLUSH_S_PER_GATEWAY = 0.0025
-"""The most that they are spaced, for each gateway: 400 messages a second however many."""
+"""Upper limit of the report interval per connected gateway, in seconds; 400 messages a second in
+total."""
 TARGET_MESSAGES_PER_S = 800.0
-"""Messages that a planner takes a second: 0.17 ms each, grpclib's part included, is a seventh of a
-core."""
+"""Target rate of messages received by a planner, per second: at 0.17 ms each, including grpclib, a
+seventh of a core."""
 STARTS_PER_S = 600.0
-"""Requests a second up to which each is asked for: 0.3 ms each is a fifth of a core. With more,
-gateways rely on what they were told of weights that are held."""
+"""Rate of requests up to which gateways ask the planner for each one, per second: at 0.3 ms each, a
+fifth of a core. Above it, gateways rely on their own copy of the locations of weights."""
 RATE_WINDOW_S = 1.0
-"""Time over which rates are taken."""
+"""Time window of the averaged rates, in seconds."""
 
 
 class Pacing:
-    """Rates of what gateways say, and what follows from them.
+    """Averaged rates of gateways' messages, and the intervals derived from them.
 
     Parameters
     ----------
     now : float
-        By the runtime's clock, in seconds.
+        Time of the runtime's clock, in seconds.
     """
 
     __slots__ = ("_at", "_gateways", "_messages", "_starts", "flush_s", "messages", "starts")
@@ -43,48 +50,49 @@
         self._messages = 0
         self._starts = 0
         self.messages = 0.0
-        """Messages of gateways a second."""
+        """Messages received from gateways, per second."""
         self.starts = 0.0
-        """Requests that begin a second."""
+        """Requests started by gateways, per second."""
         self.flush_s = FLUSH_S
-        """How long gateways are to gather what they tell, in seconds."""
+        """Interval at which gateways batch their reports, in seconds."""
 
     @property
     def news_s(self) -> float:
-        """How long news are gathered, in seconds."""
+        """Interval between the planner's updates, in seconds."""
         return max(NEWS_S, UPDATE_INTERVAL_S_PER_GATEWAY * self._gateways)
 
     @property
     def ask_first(self) -> bool:
-        """Whether gateways ask also for weights that they know of, since their news are old."""
+        """Whether gateways ask the planner even for weights with known locations, as their state is
+        stale."""
         return self.news_s > FRESH_S and self.starts <= STARTS_PER_S
 
     @property
     def holdings_interval_s(self) -> float:
-        """How long changes of what is held are gathered, in seconds."""
+        """Interval between updates of held weights, in seconds."""
         return max(MIN_HOLDINGS_INTERVAL_S, self.news_s) if self.ask_first else self.news_s
 
     def note_gateways(self, gateways: int) -> None:
-        """Note how many gateways there are."""
+        """Set the number of connected gateways."""
         if gateways > self._gateways:
-            # Those that come tell all at once; there is no rate of them yet.
+            # New gateways send their full state at once, and their rate is unknown yet.
             self.flush_s = max(self.flush_s, MAX_FLUSH_S_PER_GATEWAY * gateways)
         self._gateways = gateways
 
     def note_message(self, starts: int) -> None:
-        """Count a gateway's message, and the requests that it says have begun."""
+        """Count a message of a gateway, and the requests that it reports as started."""
         self._messages += 1
         self._starts += starts
 
     def step(self, now: float) -> None:
-        """Take the rates anew."""
-        passed_s = now - self._at
-        if passed_s <= 0:
+        """Update the averaged rates and the report interval of gateways."""
+        elapsed_s = now - self._at
+        if elapsed_s <= 0:
             return
-        weight = min(1.0, passed_s / RATE_WINDOW_S)
-        self.messages += weight * (self._messages / passed_s - self.messages)
-        self.starts += weight * (self._starts / passed_s - self.starts)
+        weight = min(1.0, elapsed_s / RATE_WINDOW_S)
+        self.messages += weight * (self._messages / elapsed_s - self.messages)
+        self.starts += weight * (self._starts / elapsed_s - self.starts)
         self._at, self._messages, self._starts = now, 0, 0
-        most_s = max(FLUSH_S, MAX_FLUSH_S_PER_GATEWAY * self._gateways)
-        wanted_s = self.flush_s * self.messages / TARGET_MESSAGES_PER_S
-        self.flush_s = min(most_s, max(FLUSH_S, wanted_s))
+        max_flush_s = max(FLUSH_S, MAX_FLUSH_S_PER_GATEWAY * self._gateways)
+        target_flush_s = self.flush_s * self.messages / TARGET_MESSAGES_PER_S
+        self.flush_s = min(max_flush_s, max(FLUSH_S, target_flush_s))
--- a/packages/gateway/src/gradelug_gateway/parts.py
+++ b/packages/gateway/src/gradelug_gateway/parts.py
@@ -1,6 +1,7 @@
-"""Parts of what a gateway and a planner tell each other, each a module of its own.
+"""Interfaces for extensions of the messages between gateways and planners.
 
-A part is registered with the link at the gateway and with the planner; neither knows what it says.
+Each extension is a module of its own. It is registered with a gateway's link and with the planner,
+and both treat its fields as opaque.
 """
 
 from __future__ import annotations
@@ -13,39 +14,40 @@
 
 
 class GatewayPart(t.Protocol):
-    """A part's end at a gateway, on its link to one planner."""
+    """Extension at a gateway, on its link to one planner."""
 
     def begin_stream(self) -> None:
-        """Note that another stream begins: what was said on the last one may not have arrived."""
+        """Reset for a new stream: messages sent on the last one may not have arrived."""
         ...
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Put what is to be told into a message."""
+        """Add fields to a message for the planner."""
         ...
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take over what the planner tells."""
+        """Process the fields of a message from the planner."""
         ...
 
 
 class PlannerPart(t.Protocol):
-    """A part's end at a planner, for all gateways that follow it.
+    """Extension at a planner, for all connected gateways.
 
-    Nothing of it outlives the planner: its successor learns anew from what gateways tell.
+    Its state does not survive the planner: a successor rebuilds it from the gateways' messages.
     """
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Take over what a gateway tells, `now` by the runtime's clock."""
+        """Process the fields of a gateway's message; `now` is the time of the runtime's clock, in
+        seconds."""
         ...
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Note that a gateway is not heard of any more."""
+        """Remove the state of a gateway that disconnected."""
         ...
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Put what all gateways are to be told into the news."""
+        """Add fields to the update for all gateways."""
         ...
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone or has begun another life."""
+        """Remove the state of a replica that is gone or was replaced by a new incarnation."""
         ...
--- a/packages/gateway/src/gradelug_gateway/pending.py
+++ b/packages/gateway/src/gradelug_gateway/pending.py
@@ -1,4 +1,4 @@
-"""News that wait until a gateway reads: later ones take the place of earlier ones."""
+"""Merging of state updates that a gateway has not read yet: newer facts replace older ones."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class ReplicaRecord(t.Protocol):
-    """What news tell of a replica."""
+    """Record of an update that concerns one replica."""
 
     replica: str
 
 
 class Pending:
-    """What one gateway is to be told with its next news.
+    """Merged update that waits to be sent to one gateway.
 
-    However slowly it reads, that is one message with the newest of each replica, and the names of
-    what it uses.
+    However slowly the gateway reads, the queued data is bounded to one message with the newest
+    record of each replica and the keys of the weights that it uses.
 
     Parameters
     ----------
     complete : callable
-        Adds to a message what this gateway alone is told.
+        Adds the state that only this gateway receives, when the message is read.
     """
 
     __slots__ = ("_complete", "_news", "_store", "is_whole", "keys", "replicas", "location_subsets")
@@ -40,27 +40,29 @@
         self._news: pb.FromPlanner | None = None
         self._store: pb.StoreNews | None = None
         self.keys: set[AdapterKey] = set()
-        """Weights of which it is to be told where they are, or that it is not told of any more."""
+        """Weights whose locations are to be sent, or removed at the gateway."""
         self.is_whole = True
-        """Whether it is to be told of all weights that it uses, and to forget of others."""
+        """Whether the next update lists all weights that the gateway uses, and removes all others
+        there."""
         self.location_subsets: dict[AdapterKey, dict[str, int]] = {}
-        """What it was told of weights that very many replicas have."""
+        """Locations sent for weights that very many replicas hold, by weights and replica, with
+        versions."""
         self.replicas: set[str] = set()
-        """Replicas of which it is to be told what runs there."""
+        """Replicas whose load is to be sent."""
 
     @property
     def is_waiting(self) -> bool:
-        """Whether there are news that were not read."""
+        """Whether an update has not been read yet."""
         return self._news is not None
 
     def add(self, news: pb.FromPlanner, store: pb.StoreNews | None) -> None:
-        """Have news told, which others are told as well."""
+        """Merge in an update that other gateways receive as well."""
         self._news = news if self._news is None else merge_news(self._news, news)
         if store is not None:
             self._store = store if self._store is None else merge_store(self._store, store)
 
     def take(self, follower: Follower) -> pb.FromPlanner | None:
-        """Return the news as they are now, None if there are none."""
+        """Return and clear the update, None if there is none."""
         news, self._news = self._news, None
         if news is None:
             return None
@@ -74,14 +76,14 @@
 
 
 def merge_news(old: pb.FromPlanner, new: pb.FromPlanner) -> pb.FromPlanner:
-    """Return what is to be told instead of two messages of news."""
+    """Return one update that replaces two; records of the newer one take precedence."""
     merged = pb.FromPlanner()
     merged.CopyFrom(new)
     _keep_newest(old.holdings, merged.holdings)
     _keep_newest(old.loads, merged.loads)
-    found = {(verdict.replica, verdict.hall) for verdict in new.verdicts}
+    newer_verdicts = {(verdict.replica, verdict.hall) for verdict in new.verdicts}
     merged.verdicts.extend(
-        verdict for verdict in old.verdicts if (verdict.replica, verdict.hall) not in found
+        verdict for verdict in old.verdicts if (verdict.replica, verdict.hall) not in newer_verdicts
     )
     _keep_newest(old.speeds, merged.speeds)
     _keep_newest(old.limits, merged.limits)
@@ -92,19 +94,21 @@
 
 
 def merge_store(old: pb.StoreNews, new: pb.StoreNews) -> pb.StoreNews:
-    """Return what is to be told of the store instead of two messages."""
+    """Return one store update that replaces two; records of the newer one take precedence."""
     merged = pb.StoreNews()
     merged.CopyFrom(new)
     merged.look |= old.look
     if old.HasField("config_entry") and not new.HasField("config_entry"):
         merged.config_entry.CopyFrom(old.config_entry)
     _keep_newest(old.replicas, merged.replicas)
-    told = {(fact.model, fact.adapter) for fact in new.versions}
-    merged.versions.extend(fact for fact in old.versions if (fact.model, fact.adapter) not in told)
+    newer_versions = {(fact.model, fact.adapter) for fact in new.versions}
+    merged.versions.extend(
+        fact for fact in old.versions if (fact.model, fact.adapter) not in newer_versions
+    )
     return merged
 
 
 def _keep_newest(old: t.Iterable[ReplicaRecord], merged: t.Any) -> None:
-    """Add what was told of replicas of which nothing newer is told."""
-    told = {fact.replica for fact in merged}
-    merged.extend(fact for fact in old if fact.replica not in told)
+    """Add the old records of replicas that have no newer record."""
+    newer_replicas = {fact.replica for fact in merged}
+    merged.extend(fact for fact in old if fact.replica not in newer_replicas)
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -1,4 +1,8 @@
-"""Being a service's planner: elected, reached by the other instances, replaced when lost."""
+"""A service's planner role: election, the planner's lifetime, and the gRPC service for gateways.
+
+Each instance that may plan runs an election for the role. The elected one runs a planner, which
+gateways connect to; when it is lost, another instance is elected.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +22,26 @@
 
 log = logbook.Logger("placement")
 SEND_SPACING_S = 0.005
-"""What is to be told within this time goes out together."""
+"""Batching interval of messages to a gateway, in seconds."""
 LOOK_S = 0.05
 GATEWAY_TIMEOUT_S = 2.5
-"""A gateway says something every 0.5 s and the gathering of its news (0.9 s with 370 gateways); of
-one that says nothing for so long the stream has fallen silent. What it ran is forgotten."""
+"""Timeout after which a gateway that sends nothing is disconnected and its requests are dropped, in
+seconds. A gateway sends a message at least every 0.5 s plus its batching interval (0.9 s at 370
+gateways)."""
 
 
 class Duty:
-    """The duty of planning for one service, held or not.
+    """The planner role of one service on this instance, whether or not it is held.
 
     Parameters
     ----------
     election : Election
-        Decides who holds it.
+        Elects the instance that holds the role.
     make : callable
-        Makes a fresh planner.
+        Creates a new planner.
     strength : float
-        How well this instance can plan: a weak one lets a strong one have the duty.
+        Fitness of this instance to plan: it gives the role up to a fully capable instance (1) if it
+        is below that.
     """
 
     __slots__ = ("_make_planner", "_strength", "election", "planner")
@@ -49,44 +55,44 @@
         self.planner: Planner | None = None
 
     def address(self) -> PlannerAddress | None:
-        """Return where the planner is."""
+        """Return the address of the elected planner, None if there is none."""
         record = self.election.record()
         return PlannerAddress(record.owner, record.address, record.fence) if record else None
 
     async def resign(self) -> None:
-        """Give the duty up; its gateways look for a successor at once."""
+        """Give up the role, and make connected gateways search for a successor at once."""
         await self.election.resign()
         if self.planner is not None:
             self.planner.followers.resign()
 
     async def run(self) -> None:
-        """Stand for the duty and plan while it is held, until cancelled."""
-        standing = asyncio.create_task(self.election.run())
+        """Take part in the election, and plan while the role is held, until cancelled."""
+        election_task = asyncio.create_task(self.election.run())
         try:
             while True:
                 if self.election.fence:
                     await self._run_planner()
                 await asyncio.sleep(LOOK_S)
         finally:
-            standing.cancel()
+            election_task.cancel()
 
     async def _run_planner(self) -> None:
         fence = self.election.fence
         planner = self.planner = self._make_planner()
-        planning = asyncio.create_task(planner.run())
-        acted = has_stepped_aside = False
+        planner_task = asyncio.create_task(planner.run())
+        was_acting = has_stepped_aside = False
         try:
-            while self.election.fence and not planning.done():
+            while self.election.fence and not planner_task.done():
                 if self.election.fence != fence:
-                    # It was entered again, and not lost in between.
-                    fence, acted = self.election.fence, False
+                    # The role was renewed under a new token without being lost in between.
+                    fence, was_acting = self.election.fence, False
                     planner.end_term()
                 if planner.is_outranked:
                     self.election.lose()
                     return
                 may_act = self.election.may_act()
-                if may_act != acted:
-                    acted = may_act
+                if may_act != was_acting:
+                    was_acting = may_act
                     if may_act:
                         planner.begin_term(fence)
                     else:
@@ -94,27 +100,33 @@
                     log.info("planner", service=planner.service, fence=fence, acts=may_act)
                 if not has_stepped_aside and planner.followers.has_stronger(self._strength):
                     has_stepped_aside = True
-                    log.info("a stronger instance is to plan", service=planner.service)
+                    log.info("stepping aside for a fully capable instance", service=planner.service)
                     planner.followers.resign()
                     await self.election.step_aside()
                 await asyncio.sleep(LOOK_S)
         finally:
             planner.end_term()
-            planning.cancel()
+            planner_task.cancel()
             self.planner = None
-            if planning.done() and not planning.cancelled() and planning.exception() is not None:
-                log.error("planner failed", service=planner.service, why=repr(planning.exception()))
+            if (
+                planner_task.done()
+                and not planner_task.cancelled()
+                and planner_task.exception() is not None
+            ):
+                log.error(
+                    "planner failed", service=planner.service, why=repr(planner_task.exception())
+                )
 
 
 class PlacementService(PlacementBase):
-    """Serves the streams of gateways.
+    """Implements the gRPC service that gateways and peers call.
 
     Parameters
     ----------
     duties : mapping of str to Duty
-        By service.
+        Planner roles by service.
     locate : callable
-        Returns the planner of a service that this instance knows of, or None.
+        Returns the address of a service's planner as known here, or None.
     """
 
     def __init__(
@@ -126,16 +138,16 @@
         self._locate = locate
 
     async def Locate(self, stream: t.Any) -> None:  # noqa: N802
-        """Tell a peer which planner this instance knows of."""
-        where = await stream.recv_message()
-        found = self._locate(where.service) if where is not None else None
+        """Return the planner address known to this instance."""
+        request = await stream.recv_message()
+        found = self._locate(request.service) if request is not None else None
         reply = pb.Planner()
         if found is not None:
             reply = pb.Planner(owner=found.owner, address=found.address, fence=found.fence)
         await stream.send_message(reply)
 
     async def Follow(self, stream: t.Any) -> None:  # noqa: N802
-        """Exchange messages with a gateway until either end leaves."""
+        """Exchange messages with a gateway until either side closes the stream."""
         first = await stream.recv_message()
         if first is None:
             return
@@ -144,7 +156,7 @@
         if planner is None:
             raise GRPCError(Status.UNAVAILABLE, "this instance does not plan for the service")
         gateway = planner.join(first.instance, first.address)
-        telling = asyncio.create_task(_send_messages(stream, gateway))
+        sender = asyncio.create_task(_send_messages(stream, gateway))
         try:
             planner.take(gateway, first)
             while (message := await _receive_message(stream)) is not None:
@@ -152,19 +164,19 @@
                     return
                 planner.take(gateway, message)
         except StreamTerminatedError as exc:
-            log.info("gateway left", instance=gateway.instance, why=str(exc))
+            log.info("gateway disconnected", instance=gateway.instance, why=str(exc))
         except TimeoutError:
-            log.info("gateway silent", instance=gateway.instance, after_s=GATEWAY_TIMEOUT_S)
+            log.info("gateway timed out", instance=gateway.instance, after_s=GATEWAY_TIMEOUT_S)
         except Exception as exc:
-            log.error("a gateway's stream failed", instance=gateway.instance, why=repr(exc))
+            log.error("gateway stream failed", instance=gateway.instance, why=repr(exc))
             raise
         finally:
-            telling.cancel()
+            sender.cancel()
             planner.leave(gateway)
 
 
 async def _receive_message(stream: t.Any) -> pb.FromGateway | None:
-    """Return a gateway's next message; raises `TimeoutError` if it falls silent."""
+    """Return a gateway's next message; raises `TimeoutError` if none arrives in time."""
     async with asyncio.timeout(GATEWAY_TIMEOUT_S):
         return t.cast("pb.FromGateway | None", await stream.recv_message())
 
--- a/packages/gateway/src/gradelug_gateway/relay.py
+++ b/packages/gateway/src/gradelug_gateway/relay.py
@@ -1,9 +1,9 @@
-"""A planner's orders, given by the instances that own the engines.
+"""Forwarding of a planner's orders to the instances that own the engines.
 
-Engines that check no fencing tokens bear one giver of orders at a time. So that the loss of an
-instance holds up its own engines alone, each engine has an owner among the instances. The planner
-decides for all engines, needs to own none, and may be replaced at any moment: engines' owners carry
-out what the newest one decides.
+Engines that check no fencing tokens tolerate only one sender of orders at a time. So that the loss
+of an instance delays orders for its own engines alone, each engine has an owner among the
+instances. The planner decides for all engines, needs to own none, and may be replaced at any
+moment: the owners execute the decisions of the newest planner.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 log = logbook.Logger("relay")
 ANSWER_S = 0.25
-"""An owner tells how an order was taken within this: its own wait for the engine (0.12 s), two ways
-between instances, and the gathering of messages at both ends."""
+"""Timeout for an owner to report an order's result, in seconds: includes the owner's own timeout
+for the engine (0.12 s), a round trip between instances, and batching of messages at both ends."""
 
 
 class OrderRelay:
@@ -30,7 +30,7 @@
     Parameters
     ----------
     transport : OrderTransport
-        Reads the state of engines, which anybody may.
+        Reads the state of engines, which needs no ownership.
     """
 
     __slots__ = ("_owners", "_pending", "_tickets", "_transport")
@@ -38,16 +38,16 @@
     def __init__(self, transport: OrderTransport) -> None:
         self._transport = transport
         self._owners: dict[str, Follower] = {}
-        """Who says that it may order an engine, by the engine's name."""
+        """Connected gateway that reports ownership of an engine, by the engine's name."""
         self._pending: dict[int, tuple[Follower, asyncio.Future[OrderOutcome]]] = {}
         self._tickets = itertools.count(1)
 
     def may_order(self, replica: Replica) -> bool:
-        """Tell whether an engine's owner is known and follows the planner."""
+        """Return whether an engine's owner is known and connected to the planner."""
         return replica.name in self._owners
 
     async def order(self, replica: Replica, order: Order) -> OrderOutcome:
-        """Have an order given by the engine's owner."""
+        """Send an order through the engine's owner, and return its outcome."""
         owner = self._owners.get(replica.name)
         if owner is None:
             return OrderOutcome.NOT_GIVEN
@@ -59,17 +59,21 @@
             async with asyncio.timeout(ANSWER_S):
                 return await fut
         except TimeoutError:
-            log.info("no word of an order", replica=replica.name, owner=owner.instance)
+            log.info(
+                "order timed out: no result from the engine's owner",
+                replica=replica.name,
+                owner=owner.instance,
+            )
             return OrderOutcome.LOST
         finally:
             del self._pending[ticket]
 
     async def report(self, replica: Replica) -> EngineReport | None:
-        """Return the engine's state, None if it cannot be had."""
+        """Return the engine's state, None if it is not available."""
         return await self._transport.report(replica)
 
     def take(self, follower: Follower, message: pb.FromGateway) -> None:
-        """Take what a gateway says of its engines and of orders that it gave."""
+        """Process a gateway's report of its owned engines and of results of orders."""
         if message.HasField("owned"):
             self._remove_ownership(follower)
             for name in message.owned.replicas:
@@ -79,7 +83,7 @@
             self._resolve(result.ticket, outcome)
 
     def forget(self, follower: Follower) -> None:
-        """Take a gateway for gone: whether it gave its last orders is not known."""
+        """Remove a disconnected gateway; the outcome of its outstanding orders is unknown."""
         self._remove_ownership(follower)
         for ticket, (owner, _) in list(self._pending.items()):
             if owner is follower:
--- a/packages/gateway/src/gradelug_gateway/scope.py
+++ b/packages/gateway/src/gradelug_gateway/scope.py
@@ -1,7 +1,7 @@
-"""What each gateway uses, so that it is told of that and of nothing else.
+"""Weights that each gateway uses, which limit the state updates sent to it in a large fleet.
 
-A gateway uses weights that it asked for or began to use in the last seconds, and those under which
-it runs requests now.
+A gateway uses weights that it requested within the retention time, and weights of its active
+requests.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from .model import AdapterKey
 
 SCOPE_RETENTION_S = 10.0
-"""Weights are used for so long after the last request for them: what is asked for every few seconds
-stays known, so that a request for it finds its engine also while no planner answers."""
+"""Retention of weights after the last request for them, in seconds. Locations of weights requested
+every few seconds stay known, so that a request can be placed while no planner responds."""
 MAX_SCOPE_KEYS = 1024
-"""Weights that one gateway is told of at most: 27 requests a second for other weights each in
-`SCOPE_RETENTION_S` are 270."""
+"""Maximum number of weights in one gateway's scope: 27 requests a second for distinct weights
+amount to 270 within `SCOPE_RETENTION_S`."""
 
 
 class _GatewayScope:
@@ -23,13 +23,13 @@
 
     def __init__(self) -> None:
         self.used_at: dict[AdapterKey, float] = {}
-        """When weights were used last, those of the longest ago first."""
+        """Time of the last use by weights, oldest first, in seconds of the runtime's clock."""
         self.runs: dict[AdapterKey, set[str]] = {}
-        """Replicas on which requests run, by weights."""
+        """Names of replicas with active requests, by weights."""
 
 
 class Scopes:
-    """What each gateway uses, and who uses what; gateways go by their numbers."""
+    """Weights used by each gateway, and gateways by weights; gateways are identified by number."""
 
     __slots__ = ("_gateways", "_watchers")
 
@@ -38,7 +38,7 @@
         self._watchers: dict[AdapterKey, dict[int, None]] = {}
 
     def note(self, number: int, key: AdapterKey, now: float) -> bool:
-        """Note that a gateway uses weights; tell whether it did not before."""
+        """Record that a gateway uses weights; return whether they are new in its scope."""
         gateway = self._gateways.setdefault(number, _GatewayScope())
         is_new = gateway.used_at.pop(key, None) is None
         gateway.used_at[key] = now
@@ -47,7 +47,7 @@
         return is_new
 
     def note_run(self, number: int, key: AdapterKey, replica: str, active: int, now: float) -> bool:
-        """Note how many requests run under weights; tell whether its gateway did not use them."""
+        """Record a replica's active requests for weights; return whether the weights are new."""
         is_new = self.note(number, key, now)
         runs = self._gateways[number].runs
         if active:
@@ -59,18 +59,19 @@
         return is_new
 
     def used_keys(self, number: int) -> t.KeysView[AdapterKey]:
-        """Return what a gateway uses."""
+        """Return the weights that a gateway uses."""
         gateway = self._gateways.get(number)
         return gateway.used_at.keys() if gateway is not None else {}.keys()
 
     def watchers(self, key: AdapterKey) -> t.Collection[int]:
-        """Return the gateways that use weights."""
+        """Return the numbers of the gateways that use weights."""
         return self._watchers.get(key, ())
 
     def expire(self, number: int, now: float) -> list[AdapterKey]:
-        """Drop and return what a gateway does not use any more.
+        """Remove and return the weights that have left a gateway's scope.
 
-        Its cost goes with what is dropped and with what runs for longer than `SCOPE_RETENTION_S`.
+        The running time grows with the weights removed and with those whose requests run for longer
+        than `SCOPE_RETENTION_S`.
         """
         gateway = self._gateways.get(number)
         if gateway is None:
@@ -90,7 +91,7 @@
         return dropped
 
     def leave(self, number: int) -> None:
-        """Forget a gateway."""
+        """Remove a gateway."""
         gateway = self._gateways.pop(number, None)
         for key in gateway.used_at if gateway is not None else ():
             self._unwatch(number, key)
--- a/packages/gateway/src/gradelug_gateway/search.py
+++ b/packages/gateway/src/gradelug_gateway/search.py
@@ -1,4 +1,8 @@
-"""Where a service's planner is, and how one that is missed is looked for."""
+"""Address of a service's planner, and the search for a new one after its loss.
+
+Used by a gateway that has no connection to a planner: it polls the platform store with growing
+intervals and queries its peers.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +19,29 @@
 
 log = logbook.Logger("search")
 LOOK_S = 0.1
-"""How often it is looked whether there is a newer planner than the one that is followed."""
+"""Interval at which a gateway checks for a newer planner, in seconds."""
 GATEWAYS_PER_POLL_INTERVAL = 20
-"""While a planner is missed, so many gateways look at the store as often as one would: each 0.1 s,
-195 of them are 1,950 calls a second."""
+"""Number of gateways that may poll the store in each interval during a search: at 0.1 s, 195
+gateways would make 1,950 calls a second."""
 POLL_BACKOFF_FACTOR = 1.25
 MAX_POLL_INTERVAL_UNKNOWN_FLEET_S = 0.5
-"""While it is not known how many gateways there are, looks are at most this far apart."""
+"""Maximum polling interval while the number of gateways is unknown, in seconds."""
 PEER_TIMEOUT_S = 0.3
-"""A peer that knows answers in a round trip."""
+"""Timeout of a query to a peer, in seconds; a peer responds within a round trip."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlannerAddress:
-    """Where a service's planner is.
+    """Address of a service's planner.
 
     Parameters
     ----------
     owner : str
-        Name of its instance.
+        Name of the instance that plans.
     address : str
         ``IP:port``.
     fence : int
-        Its fencing token.
+        Fencing token of the planner.
     """
 
     owner: str
@@ -46,12 +50,12 @@
 
 
 class Search:
-    """Paces the looks for a planner that is missed: each pause is longer than the one before.
+    """Limits the rate of polls for a new planner; the interval grows with each poll.
 
     Parameters
     ----------
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     """
 
     __slots__ = ("_clock", "_due_at", "_interval_s")
@@ -61,41 +65,41 @@
         self.found()
 
     def found(self) -> None:
-        """Begin anew with the next search."""
+        """Reset the interval for the next search."""
         self._due_at = -math.inf
         self._interval_s = LOOK_S
 
     def is_due(self, gateways: int) -> bool:
-        """Tell whether to look now; the next look is due after a pause.
+        """Return whether to poll now, and if so schedule the next poll.
 
         Parameters
         ----------
         gateways : int
-            Instances that search, 0 if unknown.
+            Number of gateways that search, 0 if unknown.
         """
         now = self._clock()
         if now < self._due_at:
             return False
-        most_s = (
+        max_interval_s = (
             LOOK_S * gateways / GATEWAYS_PER_POLL_INTERVAL
             if gateways
             else MAX_POLL_INTERVAL_UNKNOWN_FLEET_S
         )
-        # The loops that look are a little early or late.
+        # Allows for polling loops that run slightly early or late.
         self._due_at = now + 0.9 * self._interval_s
-        self._interval_s = max(LOOK_S, min(most_s, self._interval_s * POLL_BACKOFF_FACTOR))
+        self._interval_s = max(LOOK_S, min(max_interval_s, self._interval_s * POLL_BACKOFF_FACTOR))
         return True
 
 
 async def ask_where(address: str, service: str) -> PlannerAddress | None:
-    """Return the planner that a peer knows of, None if it cannot tell."""
+    """Query a peer for a service's planner; None if it knows none or does not respond."""
     host, _, port = address.rpartition(":")
     channel = Channel(host, int(port))
     try:
         async with asyncio.timeout(PEER_TIMEOUT_S):
             reply = await PlacementStub(channel).Locate(pb.Where(service=service))
     except (GRPCError, ProtocolError, StreamTerminatedError, OSError, TimeoutError) as exc:
-        log.info("a peer does not answer", address=address, why=repr(exc))
+        log.info("peer did not respond", address=address, why=repr(exc))
         return None
     finally:
         channel.close()
--- a/packages/gateway/src/gradelug_gateway/share_log.py
+++ b/packages/gateway/src/gradelug_gateway/share_log.py
@@ -1,4 +1,4 @@
-"""The log line of a request that waited for room beside others: how its owner stood."""
+"""Log line that explains by which fair share a waiting request was placed or refused."""
 
 from __future__ import annotations
 
@@ -10,8 +10,20 @@
 
 
 def tell_standing(request: str, party: Party, urgency: int, answer: pb.Answer) -> None:
-    """Log by what a request had its turn or was refused; only while engines are full."""
-    stands = answer.standing
+    """Log the share that decided over a request; called only while engines are full.
+
+    Parameters
+    ----------
+    request : str
+        Identifier of the request.
+    party : Party
+        Owner and kind of the request.
+    urgency : int
+        Urgency of the request, 0 for the highest.
+    answer : pb.Answer
+        Answer of the planner, with the owner's share and the waiting requests.
+    """
+    share = answer.standing
     log.info(
         "share",
         id=request,
@@ -19,12 +31,12 @@
         kind=party.kind,
         urgency=urgency,
         outcome="placed" if answer.replica else "refused",
-        part=round(stands.part, 3),
-        fair=round(stands.fair, 3),
-        yields=stands.yields,
-        kind_over=stands.kind_over,
-        waiting=stands.waiting,
-        owners=stands.owners,
-        held_s=stands.held_ms / 1000,
-        age_s=stands.age_ms / 1000,
+        part=round(share.part, 3),
+        fair=round(share.fair, 3),
+        yields=share.yields,
+        kind_over=share.kind_over,
+        waiting=share.waiting,
+        owners=share.owners,
+        held_s=share.held_ms / 1000,
+        age_s=share.age_ms / 1000,
     )
--- a/packages/gateway/src/gradelug_gateway/share_tally.py
+++ b/packages/gateway/src/gradelug_gateway/share_tally.py
@@ -1,4 +1,8 @@
-"""What requests use of engines, counted where they are sent and told to the planner."""
+"""Accounting of the engine capacity that requests use, reported to the planner for fair sharing.
+
+Used by a gateway: requests are counted when they are sent, and the totals go out with its next
+message to the planner.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +16,21 @@
 from .values import OUTPUT_WEIGHT
 
 NOBODY = ""
-"""Owner of requests that no key tells of, where there are organisations."""
+"""Owner of requests that no API key identifies, where the configuration names organisations."""
 MOST_UNTOLD = 512
-"""So many parties are counted until the next message; what others use is not told."""
+"""Maximum number of parties counted until the next message; usage of others is not reported."""
 NOT_RUN = frozenset(
     {Outcome.NOT_SENT, Outcome.NOT_RUN, Outcome.FULL, Outcome.ABSENT, Outcome.LIMITED}
 )
 
 
 class PartyUsage:
-    """What a party used since it was told last.
+    """Usage of a party since it was last reported.
 
     Parameters
     ----------
     since : float
-        When it was first counted, by the runtime's clock.
+        Time of the first counted request, by the runtime's clock, in seconds.
     """
 
     __slots__ = ("requests", "since", "tokens")
@@ -38,7 +42,7 @@
 
 
 def party_of(job: Job, has_organisations: bool) -> Party:
-    """Return whose a request is, and of which kind."""
+    """Return the party that a request counts for: its owner and the kind of request."""
     if job.principal is not None:
         return Party(job.principal.organisation.name, job.route.name)
     key = job.req.key
@@ -48,21 +52,21 @@
 
 
 def cost(prompt_tokens: int, answer_tokens: int) -> int:
-    """Return what a request uses, in tokens read; the longest answer counts."""
+    """Return the cost of a request in prompt tokens, for the longest possible answer."""
     return prompt_tokens + OUTPUT_WEIGHT * answer_tokens
 
 
 class ShareTally:
-    """Counts what parties use of the engines of each service, until it is told.
+    """Counts the engine usage of parties by service, until it is reported.
 
     Parameters
     ----------
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     meters : Meters
-        Counts tokens and waits by organisation.
+        Metrics of tokens and waiting times by organisation.
     has_organisations : callable
-        Tells whether the configuration in force names any.
+        Returns whether the configuration in force names any organisations.
     """
 
     __slots__ = ("_clock", "_has_organisations", "_meters", "_unreported")
@@ -79,7 +83,7 @@
         self._unreported: dict[str, dict[Party, PartyUsage]] = {}
 
     def party(self, job: Job) -> Party:
-        """Return whose a request is."""
+        """Return the party that a request counts for."""
         return party_of(job, self._has_organisations())
 
     def begin(self, job: Job) -> None:
@@ -91,39 +95,39 @@
         self._meters.engine_use(name, tokens, job.placed_s)
 
     def end(self, job: Job, outcome: Outcome) -> None:
-        """Take back what a request did not use after all."""
+        """Subtract the cost of a request that ended without running on an engine."""
         if job.service.engine is not None and outcome in NOT_RUN:
             self._note(job, -1)
 
     def take(self, service: str) -> dict[Party, PartyUsage]:
-        """Return what was used since the last call, and begin anew."""
+        """Return and clear the usage of a service since the last call."""
         return self._unreported.pop(service, {})
 
     def _note(self, job: Job, sign: int) -> int:
         tokens = cost(job.work.prompt_tokens, job.work.answer_tokens)
-        untold = self._unreported.setdefault(job.service.name, {})
+        unreported = self._unreported.setdefault(job.service.name, {})
         party = self.party(job)
-        amount = untold.get(party)
+        amount = unreported.get(party)
         if amount is None:
-            if len(untold) >= MOST_UNTOLD:
+            if len(unreported) >= MOST_UNTOLD:
                 return tokens
-            amount = untold[party] = PartyUsage(self._clock())
+            amount = unreported[party] = PartyUsage(self._clock())
         amount.tokens += sign * tokens
         amount.requests += sign
         return tokens
 
 
 class ShareTeller:
-    """Implements `parts.GatewayPart` for what parties use.
+    """Implements `parts.GatewayPart`: reports the usage of parties to a planner.
 
     Parameters
     ----------
     service : str
-        Of whose engines.
+        Name of the service whose engines are counted.
     tally : ShareTally
-        What was used.
+        Usage of the parties.
     clock : callable
-        The runtime's clock.
+        Returns the time of the runtime's clock, in seconds.
     """
 
     __slots__ = ("_clock", "_service", "_tally")
@@ -134,11 +138,11 @@
         self._clock = clock
 
     def begin_stream(self) -> None:
-        """Forget what was not told: the next planner begins with equal parties."""
+        """Drop unreported usage: the next planner starts with equal shares for all parties."""
         self._tally.take(self._service)
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Tell what was used since the last message."""
+        """Add the usage since the last message."""
         now = self._clock()
         for party, amount in self._tally.take(self._service).items():
             message.party_uses.add(
@@ -150,4 +154,4 @@
             )
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take nothing: how parties stand is told with the answers."""
+        """Do nothing: fair shares are sent with the answers to placement requests."""
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -1,4 +1,7 @@
-"""What a request is worth next to others: by its route's rank, its size, the place it holds."""
+"""Relative value of a request, from the rank of its route, its size and the time it holds a slot.
+
+Sent to the planner with each placement request.
+"""
 
 from __future__ import annotations
 
@@ -11,31 +14,33 @@
 from .model import Request, Route
 
 VALUE_FACTOR_PER_RANK = 0.72
-"""Each rank is worth this part of the one before; sheets of both users fall about so."""
+"""Factor by which a request's value falls with each rank; both users' price sheets fall at about
+this rate."""
 OUTPUT_WEIGHT = 10
-"""A token generated costs about as much as ten that are read."""
+"""Cost of a generated token, in prompt tokens."""
 SLOT_HOLD_S = 0.35
 SLOT_HOLD_S_PER_TOKEN = 0.012
-"""A request holds the place of its adapter this long, and so much longer for each token that it
-may generate: a batch makes a token in 10 to 20 ms."""
+"""Estimated time for which a request holds its adapter's slot, in seconds, plus the time per token
+that it may generate: a batch generates a token in 10 to 20 ms."""
 SLOT_HOLD_EXPONENT = 0.3
-"""How much that counts; at 0.5 the most urgent kind was served less often than the others."""
+"""Exponent of the slot time in a request's value; at 0.5 the most urgent kind was served less often
+than the others."""
 SIZE_WEIGHT = 0.7
 """Part of a request's value that grows with its size."""
 MAX_SIZE_FACTOR = 4.0
 SIZE_SMOOTHING = 0.02
-"""Share of the newest size in a route's mean."""
+"""Weight of the newest size in a route's moving average."""
 
 
 def mark(req: Request) -> int:
-    """Return a number that all tries of a request have in common, and few others."""
+    """Return a non-zero hash that is equal for all attempts of a request, and rarely for others."""
     weights = req.key.text if req.key is not None else ""
     sizes = f"{weights} {req.prompt_tokens} {req.max_answer_tokens} {len(req.body)}"
     return zlib.crc32(sizes.encode(), zlib.crc32(req.target)) or 1
 
 
 class RequestValues:
-    """Learns the usual size and waiting time of each route's requests."""
+    """Tracks the average size and longest waiting time of each route's requests."""
 
     __slots__ = ("_longest_wait", "_mean_size")
 
@@ -44,25 +49,38 @@
         self._longest_wait: dict[str, float] = {}
 
     def work(self, rank: int, req: Request, chain: PrefixChain | None = None) -> RequestWork:
-        """Return what a request of some urgency asks of an engine."""
+        """Return the engine work of a request.
+
+        Parameters
+        ----------
+        rank : int
+            Urgency, 0 for the highest; it is capped below that of late requests.
+        req : Request
+            The request.
+        chain : PrefixChain or None
+            Cacheable prefixes of its prompt.
+        """
         return RequestWork(
             req.prompt_tokens, min(rank, LATE_URGENCY - 1), req.max_answer_tokens, chain
         )
 
     def value(self, route: Route, rank: int, req: Request) -> float:
-        """Return what an answer in time is worth, 1 for an ordinary request of rank 0."""
+        """Return the value of an answer in time, about 1 for an ordinary request of rank 0."""
         size = req.prompt_tokens + OUTPUT_WEIGHT * req.max_answer_tokens
         mean = self._mean_size.get(route.name, size)
         self._mean_size[route.name] = mean + SIZE_SMOOTHING * (size - mean)
-        part = 1 - SIZE_WEIGHT + SIZE_WEIGHT * (size / mean if mean else 1.0)
-        # Places are what is scarce, and a long request holds one for long.
-        place_s = SLOT_HOLD_S + SLOT_HOLD_S_PER_TOKEN * req.max_answer_tokens
+        size_factor = 1 - SIZE_WEIGHT + SIZE_WEIGHT * (size / mean if mean else 1.0)
+        # Slots are the scarce resource, and a request with a long answer holds one for longer.
+        slot_hold_s = SLOT_HOLD_S + SLOT_HOLD_S_PER_TOKEN * req.max_answer_tokens
         return (
-            VALUE_FACTOR_PER_RANK**rank * min(MAX_SIZE_FACTOR, part) / place_s**SLOT_HOLD_EXPONENT
+            VALUE_FACTOR_PER_RANK**rank
+            * min(MAX_SIZE_FACTOR, size_factor)
+            / slot_hold_s**SLOT_HOLD_EXPONENT
         )
 
     def longest_wait(self, route: str, wait_s: float) -> float:
-        """Return the longest time that callers of a route gave a request, this one included."""
+        """Return the longest wait that a route's callers allowed so far, including this one, in
+        seconds."""
         if math.isinf(wait_s):
             return wait_s
         longest = max(self._longest_wait.get(route, 0.0), wait_s)
