--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -276,7 +276,7 @@
         return known is None or known.fence <= planner.fence
 
     def quota_home(self) -> PlannerLink | None:
-        """Return the link to the planner that coordinates all quotas, None if there are no links."""
+        """Return the link to the planner that coordinates quotas, None if there are no links."""
         return self._links[min(self._links)] if self._links else None
 
     def link_to(self, service: str) -> PlannerLink | None:
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Questions of an instance to a planner, and what becomes of them without one."""
+"""Placement requests and updates on a gateway's link, and its behaviour without a planner."""
 
 import asyncio
 import math
@@ -28,8 +28,8 @@
 
 
 class TestPlannerLink:
-    def test_without_a_planner_a_question_is_given_up_when_one_should_have_been_replaced(self):
-        """Requests were held to the end of their callers' patience while nobody planned."""
+    def test_request_without_planner_times_out_after_failover_time(self):
+        """Requests waited until their callers' deadlines while there was no planner."""
 
         async def scenario():
             clock, link = new_link()
@@ -42,7 +42,7 @@
 
         run(scenario)
 
-    def test_a_planner_that_is_followed_has_all_of_the_time(self):
+    def test_connected_planner_may_use_the_whole_deadline(self):
         async def scenario():
             clock, link = new_link()
             link.is_followed = True
@@ -56,8 +56,9 @@
 
         run(scenario)
 
-    def test_the_first_use_of_weights_is_told_at_once(self):
-        """With 82 gateways uses were told 0.2 s late, and a third of the unloads met some."""
+    def test_first_use_of_weights_is_sent_at_once(self):
+        """At 82 gateways uses were sent 0.2 s late, and a third of the unloads affected weights in
+        use."""
 
         async def scenario():
             _, link = new_link()
@@ -88,8 +89,8 @@
 
         run(scenario)
 
-    def test_what_another_instance_hears_from_a_replica_counts(self):
-        """With 82 instances each took busy replicas for silent ones and sent requests again."""
+    def test_event_received_by_another_instance_proves_replica_alive(self):
+        """Each of 82 instances considered busy replicas unresponsive and sent requests again."""
 
         async def scenario():
             clock, link = new_link()
@@ -97,16 +98,17 @@
             await asyncio.sleep(1.0)
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=9, running=1)]))
             assert health.last_received_at == clock()
-            heard_at = clock()
+            received_at = clock()
             await asyncio.sleep(1.0)
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=1)]))
             link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=0)]))
-            assert health.last_received_at == heard_at
+            assert health.last_received_at == received_at
 
         run(scenario)
 
-    def test_news_that_are_rare_by_design_are_not_taken_for_silence(self):
-        """With 370 gateways a planner's news are 1.1 s apart, and it was given up after 1 s."""
+    def test_long_update_interval_is_not_taken_for_a_lost_planner(self):
+        """At 370 gateways updates are 1.1 s apart, and planners were considered lost after 1
+        s."""
 
         async def scenario():
             clock, link = new_link()
@@ -119,7 +121,7 @@
 
         run(scenario)
 
-    def test_a_planner_of_an_earlier_version_is_followed_at_the_usual_spacings(self):
+    def test_default_intervals_apply_to_planner_of_earlier_version(self):
         async def scenario():
             _, link = new_link()
             link._take(pb.FromPlanner(gateways=9))
@@ -127,7 +129,7 @@
 
         run(scenario)
 
-    def test_who_knows_a_choice_does_not_wait_for_a_planner_that_is_quiet(self):
+    def test_caller_with_a_choice_does_not_wait_for_overdue_planner(self):
         async def scenario():
             clock, link = new_link()
             link._take(pb.FromPlanner(gateways=90, news_ms=270, flush_ms=40, ask_first=True))
@@ -139,37 +141,38 @@
 
         run(scenario)
 
-    def test_what_the_planner_saw_in_the_store_is_handed_on(self):
+    def test_store_changes_from_planner_are_passed_to_subscriber(self):
         async def scenario():
             _, link = new_link()
             taken = []
 
-            class Listener:
+            class Subscriber:
                 def apply_update(self, news, ahead_s):
                     taken.append((news.age_ms, ahead_s))
 
-            link._store_subscriber = Listener()
+            link._store_subscriber = Subscriber()
             link._take(pb.FromPlanner(gateways=20, news_ms=60))
             link._take(pb.FromPlanner(gateways=20, news_ms=60, store=pb.StoreNews(age_ms=7)))
             assert taken == [(7, math.inf)]
             for received_ms in (5_400, 5_900):
                 echo = pb.Echo(sent_ms=5_000, received_ms=received_ms)
                 link._take(pb.FromPlanner(echo=echo, store=pb.StoreNews(age_ms=8)))
-            # The message that was on its way for the shortest time tells most of the clocks.
+            # The message with the shortest transit time gives the best estimate of the clock
+            # offset.
             assert taken[1:] == [(8, 0.4), (8, 0.4)]
 
         run(scenario)
 
-    def test_an_answer_tells_what_runs_there_and_what_was_booked_is_told_as_it_is(self):
-        """Otherwise a request that was never sent would count at its engine for good."""
+    def test_load_from_answer_is_applied_and_actual_load_is_resent(self):
+        """Otherwise a request that was never sent would count as load of its engine forever."""
 
         async def scenario():
             clock, link = new_link()
             ask = pb.Ask(ticket=1, rank=1, prompt_tokens=500)
             asking = asyncio.create_task(link.ask(1, ask, clock() + 10.0))
             await asyncio.sleep(0.01)
-            told = pb.Load(replica="e0", starting=3, running=2, queued=[100, 700])
-            link._take(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", load=told)]))
+            total_load = pb.Load(replica="e0", starting=3, running=2, queued=[100, 700])
+            link._take(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", load=total_load)]))
             await asking
             assert link._fleet.load("e0").others == ReportedLoad(2, 2, (100, 200))
             (load,) = link._message(False).loads
@@ -180,7 +183,7 @@
 
 
 class TestSearch:
-    def looks(self, gateways, seconds):
+    def count_polls(self, gateways, seconds):
         now = [0.0]
         search, count = Search(lambda: now[0]), 0
         while now[0] < seconds:
@@ -188,19 +191,19 @@
             now[0] += 0.02
         return count
 
-    def test_a_small_fleet_looks_all_the_time(self):
-        assert 18 <= self.looks(9, 2.0) <= 24
+    def test_small_fleet_polls_at_a_constant_rate(self):
+        assert 18 <= self.count_polls(9, 2.0) <= 24
 
-    def test_a_large_fleet_does_not_look_more_often_together(self):
-        """195 gateways together made 1,950 calls a second while they missed a planner."""
-        assert self.looks(195, 4.0) <= 13
-        assert self.looks(195, 1.0) >= 4
+    def test_total_poll_rate_does_not_grow_with_fleet(self):
+        """195 gateways made 1,950 store calls a second searching for a planner."""
+        assert self.count_polls(195, 4.0) <= 13
+        assert self.count_polls(195, 1.0) >= 4
 
-    def test_who_does_not_know_the_fleet_looks_less_and_less_often(self):
-        assert 5 <= self.looks(0, 1.0) <= 8
-        assert self.looks(0, 10.0) <= 28
+    def test_polls_back_off_while_fleet_size_is_unknown(self):
+        assert 5 <= self.count_polls(0, 1.0) <= 8
+        assert self.count_polls(0, 10.0) <= 28
 
-    def test_each_search_begins_anew(self):
+    def test_reset_restarts_the_poll_interval(self):
         now = [0.0]
         search = Search(lambda: now[0])
         assert search.is_due(195)
@@ -210,13 +213,12 @@
 
 
 class TestDirectory:
-    def test_a_newer_planner_is_followed_while_the_old_one_does_not_answer(self, monkeypatch):
-        """On Tenger's trouble-3 gateways hung on a planner that was gone for 1.3 s after its
-        successor had been entered."""
+    def test_link_switches_to_newer_planner_if_old_one_does_not_respond(self, monkeypatch):
+        """Gateways stayed connected to a failed planner for 1.3 s after its successor was elected."""
 
         async def scenario():
             clock = asyncio.get_running_loop().time
-            followed, hurried = [], []
+            followed, poll_requests = [], []
 
             async def follow(link, planner):
                 followed.append((planner.owner, clock()))
@@ -230,27 +232,27 @@
                 Fleet(FleetState(), "hall", clock),
                 clock,
                 lambda service: known[-1],
-                lambda: hurried.append(clock()),
+                lambda: poll_requests.append(clock()),
             )
             directory.ensure(["llm"])
             await asyncio.sleep(1.0)
-            assert len(hurried) >= 9
+            assert len(poll_requests) >= 9
             known.append(PlannerAddress("new", "new:1", 4))
-            entered_at = clock()
+            elected_at = clock()
             await asyncio.sleep(1.0)
             assert [owner for owner, _ in followed] == ["old", "new"]
-            assert followed[1][1] - entered_at <= 0.25
+            assert followed[1][1] - elected_at <= 0.25
             await directory.close()
 
         run(scenario)
 
-    def test_a_successor_is_looked_for_while_the_planner_has_resigned(self, monkeypatch):
-        """On the grown new customer's scale-1 a planner stopped, and the store was looked at 2.2 s
-        later; an instance with half a core that had just been started saw it first and planned."""
+    def test_gateway_polls_for_successor_after_planner_resigned(self, monkeypatch):
+        """A planner shut down, and gateways polled the store only 2.2 s later. An instance with
+        half a core that had just started polled first and became the planner."""
 
         async def scenario():
             clock = asyncio.get_running_loop().time
-            hurried = []
+            poll_requests = []
 
             async def follow(link, planner):
                 link.is_followed = True
@@ -265,13 +267,13 @@
                 Fleet(FleetState(), "hall", clock),
                 clock,
                 lambda service: PlannerAddress("old", "old:1", 3),
-                lambda: hurried.append(clock()),
+                lambda: poll_requests.append(clock()),
             )
             directory.ensure(["llm"])
             await asyncio.sleep(0.9)
-            assert not hurried
+            assert not poll_requests
             await asyncio.sleep(0.5)
-            assert len(hurried) >= 3
+            assert len(poll_requests) >= 3
             await directory.close()
 
         run(scenario)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""How often a planner and its gateways speak to each other."""
+"""Message intervals between a planner and its gateways."""
 
 from gradelug_gateway.pacing import (
     FLUSH_S,
@@ -9,8 +9,8 @@
 )
 
 
-def play(pacing, gateways, changes_per_s, starts_per_s, seconds=20.0):
-    """Let gateways with changes at even distances gather them as they are told to."""
+def simulate(pacing, gateways, changes_per_s, starts_per_s, seconds=20.0):
+    """Simulate gateways with evenly spaced changes that batch them at the requested interval."""
     now, step_s = 0.0, 0.5
     pacing.note_gateways(gateways)
     while now < seconds:
@@ -23,26 +23,26 @@
 
 
 class TestPacing:
-    def test_a_small_fleet_relies_on_its_news(self):
-        pacing = play(Pacing(0.0), 9, 8.0, 25.0)
+    def test_small_fleet_relies_on_updates(self):
+        pacing = simulate(Pacing(0.0), 9, 8.0, 25.0)
         assert not pacing.ask_first
         assert pacing.flush_s == FLUSH_S
 
-    def test_a_large_fleet_asks_and_tells_soon_while_there_is_little_to_tell(self):
-        """What gateways told was 0.5 s old with 195 of them, however little they had to tell."""
-        pacing = play(Pacing(0.0), 195, 3.0, 170.0)
+    def test_large_fleet_asks_first_and_reports_at_minimum_interval_if_idle(self):
+        """At 195 gateways reports were 0.5 s old, even if there was little to report."""
+        pacing = simulate(Pacing(0.0), 195, 3.0, 170.0)
         assert pacing.ask_first
         assert pacing.flush_s == FLUSH_S
 
-    def test_gateways_gather_what_the_planner_cannot_take(self):
-        pacing = play(Pacing(0.0), 370, 80.0, 10_000.0)
+    def test_report_interval_grows_above_target_message_rate(self):
+        pacing = simulate(Pacing(0.0), 370, 80.0, 10_000.0)
         assert 0.7 * TARGET_MESSAGES_PER_S < pacing.messages < 1.3 * TARGET_MESSAGES_PER_S
         assert FLUSH_S < pacing.flush_s <= 370 * MAX_FLUSH_S_PER_GATEWAY
 
-    def test_not_every_request_of_a_great_load_is_asked_for(self):
-        assert not play(Pacing(0.0), 370, 80.0, 1.5 * STARTS_PER_S).ask_first
+    def test_gateways_stop_asking_first_at_high_request_rate(self):
+        assert not simulate(Pacing(0.0), 370, 80.0, 1.5 * STARTS_PER_S).ask_first
 
-    def test_gateways_that_come_at_once_begin_with_care(self):
+    def test_report_interval_starts_high_when_many_gateways_connect(self):
         pacing = Pacing(0.0)
         pacing.note_gateways(195)
         assert pacing.flush_s == 195 * MAX_FLUSH_S_PER_GATEWAY
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Orders that the owners of engines give for a planner."""
+"""Orders that a planner sends to engines through their owners."""
 
 import asyncio
 
@@ -37,14 +37,14 @@
 
 
 class Transport:
-    """Notes the orders that reach engines."""
+    """Records the orders that reach engines."""
 
     def __init__(self):
-        self.given = []
+        self.sent_orders = []
         self.wait_s = 0.0
 
     async def order(self, replica, order):
-        self.given.append(order)
+        self.sent_orders.append(order)
         await asyncio.sleep(self.wait_s)
         return OrderOutcome.TAKEN
 
@@ -52,8 +52,8 @@
         return True
 
 
-class Tokens:
-    """Ownership whose tokens a test sets."""
+class StubOwnership:
+    """Ownership with fencing tokens set by a test."""
 
     def __init__(self, **tokens):
         self.tokens = tokens
@@ -68,13 +68,13 @@
         return frozenset(self.tokens)
 
 
-class Pair:
-    """A planner's relay and the link of an instance that owns engines, without a network."""
+class RelayFixture:
+    """A planner's relay, and the link of an instance that owns engines, without a network."""
 
     def __init__(self, **tokens):
         clock = asyncio.get_running_loop().time
         state = FleetState(replicas={"e0": REPLICA})
-        self.transport, self.tokens = Transport(), Tokens(**tokens)
+        self.transport, self.tokens = Transport(), StubOwnership(**tokens)
         executor = Executor("me", self.tokens, state, self.transport)
         self.link = PlannerLink("llm", "me", "", Fleet(state, "hall", clock), clock, executor)
         self.relay = OrderRelay(self.transport)
@@ -94,88 +94,89 @@
 
 
 class TestOrderRelay:
-    def test_an_order_is_given_by_the_owner_under_its_own_token(self):
+    def test_owner_sends_order_under_its_own_token(self):
         async def scenario():
-            pair = Pair(e0=41)
+            fixture = RelayFixture(e0=41)
             await asyncio.sleep(0.05)
-            assert pair.relay.may_order(REPLICA)
-            assert await pair.relay.order(REPLICA, ORDER) is OrderOutcome.TAKEN
-            (given,) = pair.transport.given
-            assert (given.owner, given.fence, given.expected) == ("me", 41, 0)
-            await pair.stop()
+            assert fixture.relay.may_order(REPLICA)
+            assert await fixture.relay.order(REPLICA, ORDER) is OrderOutcome.TAKEN
+            (sent,) = fixture.transport.sent_orders
+            assert (sent.owner, sent.fence, sent.expected) == ("me", 41, 0)
+            await fixture.stop()
 
         run(scenario)
 
-    def test_without_an_owner_nothing_is_given(self):
+    def test_no_order_is_sent_without_an_owner(self):
         async def scenario():
-            pair = Pair()
+            fixture = RelayFixture()
             await asyncio.sleep(0.05)
-            assert not pair.relay.may_order(REPLICA)
-            assert await pair.relay.order(REPLICA, ORDER) is OrderOutcome.NOT_GIVEN
-            assert not pair.transport.given
-            await pair.stop()
+            assert not fixture.relay.may_order(REPLICA)
+            assert await fixture.relay.order(REPLICA, ORDER) is OrderOutcome.NOT_GIVEN
+            assert not fixture.transport.sent_orders
+            await fixture.stop()
 
         run(scenario)
 
-    def test_an_owner_whose_token_is_over_gives_nothing(self):
+    def test_owner_without_token_sends_no_order(self):
         async def scenario():
-            pair = Pair(e0=41)
+            fixture = RelayFixture(e0=41)
             await asyncio.sleep(0.05)
-            pair.tokens.tokens["e0"] = None
-            assert await pair.relay.order(REPLICA, ORDER) is OrderOutcome.NOT_GIVEN
-            assert not pair.transport.given
-            await pair.stop()
+            fixture.tokens.tokens["e0"] = None
+            assert await fixture.relay.order(REPLICA, ORDER) is OrderOutcome.NOT_GIVEN
+            assert not fixture.transport.sent_orders
+            await fixture.stop()
 
         run(scenario)
 
-    def test_an_owner_that_leaves_midway_leaves_a_doubt(self):
+    def test_outcome_is_lost_if_owner_disconnects_during_order(self):
         async def scenario():
-            pair = Pair(e0=41)
+            fixture = RelayFixture(e0=41)
             await asyncio.sleep(0.05)
-            pair.transport.wait_s = 10.0
-            ordering = asyncio.create_task(pair.relay.order(REPLICA, ORDER))
+            fixture.transport.wait_s = 10.0
+            ordering = asyncio.create_task(fixture.relay.order(REPLICA, ORDER))
             await asyncio.sleep(0.05)
-            pair.relay.forget(pair.follower)
+            fixture.relay.forget(fixture.follower)
             assert await ordering is OrderOutcome.LOST
-            await pair.stop()
+            await fixture.stop()
 
         run(scenario)
 
-    def test_a_result_for_an_earlier_planner_is_not_told_to_its_successor(self):
-        """Both number their orders from 1."""
+    def test_result_for_previous_planner_is_not_sent_to_its_successor(self):
+        """Planners number their orders from 1, so tickets of two planners coincide."""
 
         async def scenario():
-            pair = Pair(e0=41)
-            pair.transport.wait_s = 0.1
-            pair.link._carry_out(pb.EngineOrder(ticket=1, replica="e0", model="m", adapter="a1"))
-            pair.link._stream_number += 1
+            fixture = RelayFixture(e0=41)
+            fixture.transport.wait_s = 0.1
+            fixture.link._carry_out(pb.EngineOrder(ticket=1, replica="e0", model="m", adapter="a1"))
+            fixture.link._stream_number += 1
             await asyncio.sleep(0.2)
-            assert pair.transport.given
-            assert not pair.link._message(False).results
-            await pair.stop()
+            assert fixture.transport.sent_orders
+            assert not fixture.link._message(False).results
+            await fixture.stop()
 
         run(scenario)
 
 
 class TestPlacementService:
-    def test_a_gateway_whose_stream_falls_silent_is_forgotten(self):
-        """Its stream is not reset: what it ran would have kept places, and orders been lost."""
+    def test_gateway_is_removed_when_its_stream_times_out(self):
+        """Guards against a stream that is not reset: requests of the lost gateway would occupy
+        slots, and orders sent to it would be lost."""
 
         async def scenario():
-            stream = SilentStream([pb.FromGateway(instance="me", service="llm", address="a:1")])
-            planner = FollowedPlanner()
-            service = PlacementService({"llm": DutyOf(planner)}, lambda service: None)
+            stream = ScriptedStream([pb.FromGateway(instance="me", service="llm", address="a:1")])
+            planner = RecordingPlanner()
+            service = PlacementService({"llm": StubRole(planner)}, lambda service: None)
             await asyncio.wait_for(service.Follow(stream), GATEWAY_TIMEOUT_S + 0.1)
             assert planner.left == [planner.joined[0]]
 
         run(scenario)
 
-    def test_a_gateway_that_says_something_is_kept(self):
+    def test_gateway_that_sends_messages_stays_connected(self):
         async def scenario():
             first = pb.FromGateway(instance="me", service="llm", address="a:1")
-            stream = SilentStream([first, *[pb.FromGateway()] * 5], GATEWAY_TIMEOUT_S * 0.8)
-            planner = FollowedPlanner()
-            service = PlacementService({"llm": DutyOf(planner)}, lambda service: None)
+            stream = ScriptedStream([first, *[pb.FromGateway()] * 5], GATEWAY_TIMEOUT_S * 0.8)
+            planner = RecordingPlanner()
+            service = PlacementService({"llm": StubRole(planner)}, lambda service: None)
             following = asyncio.create_task(service.Follow(stream))
             await asyncio.sleep(GATEWAY_TIMEOUT_S * 0.8 * 5)
             assert not planner.left
@@ -185,7 +186,7 @@
 
 
 class StubElection:
-    """Holds a duty until a successor is entered."""
+    """Holds the role until a successor is elected."""
 
     def __init__(self):
         self.fence = 5
@@ -202,7 +203,7 @@
 
 
 class TestDuty:
-    def test_a_weak_instance_steps_aside_once_for_a_strong_one(self):
+    def test_weak_instance_steps_aside_once_for_fully_capable_one(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             election = StubElection()
@@ -229,13 +230,13 @@
         run(scenario)
 
 
-class DutyOf:
+class StubRole:
     def __init__(self, planner):
         self.planner = planner
 
 
-class FollowedPlanner:
-    """Notes who joins and leaves."""
+class RecordingPlanner:
+    """Records which gateways connect and disconnect."""
 
     def __init__(self):
         self.joined, self.left = [], []
@@ -251,8 +252,8 @@
         self.left.append(follower)
 
 
-class SilentStream:
-    """Brings some messages, one after the other, and then nothing."""
+class ScriptedStream:
+    """Returns the given messages one by one, then none."""
 
     def __init__(self, messages, spacing_s=0.0):
         self.messages = messages
@@ -267,15 +268,16 @@
 
 
 class TestTerm:
-    def test_an_order_is_not_sent_once_its_term_is_over(self):
-        """On the grown site a planner gave an order with token 130, and 2 ms later one with 0."""
+    def test_order_is_not_sent_after_its_term_has_ended(self):
+        """A planner sent an order with token 130, and 2 ms later one with token 0, in a large
+        deployment."""
 
         async def scenario():
             transport, engine, term = Transport(), Engine(REPLICA, SPEC), Term(130)
             term.is_over = True
             outcome = await engine.send_order(transport, True, AdapterKey("m", "a1"), 0, "me", term)
             assert outcome is OrderOutcome.NOT_GIVEN
-            assert not transport.given
+            assert not transport.sent_orders
             assert not engine.synced
 
         run(scenario)
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -1,4 +1,4 @@
-"""What is remembered between two sendings, or two requests, is used only while it holds."""
+"""State cached between attempts or requests is used only while it is valid."""
 
 import asyncio
 
@@ -20,20 +20,20 @@
 
 MODEL = AdapterKey("m")
 KEY = AdapterKey("m", "a")
-TICK_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
-class TestAReplicaThatLackedTheWeightsOnce:
+class TestReplicaThatLackedWeights:
     @pytest.mark.parametrize("lacks_at_first", [False, True])
-    def test_is_not_taken_to_lack_them_after_the_request_has_run_there(self, lacks_at_first):
-        """Its run was stopped there; a newer version that was named takes nothing from it."""
+    def test_is_not_excluded_after_running_the_request(self, lacks_at_first):
+        """The run was stopped there; naming a newer version must not exclude the replica."""
 
         async def scenario():
             world = RunWorld(engines=2)
             first, other = world.engines.values()
             world.leave(other)
             if lacks_at_first:
-                # Its entry in the platform's store still lists the adapter.
+                # Its entry in the platform store still lists the adapter.
                 first.holds.clear()
             client = world.ask("q1")
             await asyncio.sleep(0.67)
@@ -50,8 +50,9 @@
 
         run(scenario)
 
-    def test_is_asked_for_the_version_that_the_planner_told_since(self):
-        """It rejected version 2 since it had 3 by then; the news of 3 come later."""
+    def test_is_asked_for_the_version_named_by_the_planner(self):
+        """The replica rejected version 2 as it held version 3 by then; the update with version 3
+        arrives later."""
 
         async def scenario():
             script = [[[ABSENT], [STREAM + event(1) + END]]]
@@ -60,7 +61,7 @@
             bench.state.versions[SERVED_KEY] = 2
 
             async def place(service, key, **asked):
-                # As `Directory.place` takes an answer.
+                # Applies an answer as `Directory.place` does.
                 bench.fleet.add_holding("s0", key, 3)
                 return bench.state.replicas["s0"]
 
@@ -76,10 +77,10 @@
         run(scenario)
 
 
-class TestPlacesOfAPlanner:
+class TestPlannerSlots:
     @pytest.mark.parametrize("is_renewed", [True, False])
-    def test_adapters_go_with_their_base_model(self, is_renewed):
-        """It is replaced by a newer version, or makes way for another base model."""
+    def test_adapters_are_removed_with_their_base_model(self, is_renewed):
+        """The base model is replaced by a newer version, or evicted for another base model."""
 
         async def scenario():
             bench = PlannerBench(engines=1, spec=SPEC if is_renewed else TWO_MODELS)
@@ -88,7 +89,7 @@
             first = bench.ask("a")
             await asyncio.sleep(FIRST_LOAD_S + 0.2)
             assert bench.collect()[first].replica == "e0"
-            # Its run has ended.
+            # The request on it has ended.
             bench.load("e0", 0)
             if is_renewed:
                 bench.state.versions[MODEL] = 2
@@ -99,7 +100,7 @@
             again = bench.ask("a")
             until = bench.clock() + 3.5
             while again not in bench.collect() and bench.clock() < until:
-                await asyncio.sleep(TICK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             answer = bench.answers.get(again)
             if is_renewed:
                 assert answer.replica == "e0"
@@ -109,10 +110,8 @@
         run(scenario)
 
     @pytest.mark.parametrize("is_window_full", [False, True])
-    def test_a_base_model_whose_load_was_not_begun_is_not_taken_to_be_on_its_way(
-        self, is_window_full
-    ):
-        """The weight store's limit leaves no room for half a second."""
+    def test_base_model_without_started_load_is_not_considered_loading(self, is_window_full):
+        """The rate limit of the weight store blocks loads for half a second."""
 
         async def scenario():
             bench = PlannerBench(engines=2, spec=TWO_MODELS)
@@ -131,9 +130,9 @@
         run(scenario)
 
 
-class TestAnAnswerOfAPlanner:
-    def test_does_not_undo_news_that_came_after_it(self):
-        """The adapter made way after the question was answered; both arrive together."""
+class TestPlannerAnswer:
+    def test_does_not_undo_a_later_update(self):
+        """The adapter was evicted after the request was answered; both messages arrive together."""
 
         async def scenario():
             fleet = new_fleet()
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -1,4 +1,4 @@
-"""A gateway of a large fleet is told of what it uses: all of that, soon, and nothing else."""
+"""State updates in a large fleet: a gateway receives what it uses in time, and nothing else."""
 
 import asyncio
 from collections import Counter
@@ -29,8 +29,8 @@
 from world import new_loop
 
 ENGINES = MAX_UNSCOPED_ENGINES + 4
-SITES = 2
-"""Engines of the model on which anything changes."""
+ACTIVE_ENGINES = 2
+"""Number of engines in the model on which anything changes."""
 KEYS = [AdapterKey("m", f"a{number}") for number in range(3)]
 
 
@@ -43,7 +43,7 @@
 
 
 class Model:
-    """A planner's gateways, engines and news, and one gateway's end of the stream."""
+    """A planner's engines and connected gateways, with the link of one of them."""
 
     def __init__(self, gateways=1, may_scope=True):
         self.now = 1000.0
@@ -102,8 +102,8 @@
         self.followers.tell_news(True)
 
 
-def test_what_was_read_between_two_ticks_is_told_anew_when_it_is_as_it_was():
-    """Found by the state machine below: the gateway went on with the version in between."""
+def test_locations_read_between_ticks_are_sent_again_after_reverting():
+    """The state machine below found that the gateway kept the version in between."""
     model, key = Model(), KEYS[0]
     model.place("e0", key, 2)
     model.followers.note_use(model.follower, key, "e0", 1)
@@ -118,7 +118,7 @@
 
 
 class ScopedNews(RuleBasedStateMachine):
-    """What a gateway knows of what it uses was so a moment ago, and it knows no more."""
+    """A gateway's view of weights it uses equals a recent state; it has no other weights."""
 
     @initialize(gateways=st.sampled_from([1, 60]))
     def begin(self, gateways):
@@ -126,26 +126,30 @@
         self.used = {}
         self.runs = Counter()
         self.truths = {key: [{}] for key in KEYS}
-        """Where weights were, one after the other, since the news that are due were told last."""
+        """Successive locations by weights, since the last update that was due."""
 
     def note_truth(self):
         for key in KEYS:
             self.truths[key].append(self.model.truth(key))
 
-    @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS), version=st.integers(1, 3))
+    @rule(
+        number=st.integers(0, ACTIVE_ENGINES - 1),
+        key=st.sampled_from(KEYS),
+        version=st.integers(1, 3),
+    )
     def place(self, number, key, version):
         self.model.place(f"e{number}", key, version)
         self.note_truth()
 
-    @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS))
+    @rule(number=st.integers(0, ACTIVE_ENGINES - 1), key=st.sampled_from(KEYS))
     def remove(self, number, key):
         if key in self.model.engines[f"e{number}"].weight_slots:
             self.model.remove(f"e{number}", key)
             self.note_truth()
 
-    @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS))
+    @rule(number=st.integers(0, ACTIVE_ENGINES - 1), key=st.sampled_from(KEYS))
     def unsettle(self, number, key):
-        """Begin to take weights out: the place stays, for no new requests."""
+        """Start draining weights: the slot remains, but accepts no new requests."""
         place = self.model.engines[f"e{number}"].weight_slots.get(key)
         if place is not None:
             place.phase = Phase.DRAINING
@@ -157,7 +161,11 @@
         self.model.followers.note_use(self.model.follower, key)
         self.used[key] = self.model.now
 
-    @rule(number=st.integers(0, SITES - 1), key=st.sampled_from(KEYS), change=st.integers(-1, 1))
+    @rule(
+        number=st.integers(0, ACTIVE_ENGINES - 1),
+        key=st.sampled_from(KEYS),
+        change=st.integers(-1, 1),
+    )
     def use(self, number, key, change):
         active = max(0, self.runs[(number, key)] + change)
         self.runs[(number, key)] = active
@@ -169,12 +177,12 @@
         self.model.tell(seconds)
         bound_s = max(self.model.followers.pacing.holdings_interval_s, 0.05)
         if seconds >= bound_s:
-            # What is told is made when it is read, from what had changed until now at least.
+            # The update is built when it is read, and includes at least all changes so far.
             self.truths = {key: [self.model.truth(key)] for key in KEYS}
 
     @rule()
     def read(self):
-        """Read, perhaps after a long time: all that is known is as new as the last news."""
+        """Read, possibly after a long time: the view is as recent as the last update."""
         if not self.model.read():
             return
         self.check()
@@ -205,7 +213,7 @@
             if key in running or self.model.now - used_at < SCOPE_RETENTION_S:
                 assert view in self.truths[key]
             else:
-                # Either it is still told of it, or it knows nothing.
+                # Either it still receives updates for the weights, or it holds none.
                 assert view in ({}, *self.truths[key])
 
     def teardown(self):
@@ -219,16 +227,16 @@
 )
 
 
-class TestWhatIsTold:
-    def test_a_gateway_that_joins_a_large_fleet_is_told_nothing_of_what_it_does_not_use(self):
-        """300 gateways that joined 3,000 engines were told 1 MB each, all at once."""
+class TestStateUpdates:
+    def test_new_gateway_in_large_fleet_receives_no_unused_state(self):
+        """Each of 300 gateways that connected to a fleet of 3,000 engines received 1 MB at once."""
         model = Model()
         for number in range(ENGINES):
             model.place(f"e{number}", KEYS[0])
         model.tell(2.0)
         assert sum(message.ByteSize() for message in model.follower.take_messages()) < 100
 
-    def test_without_the_feature_all_are_told_of_all(self):
+    def test_full_updates_are_sent_if_scoping_is_disabled(self):
         model = Model(may_scope=False)
         model.place("e0", KEYS[0])
         model.tell(2.0)
@@ -237,12 +245,12 @@
         assert not message.scoped
         assert model.view(KEYS[0]) == {"e0": 1}
 
-    def test_news_that_are_not_read_are_replaced(self):
-        """A planner kept all news for gateways that read slowly: 304 MB."""
+    def test_unread_updates_are_merged(self):
+        """A planner queued all updates for gateways that read slowly, which took 304 MB."""
         model = Model(gateways=60)
         model.follower.take_messages()
         for step in range(600):
-            for number in range(SITES):
+            for number in range(ACTIVE_ENGINES):
                 key = AdapterKey("m", f"b{step}-{number}")
                 model.followers.note_use(model.follower, key)
                 model.place(f"e{number}", key)
@@ -253,8 +261,8 @@
             model.follower.answer(pb.Answer(ticket=step))
             model.tell(0.2)
         pending = model.follower.pending
-        assert len(pending.keys) <= 2 * MAX_SCOPE_KEYS + SITES
-        assert len(pending.replicas) <= SITES
+        assert len(pending.keys) <= 2 * MAX_SCOPE_KEYS + ACTIVE_ENGINES
+        assert len(pending.replicas) <= ACTIVE_ENGINES
         assert len(model.follower.outbox) <= MAX_QUEUED_ORDERS
         messages = model.read()
         assert len(messages) <= MAX_QUEUED_ORDERS + 2
@@ -264,7 +272,7 @@
             assert model.view(key) == model.truth(key)
 
     @pytest.mark.parametrize("may_scope", [True, False])
-    def test_what_was_used_long_ago_is_not_kept(self, may_scope):
+    def test_scope_drops_weights_after_retention(self, may_scope):
         model = Model(may_scope=may_scope)
         for step in range(400):
             model.followers.note_use(model.follower, AdapterKey("m", f"b{step}"))
@@ -273,7 +281,7 @@
         used = model.followers._scopes.used_keys(model.follower.number)
         assert len(used) <= SCOPE_RETENTION_S / 0.2 + 1
 
-    def test_answers_that_are_not_read_are_bounded(self):
+    def test_unread_answers_are_bounded(self):
         model = Model()
         for ticket in range(MAX_QUEUED_ANSWERS + 50):
             model.follower.answer(pb.Answer(ticket=ticket))
@@ -282,7 +290,7 @@
         assert len(first.answers) == len(first.quota_answers) == MAX_QUEUED_ANSWERS
         assert first.answers[-1].ticket == MAX_QUEUED_ANSWERS + 49
 
-    def test_weights_that_are_to_leave_are_told_as_gone(self):
+    def test_draining_weights_are_reported_as_removed(self):
         model = Model()
         model.place("e0", KEYS[0])
         model.followers.note_use(model.follower, KEYS[0])
@@ -295,7 +303,7 @@
         model.read()
         assert model.view(KEYS[0]) == {}
 
-    def test_what_is_not_used_any_more_is_forgotten_at_both_ends(self):
+    def test_unused_weights_are_removed_at_both_ends(self):
         model = Model()
         for key in KEYS:
             model.place("e0", key)
@@ -312,7 +320,7 @@
         model.read()
         assert not model.view(KEYS[1])
 
-    def test_a_new_planner_knows_nothing_of_what_the_last_one_told(self):
+    def test_locations_from_previous_connection_are_cleared(self):
         model = Model()
         model.place("e0", KEYS[0])
         model.place("e0", KEYS[1])
@@ -326,7 +334,7 @@
         model.read()
         assert [bool(model.view(key)) for key in KEYS[:2]] == [False, True]
 
-    def test_of_very_many_holders_gateways_are_told_of_some(self):
+    def test_subset_of_many_locations_is_sent(self):
         model = Model()
         key = AdapterKey("m")
         for number in range(ENGINES):
@@ -334,23 +342,25 @@
         model.followers.note_use(model.follower, key)
         model.tell(2.0)
         model.read()
-        told = model.view(key)
-        assert len(told) == MAX_LOCATIONS_PER_KEY
-        near, far = next(iter(told)), next(name for name in model.engines if name not in told)
-        for name in (near, far):
+        first_view = model.view(key)
+        assert len(first_view) == MAX_LOCATIONS_PER_KEY
+        listed, unlisted = next(iter(first_view)), next(
+            name for name in model.engines if name not in first_view
+        )
+        for name in (listed, unlisted):
             model.engines[name].update_load(77, ReportedLoad(0, 5))
-        model.remove(far, key)
+        model.remove(unlisted, key)
         model.tell(2.0)
         (message,) = model.read()
         assert not message.homes
-        assert [load.replica for load in message.loads] == [near]
-        model.remove(near, key)
+        assert [load.replica for load in message.loads] == [listed]
+        model.remove(listed, key)
         model.tell(2.0)
         model.read()
         assert len(model.view(key)) == MAX_LOCATIONS_PER_KEY
-        assert len(model.view(key).keys() & told.keys()) == MAX_LOCATIONS_PER_KEY - 1
+        assert len(model.view(key).keys() & first_view.keys()) == MAX_LOCATIONS_PER_KEY - 1
 
-    def test_a_gateway_is_told_what_runs_where_it_runs_something(self):
+    def test_gateway_receives_load_of_engines_it_uses(self):
         model = Model(gateways=60)
         model.read()
         model.engines["e0"].update_load(model.follower.number, ReportedLoad(0, 1))
@@ -360,7 +370,7 @@
         (message,) = model.read()
         assert [(load.replica, load.running) for load in message.loads] == [("e0", 6)]
 
-    def test_a_fleet_that_shrinks_is_told_of_all_again(self):
+    def test_full_updates_resume_when_fleet_shrinks(self):
         model = Model()
         model.place("e0", KEYS[0])
         model.tell(2.0)
@@ -374,28 +384,28 @@
         assert len(message.holdings) >= 8
         assert model.view(KEYS[0]) == {"e0": 1}
 
-    def test_a_base_model_that_all_engines_hold_is_told_in_part(self):
+    def test_gateways_receive_different_subsets_of_base_model_locations(self):
         async def scenario():
             fleet = SimulatedFleet(3, 400, 0.0)
             await fleet.play(3.0)
-            told = []
+            location_sets = []
             for gateway in fleet.gateways:
                 gateway.follower.take_messages()
                 use = pb.Use(replica="x", model="base-model", active=1, started=1)
                 fleet.planner.take(gateway.follower, pb.FromGateway(uses=[use]))
             await asyncio.sleep(1.0)
             for gateway in fleet.gateways:
-                (homes,) = gateway.follower.take_messages()[-1].homes
-                told.append({home.replica for home in homes.homes})
-            assert [len(names) for names in told] == [MAX_LOCATIONS_PER_KEY] * 3
-            assert told[0] != told[1]
+                (locations,) = gateway.follower.take_messages()[-1].homes
+                location_sets.append({location.replica for location in locations.homes})
+            assert [len(names) for names in location_sets] == [MAX_LOCATIONS_PER_KEY] * 3
+            assert location_sets[0] != location_sets[1]
             await fleet.stop()
 
         run(scenario)
 
 
-class TestMergedNews:
-    def test_the_newest_of_each_replica_is_kept(self):
+class TestMergeUpdates:
+    def test_newest_record_of_each_replica_is_kept(self):
         old = pb.FromPlanner(
             gateways=3,
             loads=[pb.Load(replica="a", running=1), pb.Load(replica="b", running=2)],
@@ -407,7 +417,7 @@
         assert {load.replica: load.running for load in merged.loads} == {"a": 9, "b": 2}
         assert [verdict.replica for verdict in merged.verdicts] == ["a"]
 
-    def test_nothing_of_the_store_is_lost(self):
+    def test_store_records_are_not_lost(self):
         old = pb.StoreNews(
             look=True,
             replicas=[pb.ReplicaFact(replica="a", gone=True), pb.ReplicaFact(replica="b")],
@@ -431,7 +441,7 @@
 
 
 class TestGateway:
-    def test_what_planners_of_other_services_tell_stays(self):
+    def test_locations_of_other_services_are_kept(self):
         async def scenario():
             state = FleetState()
             state.replicas["a"] = Replica("a", "llm", "a:1", "hall")
@@ -447,8 +457,8 @@
 
         run(scenario)
 
-    def test_the_end_of_what_ran_is_told_although_the_replica_is_forgotten(self):
-        """Else its planner would count it there for ever."""
+    def test_zero_load_is_reported_after_replica_is_removed(self):
+        """Otherwise the planner would count the load on the replica forever."""
 
         async def scenario():
             clock = asyncio.get_running_loop().time
@@ -469,7 +479,7 @@
 
         run(scenario)
 
-    def test_replicas_tell_where_weights_are_while_nobody_plans(self):
+    def test_self_reported_holders_are_used_without_planner(self):
         state = FleetState()
         for name in ("a", "b"):
             held = (Holding(KEYS[0], 2),) if name == "a" else ()
@@ -484,28 +494,28 @@
 
 @pytest.mark.parametrize("engines", [300, 1200])
 class TestDecisions:
-    def test_the_engines_looked_at_for_a_load_do_not_grow_with_all(self, engines, monkeypatch):
+    def test_number_of_engines_checked_for_load_is_bounded(self, engines, monkeypatch):
         async def scenario():
             fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
-            looked = []
+            checked = []
             find = LoadTargets._find
             monkeypatch.setattr(
                 LoadTargets,
                 "_find",
-                lambda self, engine: looked.append(engine) or find(self, engine),
+                lambda self, engine: checked.append(engine) or find(self, engine),
             )
-            openings = fleet.planner.load_targets()
-            assert not looked
+            targets = fleet.planner.load_targets()
+            assert not checked
             key = AdapterKey("base-model", "adapter-of-nobody")
-            found = openings.candidates(key, 1, lambda name: True)
+            found = targets.candidates(key, 1, lambda name: True)
             assert len(found) == MAX_CANDIDATES
-            assert len(looked) <= MAX_CANDIDATES + MAX_CACHED_CANDIDATES
+            assert len(checked) <= MAX_CANDIDATES + MAX_CACHED_CANDIDATES
             await fleet.stop()
 
         run(scenario)
 
-    def test_engines_that_keep_an_adapter_are_looked_at_wherever_they_are(self, engines):
+    def test_engines_with_cached_adapter_are_always_candidates(self, engines):
         async def scenario():
             fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
@@ -519,7 +529,7 @@
 
         run(scenario)
 
-    def test_an_adapter_finds_the_only_engine_with_room(self, engines):
+    def test_only_synced_engine_is_found(self, engines):
         async def scenario():
             fleet = SimulatedFleet(2, engines, 0.0)
             await fleet.play(3.0)
@@ -535,7 +545,7 @@
 
 
 class TestSyncs:
-    def test_engines_are_asked_for_their_state_a_few_at_a_time_those_in_use_first(self):
+    def test_concurrent_syncs_are_bounded_and_engines_in_use_go_first(self):
         """A new planner opened 2,517 connections at once."""
 
         async def scenario():
@@ -559,8 +569,8 @@
 
         run(scenario)
 
-    def test_what_engines_tell_in_the_store_counts_until_their_reports(self):
-        """After the loss of all instances requests waited for the reports of 3,000 engines."""
+    def test_holdings_from_store_apply_until_engine_reports(self):
+        """After the loss of all instances, requests waited for the reports of 3,000 engines."""
 
         async def scenario():
             fleet = SimulatedFleet(1, 300, 0.0, tells=True)
@@ -586,18 +596,18 @@
 
         run(scenario)
 
-    def test_engines_that_give_no_report_keep_no_other_waiting(self):
+    def test_engines_without_report_do_not_delay_others(self):
         async def scenario():
             fleet = SimulatedFleet(1, 900, 0.0)
             report = fleet.orders.report
 
-            async def some(replica):
+            async def report_some(replica):
                 if int(replica.name[-5:]) < 500:
                     await asyncio.sleep(0.1)
                     return None
                 return await report(replica)
 
-            fleet.orders.report = some
+            fleet.orders.report = report_some
             await asyncio.sleep(6.0)
             engines = fleet.planner.engines.values()
             assert sum(engine.synced for engine in engines) == 400
@@ -606,7 +616,7 @@
         run(scenario)
 
 
-def test_a_verdict_for_a_hall_waits_beside_the_one_for_all():
+def test_hall_verdict_is_kept_beside_fleet_verdict():
     of_all = pb.Verdict(replica="r", failing=0.2)
     of_hall = pb.Verdict(replica="r", hall="east", failing=0.9)
     newer = pb.Verdict(replica="r", failing=0.3)
