--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -23,7 +23,7 @@
 from .model import AdapterKey, Replica
 from .parts import GatewayPart
 from .prefix_cache import encode_chain
-from .search import LOOK_S, PlannerAddress, Search, ask_where
+from .search import PLANNER_POLL_INTERVAL_S, PlannerAddress, PlannerSearch, ask_where
 from .share_log import tell_standing
 from .store_updates import StoreSubscriber
 
@@ -148,7 +148,7 @@
         """Planner addresses received from peers, by service."""
         self._links: dict[str, PlannerLink] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
-        self._searches: dict[str, Search] = {}
+        self._searches: dict[str, PlannerSearch] = {}
         self._ticket = 0
 
     @property
@@ -368,7 +368,7 @@
         stream_task = asyncio.create_task(link.follow(planner))
         try:
             while not stream_task.done():
-                await asyncio.wait([stream_task], timeout=LOOK_S)
+                await asyncio.wait([stream_task], timeout=PLANNER_POLL_INTERVAL_S)
                 newest = self.known(link.service)
                 if newest is not None and newest.fence > planner.fence:
                     if link.is_quiet or newest.address != planner.address:
@@ -388,8 +388,8 @@
             stream_task.cancel()
             await asyncio.gather(stream_task, return_exceptions=True)
 
-    def _search(self, link: PlannerLink) -> Search:
-        return self._searches.setdefault(link.service, Search(self._clock))
+    def _search(self, link: PlannerLink) -> PlannerSearch:
+        return self._searches.setdefault(link.service, PlannerSearch(self._clock))
 
     def _poll_if_due(self, link: PlannerLink) -> None:
         """Poll the store for a planner if due; instances that can plan poll at the highest rate."""
--- a/packages/gateway/src/gradelug_gateway/executing.py
+++ b/packages/gateway/src/gradelug_gateway/executing.py
@@ -72,17 +72,19 @@
         """Record how many instances cannot reach the platform store; no other is known to."""
         self._ownership.note_outage(cut_off)
 
-    def carry_out(self, message: pb.EngineOrder, tell: t.Callable[[pb.OrderResult], None]) -> None:
+    def carry_out(
+        self, message: pb.EngineOrder, report: t.Callable[[pb.OrderResult], None]
+    ) -> None:
         """Start executing an order in the background, and report its result to a callback."""
-        task = asyncio.get_running_loop().create_task(self._carry_out(message, tell))
+        task = asyncio.get_running_loop().create_task(self._carry_out(message, report))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _carry_out(
-        self, message: pb.EngineOrder, tell: t.Callable[[pb.OrderResult], None]
+        self, message: pb.EngineOrder, report: t.Callable[[pb.OrderResult], None]
     ) -> None:
         outcome = await self._give(message)
-        tell(pb.OrderResult(ticket=message.ticket, outcome=pb.Outcome.Value(outcome.name)))
+        report(pb.OrderResult(ticket=message.ticket, outcome=pb.Outcome.Value(outcome.name)))
 
     async def _give(self, message: pb.EngineOrder) -> OrderOutcome:
         replica = self._state.replicas.get(message.replica)
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -19,7 +19,7 @@
 from .engines import Engine, Phase
 from .model import AdapterKey, ReportedLoad
 from .pacing import Pacing
-from .pending import Pending, merge_store
+from .pending import Pending, merge_store_updates
 from .scope import MAX_SCOPE_KEYS, Scopes
 from .store_updates import MIN_FOLLOWERS, StorePublisher
 
@@ -155,9 +155,9 @@
         del self.outbox[:-MAX_QUEUED_ORDERS]
         self.wake.set()
 
-    def queue_update(self, news: pb.FromPlanner, store: pb.StoreNews | None = None) -> None:
+    def queue_update(self, update: pb.FromPlanner, store: pb.StoreNews | None = None) -> None:
         """Queue a state update, merged with those that the gateway has not read yet."""
-        self.pending.add(news, store)
+        self.pending.add(update, store)
         self.wake.set()
 
     def take_messages(self) -> list[pb.FromPlanner]:
@@ -172,9 +172,9 @@
             )
             messages.insert(0, first)
             self.answers, self.quota_answers, self.room_answers = [], [], []
-        news = self.pending.take(self)
-        if news is not None:
-            messages.append(news)
+        update = self.pending.take(self)
+        if update is not None:
+            messages.append(update)
         return messages
 
 
@@ -305,10 +305,10 @@
     def resign(self) -> None:
         """Request at once that all gateways search for a successor."""
         self.has_resigned = True
-        news = self._base_update()
-        news.active = True
+        update = self._base_update()
+        update.active = True
         for follower in self._by_number.values():
-            follower.queue_update(news)
+            follower.queue_update(update)
 
     def mark(self, replica: str) -> None:
         """Record that the weights held by a replica have changed."""
@@ -335,9 +335,9 @@
         now = self._clock()
         self.pacing.step(now)
         self._update_scoping()
-        news = self._base_update()
-        news.active = active
-        news.cut_off = self.cut_off()
+        update = self._base_update()
+        update.active = active
+        update.cut_off = self.cut_off()
         holdings_due = (
             now - self._holdings_sent_at >= self.pacing.holdings_interval_s - TIMER_TOLERANCE_S
         )
@@ -349,14 +349,14 @@
             if holdings_due:
                 self._mark_changed_locations()
         else:
-            self._add_changes(news, holdings_due)
+            self._add_changes(update, holdings_due)
         store = None
         if self.tells_store and self._store is not None:
             store = self._store.next_update()
         for part in self._parts:
-            part.fill(news, now)
+            part.fill(update, now)
         for follower in self._by_number.values():
-            follower.queue_update(news, store)
+            follower.queue_update(update, store)
 
     @property
     def behind(self) -> int:
@@ -387,17 +387,17 @@
             message.loads.append(encode_load(name, engine))
         return message
 
-    def _add_changes(self, news: pb.FromPlanner, holdings_due: bool) -> None:
+    def _add_changes(self, update: pb.FromPlanner, holdings_due: bool) -> None:
         """Add the changes of all engines."""
         if holdings_due:
-            news.holdings.extend(self._holdings(name) for name in self._changed)
+            update.holdings.extend(self._holdings(name) for name in self._changed)
             self._changed.clear()
             self._index.changed_keys.clear()
         for name in self._index.changed_loads:
             engine = self._engines.get(name)
             if engine is not None and self._sent_loads.get(name) != engine.load():
                 self._sent_loads[name] = engine.load()
-                news.loads.append(encode_load(name, engine))
+                update.loads.append(encode_load(name, engine))
         self._index.changed_loads.clear()
 
     def _update_scoping(self) -> None:
@@ -420,7 +420,7 @@
         self._sent_locations.clear()
         for follower in self._by_number.values():
             if self.is_scoped:
-                follower.pending.is_whole = True
+                follower.pending.needs_full_update = True
             else:
                 follower.queue_update(self._full_update())
 
@@ -431,7 +431,7 @@
             pending = follower.pending
             pending.keys.update(self._scopes.expire(number, now))
             if len(pending.keys) > 2 * MAX_SCOPE_KEYS:
-                pending.is_whole = True
+                pending.needs_full_update = True
                 pending.keys.clear()
 
     def _mark_changed_loads(self) -> None:
@@ -501,15 +501,15 @@
         sent_revision = follower.listed_revision
         since = follower.store_revision if sent_revision is None else sent_revision
         page, reached = store.next_listing_page(since, sent_revision is None)
-        message.store.CopyFrom(merge_store(page, message.store))
+        message.store.CopyFrom(merge_store_updates(page, message.store))
         follower.listed_revision = reached
         follower.has_store = not reached
 
     def _add_scoped_state(self, follower: Follower, message: pb.FromPlanner) -> None:
         """Add the changes of what a gateway uses, or all of it if a full update is due."""
         pending, used = follower.pending, self._scopes.used_keys(follower.number)
-        if pending.is_whole:
-            pending.is_whole = False
+        if pending.needs_full_update:
+            pending.needs_full_update = False
             message.whole = True
             pending.keys = set(used)
             pending.location_subsets.clear()
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -46,11 +46,11 @@
 REPLACED_S = 4.0
 """Maximum time from the loss of a planner to its replacement, in seconds: 2 s, and 3.3 s if the
 store was unavailable too. After that, the time of a replacement is unknown."""
-LOOK_S = 0.1
+CONNECTION_CHECK_INTERVAL_S = 0.1
 """Interval at which a waiting request checks the connection to the planner, in seconds."""
 
 
-class _Question:
+class _PendingRequest:
     __slots__ = ("ask", "fut", "sent")
 
     def __init__(self, ask: pb.Ask) -> None:
@@ -100,7 +100,7 @@
         "_store_subscriber",
         "_disconnected_at",
         "_parts",
-        "_questions",
+        "_pending_requests",
         "_quotas",
         "_results",
         "_loads_to_resend",
@@ -170,7 +170,7 @@
         """Number of the current stream; results of orders from earlier streams are dropped."""
         self._clock_offset_s = math.inf
         """Upper bound of the difference of the planner's clock to the local clock, in seconds."""
-        self._questions: dict[int, _Question] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._sent_at = -math.inf
         self._disconnected_at = clock()
         """Time at which the connection to the last planner was lost, in seconds."""
@@ -239,21 +239,21 @@
         TimeoutError
             If there is no answer by the deadline, or waiting ends early.
         """
-        question = self._questions[ticket] = _Question(ask)
+        pending = self._pending_requests[ticket] = _PendingRequest(ask)
         self._flush_requested.set()
         self._wake.set()
         try:
             async with asyncio.timeout_at(until):
-                while not question.fut.done():
+                while not pending.fut.done():
                     if has_choice and self.is_quiet or should_give_up():
                         raise TimeoutError
                     if not self.is_followed and self._clock() >= self._disconnected_at + REPLACED_S:
                         raise TimeoutError
-                    await asyncio.wait([question.fut], timeout=LOOK_S)
-                return question.fut.result()
+                    await asyncio.wait([pending.fut], timeout=CONNECTION_CHECK_INTERVAL_S)
+                return pending.fut.result()
         finally:
-            del self._questions[ticket]
-            if question.sent and not question.fut.done() or question.fut.cancelled():
+            del self._pending_requests[ticket]
+            if pending.sent and not pending.fut.done() or pending.fut.cancelled():
                 self._cancelled.append(ticket)
 
     def note(self, replica: str, key: AdapterKey, change: int, tokens: int = 0) -> None:
@@ -293,8 +293,8 @@
         """Exchange messages with a planner until the stream breaks or times out."""
         host, _, port = planner.address.rpartition(":")
         channel = Channel(host, int(port))
-        for question in self._questions.values():
-            question.sent = False
+        for pending in self._pending_requests.values():
+            pending.sent = False
         self._changed.update(self.active)
         self._sent_loads.clear()
         self._loads_to_resend.clear()
@@ -367,10 +367,10 @@
             if self._store_subscriber is not None:
                 message.store_revision = self._store_subscriber.revision
             message.shares.update(self._shares.holding(self._sent_at))
-        for question in self._questions.values():
-            if not question.sent:
-                question.sent = True
-                message.asks.append(question.ask)
+        for pending in self._pending_requests.values():
+            if not pending.sent:
+                pending.sent = True
+                message.asks.append(pending.ask)
         message.cancelled.extend(self._cancelled)
         self._cancelled.clear()
         for use in self._changed:
@@ -473,15 +473,15 @@
             part.take(message)
         for answer in message.answers:
             self._apply_booking(answer)
-            question = self._questions.get(answer.ticket)
-            if question is not None and not question.fut.done():
-                question.fut.set_result(answer)
+            pending = self._pending_requests.get(answer.ticket)
+            if pending is not None and not pending.fut.done():
+                pending.fut.set_result(answer)
 
     def _apply_placement(self, answer: pb.Answer) -> None:
         """Record that the replica named in an answer holds the requested weights."""
-        question = self._questions.get(answer.ticket)
-        if question is not None and answer.replica:
-            key = AdapterKey(question.ask.model, question.ask.adapter)
+        pending = self._pending_requests.get(answer.ticket)
+        if pending is not None and answer.replica:
+            key = AdapterKey(pending.ask.model, pending.ask.adapter)
             self._fleet.add_holding(answer.replica, key, answer.version)
 
     def _apply_pacing(self, message: pb.FromPlanner) -> None:
@@ -493,28 +493,28 @@
         self._fleet.is_scoped = message.scoped
         self.has_resigned = message.resigned
 
-    def _apply_load(self, told: pb.Load, booked: ReportedLoad) -> None:
+    def _apply_load(self, total: pb.Load, booked: ReportedLoad) -> None:
         """Apply the load of a replica.
 
         Parameters
         ----------
-        told : pb.Load
+        total : pb.Load
             Load summed over all gateways.
         booked : ReportedLoad
             Load that the planner has added for a request of this instance.
         """
-        load = self._fleet.load(told.replica)
-        own = self._sent_loads.get(told.replica, ReportedLoad())
+        load = self._fleet.load(total.replica)
+        own = self._sent_loads.get(total.replica, ReportedLoad())
         load.others = ReportedLoad(
-            max(0, told.starting - own.starting - booked.starting),
-            max(0, told.running - own.running),
-            subtract_queue(subtract_queue(told.queued, own.queued), booked.queued),
-            max(0, told.memory_tokens - own.memory - booked.memory),
+            max(0, total.starting - own.starting - booked.starting),
+            max(0, total.running - own.running),
+            subtract_queue(subtract_queue(total.queued, own.queued), booked.queued),
+            max(0, total.memory_tokens - own.memory - booked.memory),
         )
-        if told.running > load.reported_running:
+        if total.running > load.reported_running:
             # Some instance received a first event from the replica.
-            self._fleet.health(told.replica).last_received_at = self._clock()
-        load.reported_running = told.running
+            self._fleet.health(total.replica).last_received_at = self._clock()
+        load.reported_running = total.running
 
     def _apply_booking(self, answer: pb.Answer) -> None:
         """Apply the load of the replica named in an answer, less the booking for this request."""
@@ -522,9 +522,9 @@
             return
         self._loads_to_resend.add(answer.replica)
         self._wake.set()
-        question = self._questions.get(answer.ticket)
-        if question is None or not answer.HasField("load"):
+        pending = self._pending_requests.get(answer.ticket)
+        if pending is None or not answer.HasField("load"):
             return
-        queued = (0,) * question.ask.rank + (question.ask.prompt_tokens - answer.kept_tokens,)
-        memory = question.ask.prompt_tokens + question.ask.answer_tokens
+        queued = (0,) * pending.ask.rank + (pending.ask.prompt_tokens - answer.kept_tokens,)
+        memory = pending.ask.prompt_tokens + pending.ask.answer_tokens
         self._apply_load(answer.load, ReportedLoad(1, 0, queued, memory))
--- a/packages/gateway/src/gradelug_gateway/pending.py
+++ b/packages/gateway/src/gradelug_gateway/pending.py
@@ -30,18 +30,26 @@
         Adds the state that only this gateway receives, when the message is read.
     """
 
-    __slots__ = ("_complete", "_news", "_store", "is_whole", "keys", "replicas", "location_subsets")
+    __slots__ = (
+        "_complete",
+        "_update",
+        "_store_update",
+        "needs_full_update",
+        "keys",
+        "replicas",
+        "location_subsets",
+    )
 
     def __init__(
         self,
         complete: t.Callable[[Follower, pb.FromPlanner], None] = lambda follower, message: None,
     ) -> None:
         self._complete = complete
-        self._news: pb.FromPlanner | None = None
-        self._store: pb.StoreNews | None = None
+        self._update: pb.FromPlanner | None = None
+        self._store_update: pb.StoreNews | None = None
         self.keys: set[AdapterKey] = set()
         """Weights whose locations are to be sent, or removed at the gateway."""
-        self.is_whole = True
+        self.needs_full_update = True
         """Whether the next update lists all weights that the gateway uses, and removes all others
         there."""
         self.location_subsets: dict[AdapterKey, dict[str, int]] = {}
@@ -53,24 +61,28 @@
     @property
     def is_waiting(self) -> bool:
         """Whether an update has not been read yet."""
-        return self._news is not None
+        return self._update is not None
 
-    def add(self, news: pb.FromPlanner, store: pb.StoreNews | None) -> None:
+    def add(self, update: pb.FromPlanner, store: pb.StoreNews | None) -> None:
         """Merge in an update that other gateways receive as well."""
-        self._news = news if self._news is None else merge_news(self._news, news)
+        self._update = update if self._update is None else merge_news(self._update, update)
         if store is not None:
-            self._store = store if self._store is None else merge_store(self._store, store)
+            self._store_update = (
+                store
+                if self._store_update is None
+                else merge_store_updates(self._store_update, store)
+            )
 
     def take(self, follower: Follower) -> pb.FromPlanner | None:
         """Return and clear the update, None if there is none."""
-        news, self._news = self._news, None
-        if news is None:
+        update, self._update = self._update, None
+        if update is None:
             return None
         message = pb.FromPlanner()
-        message.CopyFrom(news)
-        if self._store is not None:
-            message.store.CopyFrom(self._store)
-            self._store = None
+        message.CopyFrom(update)
+        if self._store_update is not None:
+            message.store.CopyFrom(self._store_update)
+            self._store_update = None
         self._complete(follower, message)
         return message
 
@@ -93,7 +105,7 @@
     return merged
 
 
-def merge_store(old: pb.StoreNews, new: pb.StoreNews) -> pb.StoreNews:
+def merge_store_updates(old: pb.StoreNews, new: pb.StoreNews) -> pb.StoreNews:
     """Return one store update that replaces two; records of the newer one take precedence."""
     merged = pb.StoreNews()
     merged.CopyFrom(new)
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -23,7 +23,7 @@
 log = logbook.Logger("placement")
 SEND_SPACING_S = 0.005
 """Batching interval of messages to a gateway, in seconds."""
-LOOK_S = 0.05
+ELECTION_CHECK_INTERVAL_S = 0.05
 GATEWAY_TIMEOUT_S = 2.5
 """Timeout after which a gateway that sends nothing is disconnected and its requests are dropped, in
 seconds. A gateway sends a message at least every 0.5 s plus its batching interval (0.9 s at 370
@@ -72,7 +72,7 @@
             while True:
                 if self.election.fence:
                     await self._run_planner()
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(ELECTION_CHECK_INTERVAL_S)
         finally:
             election_task.cancel()
 
@@ -103,7 +103,7 @@
                     log.info("stepping aside for a fully capable instance", service=planner.service)
                     planner.followers.resign()
                     await self.election.step_aside()
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(ELECTION_CHECK_INTERVAL_S)
         finally:
             planner.end_term()
             planner_task.cancel()
--- a/packages/gateway/src/gradelug_gateway/relay.py
+++ b/packages/gateway/src/gradelug_gateway/relay.py
@@ -19,7 +19,7 @@
 from .ports import OrderTransport
 
 log = logbook.Logger("relay")
-ANSWER_S = 0.25
+ORDER_TIMEOUT_S = 0.25
 """Timeout for an owner to report an order's result, in seconds: includes the owner's own timeout
 for the engine (0.12 s), a round trip between instances, and batching of messages at both ends."""
 
@@ -56,7 +56,7 @@
         self._pending[ticket] = (owner, fut)
         owner.send(pb.FromPlanner(active=True, orders=[_encode(ticket, replica, order)]))
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
                 return await fut
         except TimeoutError:
             log.info(
--- a/packages/gateway/src/gradelug_gateway/search.py
+++ b/packages/gateway/src/gradelug_gateway/search.py
@@ -18,7 +18,7 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
 log = logbook.Logger("search")
-LOOK_S = 0.1
+PLANNER_POLL_INTERVAL_S = 0.1
 """Interval at which a gateway checks for a newer planner, in seconds."""
 GATEWAYS_PER_POLL_INTERVAL = 20
 """Number of gateways that may poll the store in each interval during a search: at 0.1 s, 195
@@ -49,7 +49,7 @@
     fence: int
 
 
-class Search:
+class PlannerSearch:
     """Limits the rate of polls for a new planner; the interval grows with each poll.
 
     Parameters
@@ -67,7 +67,7 @@
     def found(self) -> None:
         """Reset the interval for the next search."""
         self._due_at = -math.inf
-        self._interval_s = LOOK_S
+        self._interval_s = PLANNER_POLL_INTERVAL_S
 
     def is_due(self, gateways: int) -> bool:
         """Return whether to poll now, and if so schedule the next poll.
@@ -81,13 +81,15 @@
         if now < self._due_at:
             return False
         max_interval_s = (
-            LOOK_S * gateways / GATEWAYS_PER_POLL_INTERVAL
+            PLANNER_POLL_INTERVAL_S * gateways / GATEWAYS_PER_POLL_INTERVAL
             if gateways
             else MAX_POLL_INTERVAL_UNKNOWN_FLEET_S
         )
         # Allows for polling loops that run slightly early or late.
         self._due_at = now + 0.9 * self._interval_s
-        self._interval_s = max(LOOK_S, min(max_interval_s, self._interval_s * POLL_BACKOFF_FACTOR))
+        self._interval_s = max(
+            PLANNER_POLL_INTERVAL_S, min(max_interval_s, self._interval_s * POLL_BACKOFF_FACTOR)
+        )
         return True
 
 
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -14,8 +14,8 @@
 from .model import Request, Route
 
 VALUE_FACTOR_PER_RANK = 0.72
-"""Factor by which a request's value falls with each rank; both users' price sheets fall at about
-this rate."""
+"""Factor by which a request's value falls with each rank; the value sheets of both users fall at
+about this rate."""
 OUTPUT_WEIGHT = 10
 """Cost of a generated token, in prompt tokens."""
 SLOT_HOLD_S = 0.35
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,7 +9,7 @@
 from gradelug_gateway.link import REPLACED_S, UPDATE_OVERDUE_S, PlannerLink
 from gradelug_gateway.model import AdapterKey, FleetState, ReportedLoad
 from gradelug_gateway.pacing import FLUSH_S, NEWS_S
-from gradelug_gateway.search import PlannerAddress, Search
+from gradelug_gateway.search import PlannerAddress, PlannerSearch
 from gradelug_wire import placement_pb2 as pb
 from world import new_loop
 
@@ -182,10 +182,10 @@
         run(scenario)
 
 
-class TestSearch:
+class TestPlannerSearch:
     def count_polls(self, gateways, seconds):
         now = [0.0]
-        search, count = Search(lambda: now[0]), 0
+        search, count = PlannerSearch(lambda: now[0]), 0
         while now[0] < seconds:
             count += search.is_due(gateways)
             now[0] += 0.02
@@ -205,7 +205,7 @@
 
     def test_reset_restarts_the_poll_interval(self):
         now = [0.0]
-        search = Search(lambda: now[0])
+        search = PlannerSearch(lambda: now[0])
         assert search.is_due(195)
         assert not search.is_due(195)
         search.found()
@@ -214,7 +214,7 @@
 
 class TestDirectory:
     def test_link_switches_to_newer_planner_if_old_one_does_not_respond(self, monkeypatch):
-        """Gateways stayed connected to a failed planner for 1.3 s after its successor was elected."""
+        """Gateways stayed with a failed planner for 1.3 s after its successor was elected."""
 
         async def scenario():
             clock = asyncio.get_running_loop().time
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -17,7 +17,7 @@
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.load_targets import MAX_CACHED_CANDIDATES, MAX_CANDIDATES, LoadTargets
 from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
-from gradelug_gateway.pending import merge_news, merge_store
+from gradelug_gateway.pending import merge_news, merge_store_updates
 from gradelug_gateway.planner import MAX_CONCURRENT_SYNCS, MAX_PENDING_SYNCS
 from gradelug_gateway.scope import MAX_SCOPE_KEYS, SCOPE_RETENTION_S
 from gradelug_policy.cells import Cells
@@ -429,7 +429,7 @@
             replicas=[pb.ReplicaFact(replica="b", leaving=True)],
             versions=[pb.VersionFact(model="m", adapter="x", version=3)],
         )
-        merged = merge_store(old, new)
+        merged = merge_store_updates(old, new)
         assert merged.look
         assert merged.age_ms == 7
         assert {fact.replica: (fact.gone, fact.leaving) for fact in merged.replicas} == {
