--- a/packages/coordination/src/gradelug_coordination/candidacy.py
+++ b/packages/coordination/src/gradelug_coordination/candidacy.py
@@ -1,8 +1,8 @@
-"""Which instances keep a lease for a duty that a few of them can carry.
+"""Decides whether an instance joins a group of which a few members are sufficient.
 
-A lease is renewed several times in its life, and each renewal is a call to the service. Where any
-instance can take over from any other, a few that are present are enough; the others join when one
-of these has gone.
+Each member holds a lease and renews it several times per time to live, and each renewal is a call
+to the key-value service. Where any instance can take over from any other, only some instances join;
+the others join when the number of members drops.
 """
 
 from __future__ import annotations
@@ -10,18 +10,19 @@
 import random
 import typing as t
 
-MEMBERS = 9
-"""So many instances are present while there are as many: the smaller deployments have 6 to 9, and
-bear the loss of several at once."""
-SPREAD_S = 3.0
-"""Weaker instances join at a moment drawn from this span: with 70 of them one each 0.04 s, so that
-each sees the others' presence before its turn."""
-LOOK_S = 0.1
-"""An entry that was made shows after a look at the service within this."""
+TARGET_MEMBERS = 9
+"""Number of members below which instances join. The smaller deployments have 6 to 9 instances, and
+the group survives the loss of several at once."""
+JOIN_JITTER_S = 3.0
+"""Weaker instances join after a delay drawn from this range. With 70 of them they are 0.04 s apart
+on average, so that each observes the members that joined before it."""
+REFRESH_LEAD_S = 0.1
+"""A refresh of the mirror is requested this long before the instance joins; it shows entries
+written until then."""
 
 
 class Candidacy:
-    """Tells when this instance joins.
+    """Decides whether this instance joins.
 
     Parameters
     ----------
@@ -29,56 +30,59 @@
         The runtime's clock, in seconds.
     rng : random.Random
         Source of jitter.
-    handicap_s : float
-        How much later than others this instance joins, in seconds; 0 for those that join at once.
-    most : int
-        It does not join while so many are present.
+    join_delay_s : float
+        Delay before this instance joins, in seconds; 0 for instances that join immediately.
+    max_members : int
+        The instance does not join while the group has this many members.
     """
 
-    __slots__ = ("_clock", "_due_at", "_handicap_s", "_most", "_rng", "has_joined")
+    __slots__ = ("_clock", "_join_at", "_join_delay_s", "_max_members", "_rng", "has_joined")
 
     def __init__(
         self,
         clock: t.Callable[[], float],
         rng: random.Random,
-        handicap_s: float = 0.0,
-        most: int = MEMBERS,
+        join_delay_s: float = 0.0,
+        max_members: int = TARGET_MEMBERS,
     ) -> None:
         self._clock = clock
         self._rng = rng
-        self._handicap_s = handicap_s
-        self._most = most
-        self._due_at: float | None = None
+        self._join_delay_s = join_delay_s
+        self._max_members = max_members
+        self._join_at: float | None = None
         self.has_joined = False
 
-    def consider(self, present: int, is_awaited: bool, look: t.Callable[[], None]) -> bool:
-        """Tell whether this instance takes part; once it does, it goes on.
+    def should_join(
+        self, member_count: int, is_returning: bool, request_refresh: t.Callable[[], None]
+    ) -> bool:
+        """Return whether this instance is a member; once it has joined, it stays one.
 
         Parameters
         ----------
-        present : int
-            Instances that take part.
-        is_awaited : bool
-            Whether it did so before a restart: others leave what was its to it.
-        look : callable
-            Has the service looked at, so that `present` is true a little later.
+        member_count : int
+            Number of present members.
+        is_returning : bool
+            Whether the instance was a member before a restart; the others then leave its resources
+            to it.
+        request_refresh : callable
+            Requests a poll of the service, so that `member_count` is current at the next call.
         """
-        if self.has_joined or is_awaited:
+        if self.has_joined or is_returning:
             self.has_joined = True
             return True
-        if present >= self._most:
-            self._due_at = None
+        if member_count >= self._max_members:
+            self._join_at = None
             return False
-        if not self._handicap_s:
+        if not self._join_delay_s:
             self.has_joined = True
             return True
         now = self._clock()
-        if self._due_at is None:
-            self._due_at = now + self._handicap_s + self._rng.uniform(0.0, SPREAD_S)
-        if now < self._due_at - LOOK_S:
+        if self._join_at is None:
+            self._join_at = now + self._join_delay_s + self._rng.uniform(0.0, JOIN_JITTER_S)
+        if now < self._join_at - REFRESH_LEAD_S:
             return False
-        if now < self._due_at:
-            look()
+        if now < self._join_at:
+            request_refresh()
             return False
         self.has_joined = True
         return True
--- a/packages/coordination/src/gradelug_coordination/lasting.py
+++ b/packages/coordination/src/gradelug_coordination/lasting.py
@@ -1,19 +1,20 @@
-"""Owners that are remembered: who comes back goes on with what it owned, at once.
-
-A record names the owner of a resource and outlasts the owner's lease. Beside it each instance keeps
-its presence, which goes with its lease. An owner acts on the records that it wrote under the lease
-which it holds now. Another instance takes a record over after its owner has been seen absent for
-`hold_off_s` and the time to live of its lease: a service that takes an instance's entries away
-does not tell it, and it goes on until its lease is over by its own clock. Whichever of the two
-writes the record first is its owner, and the other's write fails.
-
-Where the service comes back from an older copy, leases are gone and records show earlier owners or
-none. Who holds a claim then writes it again at once; everybody else waits as long as for an owner
-that is absent, since any other owner may still act.
-
-While the service is away nobody can take a record over, and owners go on. An owner takes it for
-away, and not only itself for cut off, while most instances say that they cannot reach it and none
-says that it can. What they say is a second old at most, far less than others wait who reach it.
+"""Resource ownership that survives restarts: a restarted owner resumes its resources immediately.
+
+An ownership record names the owner of a resource and outlives the owner's lease. Each instance also
+has a presence entry that is tied to its lease. An owner acts only on records that it wrote under
+its current lease. Another instance takes a record over after the owner has been absent for
+`hold_off_s` plus the time to live of its lease: the service does not notify an instance whose
+entries it deletes, and the instance continues until the lease expires by its own clock. If the
+owner and another instance both write the record, the first write is applied and the other fails.
+
+After a restore of the service from an older copy, leases are gone and records show earlier owners
+or are missing. An instance with a claim rewrites its record immediately. All others wait as long as
+for an absent owner, since another owner may still be acting.
+
+While the service is unavailable no record can be taken over, and owners continue. An owner assumes
+an outage of the service, rather than a fault of its own connection, while most instances report
+that they cannot reach the service and none reports that it can. These reports are at most a second
+old, which is far less than the delay before an instance that reaches the service takes over.
 """
 
 from __future__ import annotations
@@ -36,26 +37,27 @@
 from .rendezvous import score
 
 log = logbook.Logger("ownership")
-PRESENT = "present/"
-OWNERS = "owners/"
-STEP_S = 0.1
-TURN_S = 0.4
-"""Each next instance waits so much longer, and as long as mirrors gather changes, before it takes
-what is free: a write takes a few ms, and up to 0.3 s with the store slow."""
-SETTLE_S = 1.0
-"""What nobody has owned yet is not taken earlier than this after a start: all instances start
-within 0.3 s of each other and are to share it."""
-OUTAGE_S = 1.0
-"""What instances say of the service's absence holds for so long."""
-FORGET_S = 30.0
-"""Records of resources that are gone are kept this long: some come back."""
-MEMBERS_PER_TTL = 25
-"""With more instances than this leases are longer, so that all together renew about 60 a second."""
+PRESENCE_PREFIX = "present/"
+OWNERS_PREFIX = "owners/"
+STEP_INTERVAL_S = 0.1
+TAKEOVER_STAGGER_S = 0.4
+"""Additional delay per rank before an instance takes a free resource, on top of the mirror's poll
+interval. A write takes a few ms, and up to 0.3 s while the service is slow."""
+INITIAL_TAKE_DELAY_S = 1.0
+"""Resources without an owner record are not taken earlier after the start of the process: all
+instances start within 0.3 s of each other, and the resources are to be spread over all of them."""
+OUTAGE_REPORT_VALID_S = 1.0
+"""How long a report of an outage is valid."""
+UNWANTED_RECORD_TTL_S = 30.0
+"""Records of removed resources are kept this long, since some resources are added again."""
+MAX_MEMBERS_AT_BASE_TTL = 25
+"""With more members, the time to live of leases grows in proportion, which limits the renewals of
+all members to about 60 a second."""
 
 
 @dataclass(slots=True, frozen=True)
-class LastingRecord:
-    """Who owns a resource.
+class PersistentOwnerRecord:
+    """The owner of a resource, as recorded.
 
     Parameters
     ----------
@@ -64,8 +66,8 @@
     fence : int
         Fencing token: the revision of the record.
     era : int
-        Of the service when it was written; an earlier one than the token's if the service came back
-        from a copy since.
+        Era of the service when the record was written; earlier than the token's if the service has
+        been restored from a copy since.
     """
 
     owner: str
@@ -73,46 +75,47 @@
     era: int = 0
 
     @property
-    def is_copied(self) -> bool:
-        """Whether a later record may have been lost."""
+    def may_be_outdated(self) -> bool:
+        """Whether a later version of the record may have been lost in a restore."""
         return self.era < era_of(self.fence)
 
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """A record that this process wrote, and the lease under which it did."""
+    """A record that this process wrote, and the lease under which it wrote it."""
 
     fence: int
     lease: int
 
 
 class LastingOwnership:
-    """Shares resources among instances.
+    """Distributes resources over instances.
 
     Parameters
     ----------
     kv : KeyValue
         The platform's service.
     root : str
-        Prefix of its keys.
+        Prefix of the ownership and presence keys.
     mirror : Mirror
-        Mirror in which they show.
+        Mirror that includes these keys.
     lease : LeaseKeeper
-        This process's lease; kept alive here.
+        Lease of this process; `run` renews it.
     name : str
-        This instance, the same before and after a restart, and no other machine's ever.
+        Name of this instance, the same before and after a restart, and unique to the machine.
     clock : callable
         The runtime's clock, in seconds.
     hold_off_s : float
-        No two instances may act on a resource within this time, in seconds.
+        Minimum time between the last action of one instance on a resource and the first action of
+        another one, in seconds.
     wanted : callable
-        Returns the names of the resources that there are.
+        Returns the names of the existing resources.
     on_change : callable
-        Called without arguments when something was gained or lost.
+        Called without arguments when a resource was gained or lost.
     spacing_s : float
-        How long the mirror gathers changes, in seconds.
+        Poll interval of the mirror, in seconds.
     candidacy : Candidacy or None
-        Tells whether this instance takes part; None if it does in any case.
+        Decides whether this instance joins; None if it always does.
     """
 
     __slots__ = (
@@ -136,7 +139,7 @@
         "_root",
         "_started_at",
         "_ttl_s",
-        "_turn_s",
+        "_takeover_stagger_s",
         "_unwanted_since",
         "_wanted",
     )
@@ -168,25 +171,26 @@
         self._hold_off_s = hold_off_s
         self._wanted = wanted
         self._on_change = on_change
-        self._turn_s = TURN_S + spacing_s
+        self._takeover_stagger_s = TAKEOVER_STAGGER_S + spacing_s
         self._retry_at: dict[str, float] = {}
-        """When a record that another instance changed first is looked at again."""
+        """Earliest time of the next write of a record that another instance changed first, by
+        resource."""
         self._started_at = clock()
         self._ttl_s = lease.ttl_s
         self._outage_until = float("-inf")
         self._claims: dict[str, Claim] = {}
         self._presence = Claim(ABSENT, 0)
-        self._absent_since: dict[LastingRecord, float] = {}
+        self._absent_since: dict[PersistentOwnerRecord, float] = {}
         self._free_since: dict[str, float] = {}
         self._unwanted_since: dict[str, float] = {}
         self._eras = EraWatch()
         self._restored_at = float("-inf")
-        """When the service was seen to have come back from a copy."""
+        """When the service was last observed to have been restored from a copy."""
 
-    # What may be done.
+    # State.
 
     def token(self, resource: str) -> int | None:
-        """Return the fencing token to act on a resource with right now, None if that is over."""
+        """Return the fencing token to act on a resource now, None if this process may not."""
         claim = self._claims.get(resource)
         if claim is None or claim.lease != self._lease.lease:
             return None
@@ -194,56 +198,63 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether this process takes part, and so knows whether the service answers."""
+        """Whether this process is a member and renews its lease, and so detects outages of the
+        service."""
         return self._joined.is_set()
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the service does not answer this process, if it takes part."""
+        """Whether the service does not answer this process; meaningful for members only."""
         return self._lease.is_cut_off()
 
     def note_outage(self, cut_off: int) -> None:
-        """Take that so many that take part cannot reach the service, and that none is known to.
+        """Extend the tokens during an outage of the service.
 
-        It keeps alive what has not been over since the lease was valid: once it was, another
-        instance may have been in contact for long enough to take over.
+        Only an instance whose lease or outage period is unexpired extends it: later, another
+        instance may have reached the service for long enough to take over.
+
+        Parameters
+        ----------
+        cut_off : int
+            Number of members that report that they cannot reach the service, while none reports
+            that it can.
         """
         now, known = self._clock(), len(self.present() | {self._name})
-        goes_on = now < max(self._lease.valid_until, self._outage_until)
-        if goes_on and self.is_cut_off and 2 * cut_off > known:
-            self._outage_until = now + OUTAGE_S
+        was_valid = now < max(self._lease.valid_until, self._outage_until)
+        if was_valid and self.is_cut_off and 2 * cut_off > known:
+            self._outage_until = now + OUTAGE_REPORT_VALID_S
 
     def _is_outage(self) -> bool:
         return self.is_cut_off and self._clock() < self._outage_until
 
     def held(self) -> frozenset[str]:
-        """Return the resources that this process may act on now."""
+        """Return the resources on which this process may act now."""
         return frozenset(name for name in self._claims if self.token(name) is not None)
 
-    def records(self) -> dict[str, LastingRecord]:
-        """Return the owners as the mirror shows them."""
-        prefix = f"{self._root}{OWNERS}"
+    def records(self) -> dict[str, PersistentOwnerRecord]:
+        """Return the ownership records by resource, according to the mirror."""
+        prefix = f"{self._root}{OWNERS_PREFIX}"
         found = {}
         for entry in self._mirror.below(prefix):
-            record = _read(entry)
+            record = _read_record(entry)
             if record is not None:
                 found[entry.key.removeprefix(prefix)] = record
         return found
 
     def present(self) -> set[str]:
-        """Return the instances that are there, as the mirror shows them."""
-        prefix = f"{self._root}{PRESENT}"
+        """Return the names of the present instances, according to the mirror."""
+        prefix = f"{self._root}{PRESENCE_PREFIX}"
         return {entry.key.removeprefix(prefix) for entry in self._mirror.below(prefix)}
 
-    # Life.
+    # Operation.
 
     async def run(self) -> None:
-        """Take, keep and lose resources until cancelled."""
+        """Take, hold and release resources until cancelled."""
         renewing = asyncio.create_task(self._renew())
         try:
             while True:
                 await self.step()
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(STEP_INTERVAL_S)
         finally:
             renewing.cancel()
 
@@ -252,44 +263,49 @@
         await self._lease.run()
 
     async def step(self) -> None:
-        """Do what is due now."""
-        if not self._takes_part():
+        """Perform the actions that are due."""
+        if not self._participates():
             return
         if not self._mirror.synced or not self._lease.is_valid() or self.is_cut_off:
-            # Owners may go on while nobody reaches the service: absence counts from contact on.
+            # Owners may continue during an outage, so absence counts from the reconnection.
             self._absent_since.clear()
             return
         try:
-            await self._announce()
+            await self._announce_presence()
             await self._reconcile()
-            await self._forget_unwanted()
+            await self._delete_unwanted()
         except CoordinationError as exc:
-            log.info("the store did not take a record", root=self._root, why=repr(exc))
+            log.info("could not update the ownership records", root=self._root, why=repr(exc))
 
-    def _takes_part(self) -> bool:
+    def _participates(self) -> bool:
         if self._joined.is_set():
             return True
         if self._candidacy is None or not self._mirror.synced:
             return False
         present, records = self.present(), self.records().values()
-        is_awaited = self._name in present or any(record.owner == self._name for record in records)
-        if self._candidacy.consider(len(present), is_awaited, self._mirror.hurry):
-            log.info("joined", root=self._root, present=len(present), awaited=is_awaited)
+        is_returning = self._name in present or any(
+            record.owner == self._name for record in records
+        )
+        if self._candidacy.should_join(len(present), is_returning, self._mirror.hurry):
+            log.info(
+                "joined as a member", root=self._root, present=len(present), awaited=is_returning
+            )
             self._joined.set()
         return self._joined.is_set()
 
     async def leave(self) -> None:
-        """End the lease: others see at once that this process is gone."""
+        """Revoke the lease, so that other instances detect immediately that this process has
+        stopped."""
         try:
             await self._lease.release()
         except CoordinationError as exc:
-            log.info("the lease could not be ended and will lapse", why=repr(exc))
+            log.info("could not revoke the lease; it will expire", why=repr(exc))
 
-    async def _announce(self) -> None:
+    async def _announce_presence(self) -> None:
         lease = self._lease.lease
         if self._presence.lease == lease:
             return
-        key = f"{self._root}{PRESENT}{self._name}"
+        key = f"{self._root}{PRESENCE_PREFIX}{self._name}"
         found = await self._kv.get(key)
         expected = found.revision if found is not None else ABSENT
         value = json.dumps({"operation": uuid.uuid4().hex}).encode()
@@ -305,73 +321,82 @@
         self._note_era()
         records, present = self.records(), self.present() | {self._name}
         wanted = sorted(self._wanted())
-        self._lease.ttl_s = self._ttl_s * max(1.0, len(present) / MEMBERS_PER_TTL)
-        taking = []
+        self._lease.ttl_s = self._ttl_s * max(1.0, len(present) / MAX_MEMBERS_AT_BASE_TTL)
+        writes = []
         free = []
         for name in wanted:
             record = records.get(name)
             claim = self._claims.get(name)
-            if claim is not None and record is not None and self._is_taken(claim, record):
-                self._drop(name, record)
+            if claim is not None and record is not None and self._is_superseded(claim, record):
+                self._drop_claim(name, record)
                 claim = None
             if claim is not None and claim.lease == lease:
                 continue
             if self._clock() < self._retry_at.get(name, 0.0):
                 continue
             if claim is not None or self._is_own(record):
-                taking.append(self._take(name, self._expected(claim, record), lease))
+                writes.append(
+                    self._take_ownership(name, self._expected_revision(claim, record), lease)
+                )
             elif self._is_free(name, record, present):
                 free.append(name)
         counts = Counter(record.owner for record in records.values())
         for name in free:
-            if self._is_my_turn(name, present, counts):
-                taking.append(self._take(name, self._expected(None, records.get(name)), lease))
-        if taking:
-            await asyncio.gather(*taking)
+            if self._may_take_now(name, present, counts):
+                writes.append(
+                    self._take_ownership(
+                        name, self._expected_revision(None, records.get(name)), lease
+                    )
+                )
+        if writes:
+            await asyncio.gather(*writes)
 
     def _note_era(self) -> None:
         is_first = self._eras.era is None
         if self._eras.has_risen(self._mirror.revision):
             log.warning(
-                "owners may be lost", root=self._root, era=self._eras.era, claims=len(self._claims)
+                "the store was restored; ownership records may be lost",
+                root=self._root,
+                era=self._eras.era,
+                claims=len(self._claims),
             )
             self._restored_at = self._clock()
             self._absent_since.clear()
             self._free_since.clear()
         elif is_first and self._eras.era:
-            # A recent return cannot be ruled out, so this process waits as after one.
+            # A recent restore can't be ruled out, so this process waits as after one.
             self._restored_at = self._clock()
 
-    def _is_settled(self) -> bool:
-        """Tell whether nobody acts any more on what it owned before the service's return."""
+    def _has_restore_wait_passed(self) -> bool:
+        """Return whether all owners from before the last restore have stopped acting."""
         return self._clock() - self._restored_at >= self._hold_off_s + self._lease.ttl_s
 
-    def _is_taken(self, claim: Claim, record: LastingRecord) -> bool:
-        """Tell whether a record took a claim's place, and is not from a copy."""
+    def _is_superseded(self, claim: Claim, record: PersistentOwnerRecord) -> bool:
+        """Return whether a record replaced a claim and is not merely part of a restored copy."""
         if era_of(record.fence) > era_of(claim.fence):
-            return self._is_settled() and record.owner != self._name
+            return self._has_restore_wait_passed() and record.owner != self._name
         return record.fence > claim.fence
 
-    def _is_own(self, record: LastingRecord | None) -> bool:
-        """Tell whether a record is of an earlier process of this instance, and the newest."""
+    def _is_own(self, record: PersistentOwnerRecord | None) -> bool:
+        """Return whether a record of this instance's earlier process is the latest one."""
         if record is None or record.owner != self._name:
             return False
-        return not record.is_copied or self._is_settled()
+        return not record.may_be_outdated or self._has_restore_wait_passed()
 
-    def _expected(self, claim: Claim | None, record: LastingRecord | None) -> int:
-        """Return the position at which a record is to be replaced."""
+    def _expected_revision(self, claim: Claim | None, record: PersistentOwnerRecord | None) -> int:
+        """Return the revision at which a record is to be replaced."""
         record_at = record.fence if record is not None else ABSENT
         if claim is None or era_of(claim.fence) < (self._eras.era or 0):
             return record_at
         return max(claim.fence, record_at)
 
-    def _is_free(self, name: str, record: LastingRecord | None, present: set[str]) -> bool:
-        """Tell whether nobody owns a resource who may still act on it, and note since when."""
+    def _is_free(self, name: str, record: PersistentOwnerRecord | None, present: set[str]) -> bool:
+        """Return whether no owner may still act on a resource, and record since when."""
         now = self._clock()
-        if not self._is_settled():
+        if not self._has_restore_wait_passed():
             return False
         if record is None:
-            if now - self._started_at >= SETTLE_S:
+            if now - self._started_at >= INITIAL_TAKE_DELAY_S:
                 self._free_since.setdefault(name, now)
                 return True
             return False
@@ -385,51 +410,51 @@
         self._free_since.setdefault(name, now)
         return True
 
-    def _is_my_turn(self, name: str, present: set[str], counts: Counter[str]) -> bool:
+    def _may_take_now(self, name: str, present: set[str], counts: Counter[str]) -> bool:
         order = sorted(present, key=lambda member: (counts[member], -score(member, name)))
         counts[order[0]] += 1
         waited_s = self._clock() - self._free_since[name]
-        return waited_s >= self._turn_s * order.index(self._name)
+        return waited_s >= self._takeover_stagger_s * order.index(self._name)
 
-    async def _take(self, name: str, expected: int, lease: int) -> None:
-        key = f"{self._root}{OWNERS}{name}"
+    async def _take_ownership(self, name: str, expected: int, lease: int) -> None:
+        key = f"{self._root}{OWNERS_PREFIX}{name}"
         data = {"owner": self._name, "era": self._eras.era, "operation": uuid.uuid4().hex}
         value = json.dumps(data).encode()
         swap = await swap_surely(self._kv, key, value, expected)
         if not swap.swapped:
-            # The mirror does not show the newest record yet: trying again would fail again.
+            # The mirror does not show the latest record yet, so an immediate retry would fail too.
             self._claims.pop(name, None)
-            self._retry_at[name] = self._clock() + self._turn_s
+            self._retry_at[name] = self._clock() + self._takeover_stagger_s
             return
         self._claims[name] = Claim(swap.revision, lease)
         self._free_since.pop(name, None)
         log.info("owned", resource=name, fence=swap.revision, before=expected, lease=lease)
         self._on_change()
 
-    def _drop(self, name: str, record: LastingRecord) -> None:
+    def _drop_claim(self, name: str, record: PersistentOwnerRecord) -> None:
         claim = self._claims.pop(name)
-        log.info("no longer owned", resource=name, fence=claim.fence, owner=record.owner)
+        log.info("ownership lost", resource=name, fence=claim.fence, owner=record.owner)
         self._on_change()
 
-    async def _forget_unwanted(self) -> None:
-        """Delete records of resources that are gone for good."""
+    async def _delete_unwanted(self) -> None:
+        """Delete the records of resources that were removed for good."""
         wanted, now = set(self._wanted()), self._clock()
         for name, record in self.records().items():
             if name in wanted:
                 self._unwanted_since.pop(name, None)
                 continue
-            if now - self._unwanted_since.setdefault(name, now) < FORGET_S:
+            if now - self._unwanted_since.setdefault(name, now) < UNWANTED_RECORD_TTL_S:
                 continue
             if record.owner == self._name or record.owner not in self.present():
                 self._claims.pop(name, None)
-                await self._kv.delete(f"{self._root}{OWNERS}{name}", record.fence)
+                await self._kv.delete(f"{self._root}{OWNERS_PREFIX}{name}", record.fence)
                 self._unwanted_since[name] = now
 
 
-def _read(entry: KvEntry) -> LastingRecord | None:
+def _read_record(entry: KvEntry) -> PersistentOwnerRecord | None:
     try:
         data = json.loads(entry.value)
-        return LastingRecord(str(data["owner"]), entry.revision, int(data.get("era") or 0))
+        return PersistentOwnerRecord(str(data["owner"]), entry.revision, int(data.get("era") or 0))
     except (ValueError, KeyError, TypeError) as exc:
-        log.error("a record cannot be read", key=entry.key, why=repr(exc))
+        log.error("invalid ownership record", key=entry.key, why=repr(exc))
         return None
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -3,7 +3,11 @@
 import random
 
 from gradelug_coordination import Election, LeaseKeeper, Mirror
-from gradelug_coordination.election import ASIDE_S, LOOK_S, YOUNG_CAMPAIGN_S
+from gradelug_coordination.election import (
+    MAX_REFRESH_WAIT_S,
+    RECENT_START_JITTER_S,
+    STEP_DOWN_PAUSE_S,
+)
 from gradelug_standins.kv import MemoryKv
 from world import new_loop
 
@@ -39,7 +43,7 @@
         outlasts=False,
         first_start=True,
         spacing_s=0.0,
-        handicap_s=0.0,
+        candidacy_delay_s=0.0,
     ):
         self.clock = asyncio.get_running_loop().time
         rng = random.Random(name)
@@ -57,7 +61,7 @@
             hold_off_s,
             first_start,
             outlasts,
-            handicap_s,
+            candidacy_delay_s,
         )
         self.tasks = [
             asyncio.create_task(self.mirror.run()),
@@ -103,7 +107,7 @@
                 await asyncio.sleep(0.001)
             assert not kv.lapses
             # A step, as long as a candidate waits at random and for a look, and a look.
-            assert again.clock() - began <= 0.1 + YOUNG_CAMPAIGN_S + LOOK_S + 0.03
+            assert again.clock() - began <= 0.1 + RECENT_START_JITTER_S + MAX_REFRESH_WAIT_S + 0.03
             await again.die()
 
         run(scenario)
@@ -231,7 +235,7 @@
             assert holders([weak, strong]) == [strong]
             assert strong.election.fence > fence
             await strong.die()
-            await asyncio.sleep(ASIDE_S + 3.0)
+            await asyncio.sleep(STEP_DOWN_PAUSE_S + 3.0)
             assert holders([weak]) == [weak]
             await weak.die()
 
@@ -246,7 +250,11 @@
             beating = asyncio.create_task(kv.beat())
             cands = [
                 Candidate(
-                    kv, f"n{at}", outlasts=True, spacing_s=3.0, handicap_s=0.6 if at > 2 else 0.1
+                    kv,
+                    f"n{at}",
+                    outlasts=True,
+                    spacing_s=3.0,
+                    candidacy_delay_s=0.6 if at > 2 else 0.1,
                 )
                 for at in range(30)
             ]
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -23,12 +23,12 @@
 
 
 class PathToKv:
-    """One instance's way to the service: it can be cut, or lose answers."""
+    """One instance's way to the service: it can be cut, or answers_to_lose answers."""
 
     def __init__(self, kv):
         self.kv = kv
         self.cut = False
-        self.lose = 0
+        self.answers_to_lose = 0
         self.swaps = 0
 
     def __getattr__(self, name):
@@ -40,8 +40,8 @@
                 raise KvUnavailable("cut off")
             self.swaps += name == "swap"
             found = await call(*args)
-            if self.lose and name == "swap":
-                self.lose -= 1
+            if self.answers_to_lose and name == "swap":
+                self.answers_to_lose -= 1
                 raise KvUnavailable("the answer was lost")
             return found
 
@@ -57,9 +57,9 @@
 class Instance:
     """An instance whose process can be killed and started again."""
 
-    def __init__(self, kv, name, spacing_s, handicap_s=None, most=4):
-        self.handicap_s = handicap_s
-        self.most = most
+    def __init__(self, kv, name, spacing_s, join_delay_s=None, max_members=4):
+        self.join_delay_s = join_delay_s
+        self.max_members = max_members
         self.kv = kv
         self.name = name
         self.spacing_s = spacing_s
@@ -91,9 +91,9 @@
         ]
 
     def _new_candidacy(self, clock, rng):
-        if self.handicap_s is None:
+        if self.join_delay_s is None:
             return None
-        return Candidacy(clock, rng, self.handicap_s, self.most)
+        return Candidacy(clock, rng, self.join_delay_s, self.max_members)
 
     async def kill(self):
         for task in self.tasks:
@@ -112,29 +112,29 @@
 class Fleet:
     """Instances, and a watch over who may act when."""
 
-    def __init__(self, count, told_after_s=0.15, spacing_s=0.0, handicaps_s=()):
-        self.told_after_s = told_after_s
+    def __init__(self, count, report_delay_s=0.15, spacing_s=0.0, join_delays_s=()):
+        self.report_delay_s = report_delay_s
         self.kv = MemoryKv()
         self.clock = asyncio.get_running_loop().time
         self.instances = [
-            Instance(self.kv, f"n{at}", spacing_s, handicap_s)
-            for at, handicap_s in zip(range(count), handicaps_s or [None] * count, strict=True)
+            Instance(self.kv, f"n{at}", spacing_s, join_delay_s)
+            for at, join_delay_s in zip(range(count), join_delays_s or [None] * count, strict=True)
         ]
         self.copied = self.kv.copy()
         """To what the service goes back."""
         self.last = {}
-        self.told = True
+        self.reports_outages = True
         """Whether instances hear of each other, as they do through a planner."""
         self.watching = asyncio.create_task(self._watch())
-        self.telling = asyncio.create_task(self._tell())
+        self.reporting = asyncio.create_task(self._report_outages())
 
-    async def _tell(self):
+    async def _report_outages(self):
         while True:
             up = [found for found in self.instances if found.is_up and found.ownership.has_joined]
             count = len(up) if all(found.ownership.is_cut_off for found in up) else 0
-            await asyncio.sleep(self.told_after_s)
+            await asyncio.sleep(self.report_delay_s)
             for instance in self.instances:
-                if count and self.told and instance.is_up:
+                if count and self.reports_outages and instance.is_up:
                     instance.ownership.note_outage(count)
 
     async def _watch(self):
@@ -164,7 +164,7 @@
     async def stop(self):
         for instance in self.instances:
             await instance.kill()
-        self.telling.cancel()
+        self.reporting.cancel()
         self.watching.cancel()
         done = await asyncio.gather(self.watching, return_exceptions=True)
         assert isinstance(done[0], asyncio.CancelledError), done
@@ -272,14 +272,14 @@
         """On the new customer's trouble-3 nothing was loaded for 8 s without the store."""
 
         async def scenario():
-            for told in (True, False):
+            for reports_outages in (True, False):
                 fleet = Fleet(3)
-                fleet.told = told
+                fleet.reports_outages = reports_outages
                 await asyncio.sleep(3.0)
                 before = fleet.owners()
                 fleet.kv.set_down(True)
                 await asyncio.sleep(8.0)
-                assert (fleet.owners() == before) is told
+                assert (fleet.owners() == before) is reports_outages
                 fleet.kv.set_down(False)
                 await asyncio.sleep(3.0)
                 assert fleet.owners() == before
@@ -308,7 +308,7 @@
     )
     def test_never_two_within_the_hold_off(self, steps):
         async def scenario():
-            fleet = Fleet(3, told_after_s=0.7)
+            fleet = Fleet(3, report_delay_s=0.7)
             await asyncio.sleep(2.5)
             await endure(fleet, steps, 10.0)
 
@@ -371,7 +371,7 @@
     )
     def test_never_two_through_returns_of_the_service_to_copies(self, steps):
         async def scenario():
-            fleet = Fleet(3, told_after_s=0.7)
+            fleet = Fleet(3, report_delay_s=0.7)
             await asyncio.sleep(2.5)
             await endure(fleet, steps, 14.0)
 
@@ -420,7 +420,7 @@
     elif what == "h":
         instance.path.cut = False
     elif what == "l":
-        instance.path.lose = 2
+        instance.path.answers_to_lose = 2
     elif what == "r":
         fleet.kv.lapse(instance.lease.lease)
     elif what == "o":
@@ -436,10 +436,10 @@
 class TestFewOfMany:
     """With 75 instances the leases of all of them were half of the calls to the store."""
 
-    HANDICAPS_S = (0.0, 0.0, *[0.35] * 18)
+    JOIN_DELAYS_S = (0.0, 0.0, *[0.35] * 18)
 
     def fleet(self):
-        return Fleet(20, spacing_s=0.5, handicaps_s=self.HANDICAPS_S)
+        return Fleet(20, spacing_s=0.5, join_delays_s=self.JOIN_DELAYS_S)
 
     def members(self, fleet):
         return [found for found in fleet.instances if found.is_up and found.ownership.has_joined]
