--- a/packages/coordination/src/gradelug_coordination/candidacy.py
+++ b/packages/coordination/src/gradelug_coordination/candidacy.py
@@ -16,8 +16,8 @@
 JOIN_JITTER_S = 3.0
 """Weaker instances join after a delay drawn from this range. With 70 of them they are 0.04 s apart
 on average, so that each observes the members that joined before it."""
-REFRESH_LEAD_S = 0.1
-"""A refresh of the mirror is requested this long before the instance joins; it shows entries
+POLL_LEAD_S = 0.1
+"""A poll of the service is requested this long before the instance joins; it shows entries
 written until then."""
 
 
@@ -53,7 +53,7 @@
         self.has_joined = False
 
     def should_join(
-        self, member_count: int, is_returning: bool, request_refresh: t.Callable[[], None]
+        self, member_count: int, is_returning: bool, request_poll: t.Callable[[], None]
     ) -> bool:
         """Return whether this instance is a member; once it has joined, it stays one.
 
@@ -64,7 +64,7 @@
         is_returning : bool
             Whether the instance was a member before a restart; the others then leave its resources
             to it.
-        request_refresh : callable
+        request_poll : callable
             Requests a poll of the service, so that `member_count` is current at the next call.
         """
         if self.has_joined or is_returning:
@@ -79,10 +79,10 @@
         now = self._clock()
         if self._join_at is None:
             self._join_at = now + self._join_delay_s + self._rng.uniform(0.0, JOIN_JITTER_S)
-        if now < self._join_at - REFRESH_LEAD_S:
+        if now < self._join_at - POLL_LEAD_S:
             return False
         if now < self._join_at:
-            request_refresh()
+            request_poll()
             return False
         self.has_joined = True
         return True
--- a/packages/coordination/src/gradelug_coordination/election.py
+++ b/packages/coordination/src/gradelug_coordination/election.py
@@ -1,6 +1,6 @@
-"""Elects the holder of a duty among all instances through the key-value service.
+"""Elects the holder of a role among all instances through the key-value service.
 
-A duty is a task that one instance performs at a time. Its holder is named in a record that is
+A role is a task that only one instance performs at a time. Its holder is named in a record that is
 written by compare-and-swap and tied to the holder's lease.
 """
 
@@ -33,11 +33,11 @@
 """An instance that stepped down does not write the record for this long, so that another one
 can."""
 STEP_INTERVAL_S = 0.1
-MAX_REFRESH_WAIT_S = 0.3
-REFRESH_STEP_S = 0.03
-"""Interval between refreshes of the mirror before an instance writes the record, repeated for at
-most `MAX_REFRESH_WAIT_S`. Without the refresh, with polls seconds apart, all of 195 instances in
-turn tried to take a duty that was already held, each with a lease and several writes."""
+MAX_POLL_WAIT_S = 0.3
+POLL_STEP_S = 0.03
+"""Interval between polls requested before an instance writes the record, repeated for at most
+`MAX_POLL_WAIT_S`. Without these polls, with regular polls seconds apart, all of 195 instances in
+turn tried to take a role that was already held, each with a lease and several writes."""
 RETRY_DELAY_S = 0.25
 RESTORE_GRACE_S = 1.0
 """Time that the holder has to rewrite its record after the service was restored from a copy, before
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ElectionRecord:
-    """The holder of a duty, as recorded.
+    """The holder of a role, as recorded.
 
     Parameters
     ----------
     owner : str
         Name of the instance, the same before and after a restart.
     address : str
-        Address of the instance for this duty.
+        Address of the instance for this role.
     fence : int
         Fencing token: the revision of the record.
     """
@@ -64,11 +64,11 @@
 
 
 class Election:
-    """Takes a duty and holds it while the record belongs to this instance.
+    """Takes a role and holds it while the record belongs to this instance.
 
     The record is tied to a lease. A holder whose lease cannot be renewed stops acting, unless
-    `outlasts_lease` is set: the systems on which the duty acts then check fencing tokens and reject
-    requests of the old holder once they have received its successor's greater token.
+    `outlasts_lease` is set: the systems that the holder controls then check fencing tokens and
+    reject requests of the old holder once they have received its successor's greater token.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
     name, address : str
         Name and address of this instance.
     lease : LeaseKeeper
-        The lease to which the record is tied; renewed only while the duty is held.
+        The lease to which the record is tied; renewed only while the role is held.
     clock : callable
         The runtime's clock, in seconds.
     rng : random.Random
@@ -90,11 +90,11 @@
         Minimum time between the last observation of another holder and the first action of this
         one, in seconds.
     first_start : bool
-        Whether no instance can have held the duty before this process started.
+        Whether no instance can have held the role before this process started.
     outlasts_lease : bool
         Whether the holder continues while the service does not answer, see above.
     candidacy_delay_s : float
-        Additional delay before this instance tries to take a free duty, in seconds.
+        Additional delay before this instance tries to take a free role, in seconds.
     """
 
     __slots__ = (
@@ -183,7 +183,7 @@
             return None
 
     def may_act(self) -> bool:
-        """Return whether this instance holds the duty now and may act on it."""
+        """Return whether this instance holds the role now and may act on it."""
         if not self.fence or self._clock() < self._may_act_from:
             return False
         if self._resigned:
@@ -193,7 +193,7 @@
         return self._lease.is_valid() or (self._outlasts_lease and not self._lease.answered)
 
     async def run(self) -> None:
-        """Take and hold the duty until cancelled."""
+        """Take and hold the role until cancelled."""
         while True:
             await asyncio.sleep(await self.step())
 
@@ -206,24 +206,24 @@
         return await self._step_as_candidate()
 
     def lose(self) -> None:
-        """Give up the duty because a greater fencing token of another instance was observed."""
+        """Give up the role because a greater fencing token of another instance was observed."""
         self.fence = 0
         self._other_holder_seen_at = self._clock()
 
     async def resign(self) -> None:
-        """Give up the duty for good.
+        """Give up the role for good.
 
         With `outlasts_lease`, this instance continues to act until there is a successor.
         """
         self._is_candidate = False
-        await self._give_up_duty()
+        await self._give_up_role()
 
     async def step_aside(self) -> None:
-        """Give up the duty to an instance with more capacity, and be a candidate again later."""
+        """Give up the role to an instance with more capacity, and be a candidate again later."""
         self._candidate_from = self._clock() + STEP_DOWN_PAUSE_S
-        await self._give_up_duty()
+        await self._give_up_role()
 
-    async def _give_up_duty(self) -> None:
+    async def _give_up_role(self) -> None:
         if self._outlasts_lease and self.fence:
             self._resigned = True
         else:
@@ -248,7 +248,7 @@
         lapsed = not self._resigned and self._lease.lease != self._record_lease
         if lapsed and self._may_be_restoring():
             self._mirror.hurry()
-            return REFRESH_STEP_S
+            return POLL_STEP_S
         if gone or taken or lapsed:
             log.info("duty lost", key=self._key, fence=self.fence, taken=taken, lapsed=lapsed)
             self.fence = 0
@@ -292,7 +292,7 @@
             return False
         self.fence, self._record_lease, self._lapsed_at = swap.revision, lease, None
         log.info(
-            "duty kept after a restore of the store", key=self._key, fence=self.fence, before=before
+            "role kept after a restore of the store", key=self._key, fence=self.fence, before=before
         )
         return True
 
@@ -318,10 +318,10 @@
         due_at = max(self._absent_since, self._restored_at + RESTORE_GRACE_S) + self._delay_s
         if now < due_at:
             return due_at - now
-        if self._mirror.looked_at < due_at and now < due_at + MAX_REFRESH_WAIT_S:
+        if self._mirror.looked_at < due_at and now < due_at + MAX_POLL_WAIT_S:
             # Another instance may have written the record since the mirror's last poll.
             self._mirror.hurry()
-            return REFRESH_STEP_S
+            return POLL_STEP_S
         return await self._campaign(ABSENT)
 
     async def _campaign(self, expected: int) -> float:
@@ -338,7 +338,7 @@
             # This instance's own record has expired since the mirror's last poll; other instances
             # do not replace it.
             self._mirror.hurry()
-            return REFRESH_STEP_S
+            return POLL_STEP_S
         if not swap.swapped:
             return RETRY_DELAY_S
         self.fence = swap.revision
--- a/packages/coordination/src/gradelug_coordination/exceptions.py
+++ b/packages/coordination/src/gradelug_coordination/exceptions.py
@@ -40,7 +40,7 @@
 
     def __init__(self, revision: int) -> None:
         self.revision = revision
-        super().__init__(f"another change was accepted first; the current revision is {revision}")
+        super().__init__(f"another change was accepted first; revision {revision} is current")
 
 
 class CorruptBucket(CoordinationError):
--- a/packages/coordination/src/gradelug_coordination/gossip.py
+++ b/packages/coordination/src/gradelug_coordination/gossip.py
@@ -50,7 +50,7 @@
 @dataclass(slots=True)
 class _FactState:
     fact: Fact
-    at: float
+    received_at: float
     sequence: int
     sends_left: int
     known_by: set[str] = field(default_factory=set)
@@ -167,6 +167,6 @@
 
     def _unexpired(self) -> list[_FactState]:
         oldest = self._clock() - self._expire_s
-        for key in [key for key, known in self._facts.items() if known.at < oldest]:
+        for key in [key for key, known in self._facts.items() if known.received_at < oldest]:
             del self._facts[key]
         return list(self._facts.values())
--- a/packages/coordination/src/gradelug_coordination/lasting.py
+++ b/packages/coordination/src/gradelug_coordination/lasting.py
@@ -294,8 +294,7 @@
         return self._joined.is_set()
 
     async def leave(self) -> None:
-        """Revoke the lease, so that other instances detect immediately that this process has
-        stopped."""
+        """Revoke the lease, so that other instances see immediately that this one stopped."""
         try:
             await self._lease.release()
         except CoordinationError as exc:
--- a/packages/coordination/src/gradelug_coordination/mirror.py
+++ b/packages/coordination/src/gradelug_coordination/mirror.py
@@ -57,13 +57,13 @@
         "_backoff",
         "_interrupted",
         "_is_polled",
-        "_refresh_requested",
+        "_poll_requested",
         "_kv",
         "_restore_grace_s",
         "_listeners",
         "_disconnected_at",
         "_prefix",
-        "_complete_from",
+        "_proven_from",
         "_reconnected_at",
         "_deferred_until",
         "entries",
@@ -97,9 +97,9 @@
         self._is_polled = is_polled
         self._restore_grace_s = restore_grace_s
         self._reconnected_at = float("-inf")
-        self._complete_from = float("-inf")
+        self._proven_from = float("-inf")
         """Until this time a restored copy may lack recent changes."""
-        self._refresh_requested = asyncio.Event()
+        self._poll_requested = asyncio.Event()
         self._interrupted = False
         self._disconnected_at: float | None = None
         self._listeners: list[t.Callable[[], None]] = []
@@ -112,7 +112,7 @@
 
     def hurry(self) -> None:
         """Poll for changes without further delay."""
-        self._refresh_requested.set()
+        self._poll_requested.set()
 
     @property
     def is_lost(self) -> bool:
@@ -185,12 +185,12 @@
         self.entries = entries
         self.revision = listing.revision
         self.looked_at = asyncio.get_running_loop().time()
-        self._note_complete(requested_at)
+        self._note_proven(requested_at)
         self._note_reconnected()
         self._notify()
 
-    def _note_complete(self, requested_at: float) -> None:
-        if asyncio.get_running_loop().time() >= self._complete_from:
+    def _note_proven(self, requested_at: float) -> None:
+        if asyncio.get_running_loop().time() >= self._proven_from:
             self.proven_at = requested_at
 
     def is_from_restored_copy(self, revision: int) -> bool:
@@ -204,7 +204,7 @@
         )
         self._interrupted = True
         self._reconnected_at = asyncio.get_running_loop().time()
-        self._complete_from = self._reconnected_at + self._restore_grace_s
+        self._proven_from = self._reconnected_at + self._restore_grace_s
 
     async def _watch(self) -> None:
         """Apply changes until the last poll is so old that a listing transfers less data."""
@@ -218,7 +218,7 @@
             self.revision = max([self.revision, *(event.revision for event in events)])
             self.looked_at = loop.time()
             if self._is_polled:
-                self._note_complete(requested_at)
+                self._note_proven(requested_at)
             self._notify()
             if await self._wait_for_next_poll():
                 return
@@ -238,17 +238,17 @@
         if not self.spacing_s:
             return False
         loop = asyncio.get_running_loop()
-        while not self._refresh_requested.is_set():
+        while not self._poll_requested.is_set():
             wait_s = max(self.looked_at + self.spacing_s, self._deferred_until) - loop.time()
             if wait_s < MIN_WAIT_S:
                 break
             try:
                 async with asyncio.timeout(wait_s):
-                    await self._refresh_requested.wait()
+                    await self._poll_requested.wait()
             except TimeoutError:
-                # No refresh was requested; polls may have been deferred further meanwhile.
+                # No poll was requested; polls may have been deferred further meanwhile.
                 continue
-        self._refresh_requested.clear()
+        self._poll_requested.clear()
         return loop.time() - self.looked_at > RELIST_AFTER_INTERVALS * max(
             self.spacing_s, MIN_RELIST_INTERVAL_S
         )
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -4,7 +4,7 @@
 
 from gradelug_coordination import Election, LeaseKeeper, Mirror
 from gradelug_coordination.election import (
-    MAX_REFRESH_WAIT_S,
+    MAX_POLL_WAIT_S,
     RECENT_START_JITTER_S,
     STEP_DOWN_PAUSE_S,
 )
@@ -107,7 +107,7 @@
                 await asyncio.sleep(0.001)
             assert not kv.lapses
             # A step, as long as a candidate waits at random and for a look, and a look.
-            assert again.clock() - began <= 0.1 + RECENT_START_JITTER_S + MAX_REFRESH_WAIT_S + 0.03
+            assert again.clock() - began <= 0.1 + RECENT_START_JITTER_S + MAX_POLL_WAIT_S + 0.03
             await again.die()
 
         run(scenario)
