--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,4 +1,4 @@
-"""Mechanisms taken out, one at a time: the state machine must then find a failure."""
+"""Disables one safety mechanism at a time; the state machine must then find a failure."""
 
 from gradelug_coordination import GrantBook, OnceVerdict, once
 from gradelug_coordination.documents import Follower
@@ -16,7 +16,7 @@
 
 
 def _trust_silence(patch):
-    """Take a holder whose grant is over for gone, without the engine's word."""
+    """Assume that a holder whose grant has expired is gone, without a report of the engine."""
 
     def is_free(self, key):
         holdings = self._holdings.get(key, {}).values()
@@ -42,7 +42,7 @@
 
 
 def _forget_reservations(patch):
-    """Answer from memory, without reading what another process has written."""
+    """Answer from the process's memory, without reading what another process has written."""
 
     async def load(self):
         if self._revision is None:
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -51,7 +51,7 @@
 
         run(scenario)
 
-    def test_a_lease_that_lapsed_unnoticed_is_replaced_and_told(self):
+    def test_an_expired_lease_is_replaced_and_reported(self):
         async def scenario():
             kv, told = MemoryKv(), []
             clock = asyncio.get_running_loop().time
@@ -67,7 +67,7 @@
 
 
 class TestSwap:
-    def test_a_lost_answer_is_found_out(self):
+    def test_the_outcome_of_a_lost_answer_is_determined(self):
         async def scenario():
             kv = MemoryKv()
             kv.faults.lose_answers = 1
@@ -82,7 +82,7 @@
 
 
 class TestMirror:
-    def test_it_resumes_after_an_outage_with_what_changed_meanwhile(self):
+    def test_changes_during_an_outage_are_mirrored_after_it(self):
         async def scenario():
             kv = MemoryKv()
             await kv.swap("p/a", b"1", ABSENT)
@@ -102,8 +102,9 @@
 
         run(scenario)
 
-    def test_an_outage_is_told_in_one_line_at_its_start_and_one_at_its_end(self):
-        """Tenger's incident could not be explained: nothing told that the store was away."""
+    def test_an_outage_is_logged_once_at_its_start_and_once_at_its_end(self):
+        """Guards against outages that leave no trace in the log, which made an incident
+        unexplainable."""
 
         async def scenario():
             kv = MemoryKv()
@@ -126,7 +127,7 @@
         assert 2.5 <= regained.kwargs["away_s"] <= 3.6
         assert regained.kwargs["missing"] == 0
 
-    def test_a_key_that_lapses_just_after_an_outage_is_missing_and_not_gone(self):
+    def test_a_key_that_expires_just_after_an_outage_counts_as_missing(self):
         async def scenario():
             kv = MemoryKv()
             for name in ("a", "b"):
@@ -155,8 +156,8 @@
         run(scenario)
 
 
-class DyingKv(MemoryKv):
-    """Goes down in the very moment an answer is lost."""
+class FailingKv(MemoryKv):
+    """Becomes unavailable at the moment an answer is lost."""
 
     def _lose_answer(self):
         if self.faults.lose_answers:
@@ -165,11 +166,12 @@
 
 
 class TestOwnership:
-    def test_a_record_written_unknowingly_is_taken_up(self):
-        """Neither its owner, who did not know, nor anybody else kept the resource."""
+    def test_a_record_whose_answer_was_lost_is_adopted(self):
+        """Guards against a resource that no member serves because its owner has lost the answer to
+        its write."""
 
         async def scenario():
-            kv, clock, rng = DyingKv(), asyncio.get_running_loop().time, random.Random(1)
+            kv, clock, rng = FailingKv(), asyncio.get_running_loop().time, random.Random(1)
             mirror = Mirror(kv, "r/", rng)
             lease = LeaseKeeper(kv, 3.0, clock, rng)
             member = Member("me", "127.0.0.1:1")
@@ -193,7 +195,7 @@
 
         run(scenario)
 
-    def test_what_was_given_up_is_not_taken_up_again_by_old_knowledge(self):
+    def test_a_released_resource_is_not_adopted_from_an_outdated_mirror(self):
         async def scenario():
             kv, clock, rng = MemoryKv(), asyncio.get_running_loop().time, random.Random(1)
             mirror = Mirror(kv, "r/", rng)
@@ -216,7 +218,7 @@
 
 
 class TestPublisher:
-    def test_buckets_no_longer_used_are_deleted_some_revisions_later(self):
+    def test_unused_buckets_are_deleted_some_revisions_later(self):
         async def scenario():
             kv = MemoryKv()
             publisher = Publisher(kv, "live/", "store/")
@@ -230,7 +232,7 @@
 
 
 class Members:
-    """Members that exchange in rounds of their own, as schedulers do."""
+    """Members that exchange facts in rounds at independent times, as schedulers do."""
 
     def __init__(self, count, seed):
         self.rng = random.Random(seed)
@@ -242,7 +244,7 @@
         self.due = [(self.rng.uniform(0, 1), name) for name in self.nodes]
         heapq.heapify(self.due)
 
-    def tell_at(self, at, until):
+    def put_fact_at(self, at, until):
         while self.now < until:
             self.now, name = heapq.heappop(self.due)
             if self.now > at and name != "m0" and self.nodes["m0"].get("k") is None:
@@ -261,7 +263,7 @@
 
 
 class TestGossip:
-    def test_a_fact_reaches_everybody_by_a_bounded_number_of_tellings(self):
+    def test_a_fact_reaches_all_members_with_a_bounded_number_of_sends(self):
         members = [f"m{n}" for n in range(64)]
         nodes = {m: Gossip(lambda: 0.0, random.Random(m)) for m in members}
         for one in members:
@@ -283,14 +285,15 @@
         assert told <= 64 * 7
 
     @pytest.mark.parametrize("count", [2, 3, 4, 5, 9, 30])
-    def test_nobody_misses_a_fact_that_is_told_between_rounds(self, count):
-        """Tellings to those who had it left one of 4 to 9 members without, in 5 to 10 of 100."""
+    def test_no_member_misses_a_fact_that_is_sent_between_rounds(self, count):
+        """Guards against sends to peers that already have a fact: in 5 to 10 of 100 trials one of 4
+        to 9 members then missed it."""
         for seed in range(60):
             members = Members(count, seed)
-            members.tell_at(5.0, until=12.0)
+            members.put_fact_at(5.0, until=12.0)
             assert members.lacking() == []
 
-    def test_a_fact_whose_telling_was_lost_is_told_again(self):
+    def test_an_undelivered_fact_is_sent_again(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
         gossip.choose_peers(["b", "c"])
         gossip.news_for("b")
@@ -300,7 +303,7 @@
         assert gossip.news_for("b") == told
         assert gossip.news_for("b") == []
 
-    def test_a_first_meeting_that_was_lost_is_a_first_meeting_again(self):
+    def test_an_undelivered_first_exchange_is_repeated(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
         gossip.put(Fact("k", 0, 1, b"v"))
         for peer in ("a", "b", "c", "d"):
@@ -314,7 +317,7 @@
         assert gossip.put(Fact("k", 2, 1, b"new"))
         assert not gossip.put(Fact("k", 1, 99, b"old"))
 
-    def test_a_reader_gets_what_came_after_its_cursor(self):
+    def test_a_reader_receives_the_facts_after_its_cursor(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
         gossip.put(Fact("a", 0, 1, b""))
         cursor = gossip.cursor
@@ -324,7 +327,7 @@
 
 
 class TestGrantBook:
-    def test_an_account_from_before_the_latest_grant_closes_nothing(self):
+    def test_a_holder_report_from_before_the_latest_grant_closes_nothing(self):
         book = GrantBook(taken_at=-10.0, max_validity_s=2.0)
         book.note_created("k", 0.0)
         first = book.issue("r", "k", 1, 2.0)
@@ -332,7 +335,7 @@
         book.account(Account("r", "k", first, closed=True), 1.0)
         assert not book.is_free("k")
 
-    def test_a_report_from_before_a_grants_end_frees_nothing(self):
+    def test_an_observation_from_before_a_grants_end_frees_nothing(self):
         book = GrantBook(taken_at=-10.0, max_validity_s=2.0)
         book.note_created("k", 0.0)
         book.issue("r", "k", 1, 2.0)
@@ -350,7 +353,7 @@
 
 
 class TestOnce:
-    def test_two_processes_on_one_shard_give_a_key_away_once(self):
+    def test_two_processes_on_one_shard_reserve_a_key_once(self):
         async def scenario():
             kv = MemoryKv()
             shards = [OnceShard(kv, "once/0", lambda: 0.0) for _ in range(2)]
@@ -361,7 +364,7 @@
 
         run(scenario)
 
-    def test_a_key_that_was_not_run_may_be_used_again(self):
+    def test_a_key_whose_request_was_not_run_can_be_reserved_again(self):
         async def scenario():
             shard = OnceShard(MemoryKv(), "once/0", lambda: 0.0)
             assert await shard.reserve("k", "b", "1") is OnceVerdict.FRESH
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -22,15 +22,15 @@
         loop.close()
 
 
-class LapsingKv(MemoryKv):
-    """Lets a lease lapse as the next write arrives."""
+class ExpiringKv(MemoryKv):
+    """Expires a lease when the next write arrives."""
 
-    lapses = 0
+    lease_to_expire = 0
 
     async def swap(self, key, value, expected, lease=0):
-        if self.lapses and key == KEY:
-            self.lapse(self.lapses)
-            self.lapses = 0
+        if self.lease_to_expire and key == KEY:
+            self.lapse(self.lease_to_expire)
+            self.lease_to_expire = 0
         return await super().swap(key, value, expected, lease)
 
 
@@ -80,7 +80,7 @@
 
 
 class TestElection:
-    def test_one_of_many_holds_the_duty_and_all_know_where(self):
+    def test_exactly_one_candidate_holds_the_role_and_all_know_its_record(self):
         async def scenario():
             kv = MemoryKv()
             cands = [Candidate(kv, f"n{at}") for at in range(5)]
@@ -92,21 +92,23 @@
 
         run(scenario)
 
-    def test_who_finds_its_own_record_just_lapsed_stands_again_at_once(self):
-        """It waited 0.25 s, and all others with it, after power had been lost for all."""
+    def test_a_candidate_whose_own_record_expired_retries_immediately(self):
+        """Guards against a delay of 0.25 s for all instances after a power failure of the whole
+        site."""
 
         async def scenario():
-            kv = LapsingKv()
+            kv = ExpiringKv()
             first = Candidate(kv, "n0", spacing_s=1.2)
             await asyncio.sleep(1.0)
-            kv.lapses = first.lease.lease
+            kv.lease_to_expire = first.lease.lease
             await first.die()
             again = Candidate(kv, "n0", spacing_s=1.2)
             began = again.clock()
             while not holders([again]):
                 await asyncio.sleep(0.001)
-            assert not kv.lapses
-            # A step, as long as a candidate waits at random and for a look, and a look.
+            assert not kv.lease_to_expire
+            # One step, the maximum of the random delay and of the wait for a poll, and one poll
+            # step.
             assert again.clock() - began <= 0.1 + RECENT_START_JITTER_S + MAX_POLL_WAIT_S + 0.03
             await again.die()
 
@@ -129,7 +131,7 @@
 
         run(scenario)
 
-    def test_another_instance_holds_off_where_tokens_are_not_checked(self):
+    def test_a_successor_waits_where_tokens_are_not_checked(self):
         async def scenario():
             kv = MemoryKv()
             first = Candidate(kv, "n0", hold_off_s=3.0)
@@ -146,7 +148,7 @@
 
         run(scenario)
 
-    def test_a_restarted_holder_goes_on_at_once(self):
+    def test_a_restarted_holder_continues_immediately(self):
         async def scenario():
             kv = MemoryKv()
             first = Candidate(kv, "n0", hold_off_s=3.0)
@@ -160,7 +162,7 @@
 
         run(scenario)
 
-    def test_an_outage_ends_the_duty_unless_tokens_are_checked(self):
+    def test_an_outage_ends_the_role_unless_tokens_are_checked(self):
         async def scenario():
             for outlasts in (False, True):
                 kv = MemoryKv()
@@ -173,7 +175,7 @@
 
         run(scenario)
 
-    def test_a_lease_that_lapsed_ends_the_duty(self):
+    def test_an_expired_lease_ends_the_role(self):
         async def scenario():
             kv = MemoryKv()
             cand = Candidate(kv, "n0", outlasts=True)
@@ -186,7 +188,7 @@
 
         run(scenario)
 
-    def test_who_was_outranked_does_not_act_on_its_old_token(self):
+    def test_a_superseded_holder_does_not_act_on_its_old_token(self):
         async def scenario():
             cand = Candidate(MemoryKv(), "n0", hold_off_s=3.0)
             await asyncio.sleep(1.0)
@@ -196,9 +198,10 @@
 
         run(scenario)
 
-    def test_a_lease_that_changed_hands_ends_the_duty(self):
-        """On the new customer's quiet-1 a planner whose lease had lapsed behind a cut acted again
-        on its old token, under a new lease, until its mirror showed the successor 0.7 s later."""
+    def test_a_new_lease_ends_the_role(self):
+        """Guards against acting on an old token under a new lease: a planner whose lease had
+        expired during a network partition did so until its mirror showed the successor 0.7 s
+        later."""
 
         async def scenario():
             for outlasts in (False, True):
@@ -206,7 +209,7 @@
                 cand = Candidate(kv, "n0", outlasts=outlasts)
                 await asyncio.sleep(1.0)
                 fence, lease = cand.election.fence, cand.lease.lease
-                cand.tasks[0].cancel()  # the mirror shows nothing any more
+                cand.tasks[0].cancel()  # the mirror receives no more changes
                 kv.lapse(lease)
                 for _ in range(100):
                     await asyncio.sleep(0.02)
@@ -217,9 +220,10 @@
 
         run(scenario)
 
-    def test_who_steps_aside_acts_until_there_is_a_successor_and_stands_again_later(self):
-        """On the grown new customer an instance with half a core and a link of 5 Mbit/s planned for
-        75 gateways: it happened to look first after the first configuration had come."""
+    def test_a_holder_that_steps_down_acts_until_replaced_and_is_a_candidate_later(self):
+        """Guards against a weak holder that stays: an instance with half a core and a link of 5
+        Mbit/s planned for 75 gateways, since it was the first to poll the store after the first
+        configuration."""
 
         async def scenario():
             kv = MemoryKv()
@@ -241,9 +245,9 @@
 
         run(scenario)
 
-    def test_only_those_stand_for_whom_the_duty_still_is_free(self):
-        """With looks 2 to 3 s apart each instance of a large fleet granted itself a lease and wrote
-        in vain, again and again."""
+    def test_candidates_write_only_while_the_role_is_free(self):
+        """Guards against needless writes: with polls 2 to 3 s apart each instance of a large fleet
+        repeatedly acquired a lease and failed to write the record."""
 
         async def scenario():
             kv = CountingKv()
@@ -269,7 +273,7 @@
 
 
 class CountingKv(MemoryKv):
-    """Counts leases and writes of candidates; replicas write to it all the time."""
+    """Counts the leases and writes of candidates; a replica also writes continuously."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -1,4 +1,4 @@
-"""Owners of engines that check no tokens: never two within the hold-off, one that comes back."""
+"""Tests ownership of engines without token checks: exclusivity, the hold-off and restarts."""
 
 import asyncio
 import random
@@ -22,8 +22,8 @@
         loop.close()
 
 
-class PathToKv:
-    """One instance's way to the service: it can be cut, or answers_to_lose answers."""
+class InstanceKv:
+    """Connection of one instance to the service, which can be interrupted or lose answers."""
 
     def __init__(self, kv):
         self.kv = kv
@@ -34,7 +34,7 @@
     def __getattr__(self, name):
         call = getattr(self.kv, name)
 
-        async def through(*args):
+        async def forward(*args):
             if self.cut:
                 await asyncio.sleep(0.05)
                 raise KvUnavailable("cut off")
@@ -45,7 +45,7 @@
                 raise KvUnavailable("the answer was lost")
             return found
 
-        return through
+        return forward
 
     async def watch(self, prefix, after):
         async for events in self.kv.watch(prefix, after):
@@ -55,7 +55,7 @@
 
 
 class Instance:
-    """An instance whose process can be killed and started again."""
+    """An instance whose process can be killed and restarted."""
 
     def __init__(self, kv, name, spacing_s, join_delay_s=None, max_members=4):
         self.join_delay_s = join_delay_s
@@ -63,7 +63,7 @@
         self.kv = kv
         self.name = name
         self.spacing_s = spacing_s
-        self.path = PathToKv(kv)
+        self.path = InstanceKv(kv)
         self.ownership = None
         self.tasks = []
         self.start()
@@ -110,7 +110,7 @@
 
 
 class Fleet:
-    """Instances, and a watch over who may act when."""
+    """Instances, and a monitor that checks that their actions exclude each other."""
 
     def __init__(self, count, report_delay_s=0.15, spacing_s=0.0, join_delays_s=()):
         self.report_delay_s = report_delay_s
@@ -121,11 +121,11 @@
             for at, join_delay_s in zip(range(count), join_delays_s or [None] * count, strict=True)
         ]
         self.copied = self.kv.copy()
-        """To what the service goes back."""
+        """Copy to which the service is restored."""
         self.last = {}
         self.reports_outages = True
-        """Whether instances hear of each other, as they do through a planner."""
-        self.watching = asyncio.create_task(self._watch())
+        """Whether instances receive each other's outage reports, as they do through a planner."""
+        self.monitoring = asyncio.create_task(self._monitor())
         self.reporting = asyncio.create_task(self._report_outages())
 
     async def _report_outages(self):
@@ -137,7 +137,7 @@
                 if count and self.reports_outages and instance.is_up:
                     instance.ownership.note_outage(count)
 
-    async def _watch(self):
+    async def _monitor(self):
         while True:
             await asyncio.sleep(0.02)
             self.check()
@@ -165,8 +165,8 @@
         for instance in self.instances:
             await instance.kill()
         self.reporting.cancel()
-        self.watching.cancel()
-        done = await asyncio.gather(self.watching, return_exceptions=True)
+        self.monitoring.cancel()
+        done = await asyncio.gather(self.monitoring, return_exceptions=True)
         assert isinstance(done[0], asyncio.CancelledError), done
 
 
@@ -181,9 +181,9 @@
 
         run(scenario)
 
-    def test_what_another_took_is_not_tried_again_and_again(self):
-        """On the grown site 5,000 calls to the store were made for records that others had
-        taken."""
+    def test_records_changed_by_others_are_not_retried_repeatedly(self):
+        """Guards against repeated writes of records that other instances had changed, which caused
+        5,000 calls to the store."""
 
         async def scenario():
             fleet = Fleet(6, spacing_s=2.0)
@@ -194,13 +194,13 @@
             await asyncio.sleep(12.0)
             assert all(len(names) == 1 for names in fleet.owners().values())
             swaps = sum(instance.path.swaps for instance in fleet.instances)
-            # One for each presence, each resource, and each that was taken over.
+            # One for each presence entry, each resource, and each takeover.
             assert swaps <= 6 + 2 * len(RESOURCES)
             await fleet.stop()
 
         run(scenario)
 
-    def test_the_loss_of_one_holds_up_its_own_resources_alone(self):
+    def test_the_failure_of_one_instance_delays_only_its_own_resources(self):
         async def scenario():
             fleet = Fleet(4)
             await asyncio.sleep(3.0)
@@ -216,8 +216,8 @@
 
         run(scenario)
 
-    def test_who_comes_back_goes_on_at_once(self):
-        """After power was lost everywhere loads stood still for 3 s: nobody was remembered."""
+    def test_restarted_instances_resume_immediately(self):
+        """Guards against a delay of 3 s in loading after a power failure of all instances."""
 
         async def scenario():
             fleet = Fleet(3)
@@ -234,7 +234,7 @@
 
         run(scenario)
 
-    def test_a_lease_that_was_taken_away_untold_is_outlived_by_the_wait(self):
+    def test_a_takeover_waits_for_a_lease_that_the_service_deleted(self):
         async def scenario():
             fleet = Fleet(3)
             await asyncio.sleep(3.0)
@@ -268,8 +268,8 @@
 
         run(scenario)
 
-    def test_owners_go_on_while_the_service_is_away_for_everybody(self):
-        """On the new customer's trouble-3 nothing was loaded for 8 s without the store."""
+    def test_owners_continue_during_an_outage_for_all_instances(self):
+        """Guards against an outage of the store that stops loading: it lasted 8 s."""
 
         async def scenario():
             for reports_outages in (True, False):
@@ -287,7 +287,7 @@
 
         run(scenario)
 
-    def test_who_is_cut_off_alone_does_not_go_on(self):
+    def test_a_single_disconnected_instance_does_not_continue(self):
         async def scenario():
             fleet = Fleet(3)
             await asyncio.sleep(3.0)
@@ -306,29 +306,29 @@
             max_size=25,
         )
     )
-    def test_never_two_within_the_hold_off(self, steps):
+    def test_no_two_owners_within_the_hold_off(self, steps):
         async def scenario():
             fleet = Fleet(3, report_delay_s=0.7)
             await asyncio.sleep(2.5)
-            await endure(fleet, steps, 10.0)
+            await run_faults(fleet, steps, 10.0)
 
         run(scenario)
 
-    def test_owners_go_on_when_the_service_comes_back_from_a_copy(self):
+    def test_owners_continue_after_a_restore_from_a_copy(self):
         async def scenario():
             fleet = Fleet(3)
             fleet.copied = fleet.kv.copy()
             await asyncio.sleep(3.0)
             before = fleet.owners()
             for _ in range(2):
-                await disturb(fleet, fleet.instances[0], "b")
+                await apply_fault(fleet, fleet.instances[0], "b")
                 await asyncio.sleep(1.5)
                 assert fleet.owners() == before
             await fleet.stop()
 
         run(scenario)
 
-    def test_an_earlier_owner_that_a_copy_shows_does_not_act_beside_the_present_one(self):
+    def test_an_earlier_owner_in_a_copy_does_not_act_beside_the_current_one(self):
         async def scenario():
             fleet = Fleet(3)
             await asyncio.sleep(3.0)
@@ -340,14 +340,14 @@
             assert all(len(names) == 1 for names in before.values())
             earlier.start()
             await asyncio.sleep(1.0)
-            await disturb(fleet, earlier, "b")
+            await apply_fault(fleet, earlier, "b")
             await asyncio.sleep(2.0)
             assert fleet.owners() == before
             await fleet.stop()
 
         run(scenario)
 
-    # Instances that start between two returns, or while the service is away.
+    # Instances that start between two restores, or while the service is unavailable.
     @example(
         [(0, 0.0, "k"), (2, 0.0, "b"), (0, 2.0, "d"), (0, 0.6016575003175626, "d")]
         + [(0, 0.1, "s"), (2, 0.0, "b"), (2, 0.5, "k"), (2, 1.0, "d")]
@@ -369,11 +369,11 @@
             max_size=25,
         )
     )
-    def test_never_two_through_returns_of_the_service_to_copies(self, steps):
+    def test_no_two_owners_through_restores_from_copies(self, steps):
         async def scenario():
             fleet = Fleet(3, report_delay_s=0.7)
             await asyncio.sleep(2.5)
-            await endure(fleet, steps, 14.0)
+            await run_faults(fleet, steps, 14.0)
 
         run(scenario)
 
@@ -385,21 +385,21 @@
             max_size=25,
         )
     )
-    def test_never_two_where_a_few_of_many_take_part(self, steps):
+    def test_no_two_owners_where_only_some_instances_are_members(self, steps):
         async def scenario():
             fleet = Fleet(8, 0.7, 0.3, [0.0, 0.0, *[0.35] * 6])
             await asyncio.sleep(6.0)
-            await endure(fleet, steps, 12.0)
+            await run_faults(fleet, steps, 12.0)
 
         run(scenario)
 
 
-async def endure(fleet, steps, settle_s):
-    """Let steps befall a fleet, heal it, and look at its owners after a time."""
-    for number, pause_s, what in steps:
-        await disturb(fleet, fleet.instances[number], what)
+async def run_faults(fleet, steps, settle_s):
+    """Apply faults to a fleet, end them, and check the owners after a delay in seconds."""
+    for number, pause_s, fault in steps:
+        await apply_fault(fleet, fleet.instances[number], fault)
         await asyncio.sleep(pause_s)
-        assert not fleet.watching.done()
+        assert not fleet.monitoring.done()
     fleet.kv.set_down(False)
     for instance in fleet.instances:
         instance.path.cut = False
@@ -410,31 +410,32 @@
     await fleet.stop()
 
 
-async def disturb(fleet, instance, what):
-    if what == "k":
+async def apply_fault(fleet, instance, fault):
+    if fault == "k":
         await instance.kill()
-    elif what == "s" and not instance.is_up:
+    elif fault == "s" and not instance.is_up:
         instance.start()
-    elif what == "c":
+    elif fault == "c":
         instance.path.cut = True
-    elif what == "h":
+    elif fault == "h":
         instance.path.cut = False
-    elif what == "l":
+    elif fault == "l":
         instance.path.answers_to_lose = 2
-    elif what == "r":
+    elif fault == "r":
         fleet.kv.lapse(instance.lease.lease)
-    elif what == "o":
+    elif fault == "o":
         fleet.kv.set_down(True)
-    elif what == "d":
+    elif fault == "d":
         fleet.kv.set_down(False)
-    elif what == "p":
+    elif fault == "p":
         fleet.copied = fleet.kv.copy()
-    elif what == "b":
+    elif fault == "b":
         fleet.kv.go_back(fleet.copied)
 
 
-class TestFewOfMany:
-    """With 75 instances the leases of all of them were half of the calls to the store."""
+class TestPartialMembership:
+    """Guards against leases of all instances: with 75, they caused half of the calls to the
+    store."""
 
     JOIN_DELAYS_S = (0.0, 0.0, *[0.35] * 18)
 
@@ -444,7 +445,7 @@
     def members(self, fleet):
         return [found for found in fleet.instances if found.is_up and found.ownership.has_joined]
 
-    def test_only_a_few_keep_leases_the_strong_ones_among_them(self):
+    def test_only_a_few_instances_including_strong_ones_hold_leases(self):
         async def scenario():
             fleet = self.fleet()
             await asyncio.sleep(8.0)
@@ -457,7 +458,7 @@
 
         run(scenario)
 
-    def test_others_join_when_members_are_gone_for_good(self):
+    def test_others_join_when_members_stop_permanently(self):
         async def scenario():
             fleet = self.fleet()
             await asyncio.sleep(8.0)
@@ -471,7 +472,7 @@
 
         run(scenario)
 
-    def test_a_member_that_is_started_again_goes_on_at_once(self):
+    def test_a_restarted_member_resumes_immediately(self):
         async def scenario():
             fleet = self.fleet()
             await asyncio.sleep(8.0)
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""A store that comes back from a copy some seconds old and gives revisions out again."""
+"""Tests restores of the store from a copy some seconds old, after which it reuses revisions."""
 
 import asyncio
 import copy
@@ -27,14 +27,14 @@
 from test_platform_store import StandIn
 
 ADDRESS = "10.9.0.2:80"
-APPLIED_S = 2.0
-"""A change is in force at every instance this long after it was acknowledged."""
-LOOK_S = 1.3
-"""Instances look at the store this often."""
+APPLY_TIMEOUT_S = 2.0
+"""All instances have applied a change this long after it was acknowledged, in seconds."""
+POLL_INTERVAL_S = 1.3
+"""Interval between the instances' polls of the store, in seconds."""
 
 
 class EraWorld(LimitWorld):
-    """Instances that speak the store's calls; an operator who writes, and writes again."""
+    """Instances that use the store's protocol, and an operator who writes to it."""
 
     def __init__(self, **options):
         super().__init__(**options)
@@ -47,7 +47,7 @@
         return PlatformStore(ADDRESS, HttpPool(self.clock, self.net.dial))
 
     async def write(self, key, data):
-        """Write an entry as the operator and replicas do, whatever stands there."""
+        """Write an entry as the operator and replicas do, whatever its current value."""
         found = self.kv.entries().get(key)
         expected = found.revision if found is not None else ABSENT
         await self.kv.swap(key, json.dumps(data).encode(), expected)
@@ -56,7 +56,7 @@
         self.config["Version"] = version
         await self.write("op/config", self.config)
 
-    async def enter(self, name, state="ready"):
+    async def write_replica(self, name, state="ready"):
         data = {
             "Backend": "plain",
             "Address": self.plain[name].address,
@@ -67,7 +67,7 @@
         await self.write(f"servers/{name}", data)
 
     async def go_back(self, copied, away_s=0.5):
-        """Let the store be away for a moment and come back from a copy."""
+        """Make the store unavailable for a moment and restore it from a copy."""
         self.kv.set_down(True)
         await asyncio.sleep(away_s)
         self.kv.go_back(copied)
@@ -80,85 +80,88 @@
         (found,) = [one for one in self.gateways if one.plans]
         return found
 
-    async def grow(self, writes=30):
-        """Let revisions run ahead of a copy, as far as all instances have seen."""
+    async def advance_revision(self, writes=30):
+        """Advance the store's revision beyond a copy, and wait until all instances have polled
+        it."""
         for number in range(writes):
             await self.write("other/key", number)
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-class TestAChangeAfterTheReturn:
-    # Listings of a lower revision were refused until the store had counted up again.
-    def test_is_in_force_in_time(self):
+class TestChangeAfterRestore:
+    # Guards against rejecting listings of a lower revision until the store has counted up to it.
+    def test_is_applied_in_time(self):
         async def scenario():
             async with EraWorld() as world:
                 copied = world.kv.copy()
-                await world.grow()
+                await world.advance_revision()
                 await world.go_back(copied)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 await world.configure(2)
-                await asyncio.sleep(APPLIED_S)
+                await asyncio.sleep(APPLY_TIMEOUT_S)
                 assert world.versions() == [2] * len(world.gateways)
 
         run(scenario)
 
-    def test_a_replica_that_says_that_it_leaves_gets_nothing(self):
+    def test_a_draining_replica_receives_no_requests(self):
         async def scenario():
             async with EraWorld(plain=3) as world:
                 copied = world.kv.copy()
-                await world.grow()
+                await world.advance_revision()
                 await world.go_back(copied)
                 sending = asyncio.create_task(world.load(30.0, world.clock() + 6.0, b"/i/x"))
                 await asyncio.sleep(1.0)
-                await world.enter("p1", "draining")
-                said_at = world.clock()
+                await world.write_replica("p1", "draining")
+                draining_at = world.clock()
                 await sending
                 assert not [
-                    at for at, _, name in world.arrived if name == "p1" and at > said_at + APPLIED_S
+                    at
+                    for at, _, name in world.arrived
+                    if name == "p1" and at > draining_at + APPLY_TIMEOUT_S
                 ]
 
         run(scenario)
 
-    @pytest.mark.parametrize("drills", [2, 3])
-    def test_after_drills_that_follow_each_other(self, drills):
+    @pytest.mark.parametrize("restores", [2, 3])
+    def test_is_applied_after_consecutive_restores(self, restores):
         async def scenario():
             async with EraWorld() as world:
-                for _ in range(drills):
+                for _ in range(restores):
                     copied = world.kv.copy()
-                    await world.grow()
+                    await world.advance_revision()
                     await world.go_back(copied, 0.2)
                     await asyncio.sleep(0.3)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 await world.configure(2)
-                await asyncio.sleep(APPLIED_S)
+                await asyncio.sleep(APPLY_TIMEOUT_S)
                 assert world.versions() == [2] * len(world.gateways)
 
         run(scenario)
 
 
-class TestWhatIsInForce:
-    def test_an_older_configuration_of_the_copy_does_not_come_back(self):
+class TestAppliedState:
+    def test_an_older_configuration_in_the_copy_is_not_applied(self):
         async def scenario():
             async with EraWorld() as world:
                 copied = world.kv.copy()
                 await world.configure(2)
-                await asyncio.sleep(APPLIED_S)
+                await asyncio.sleep(APPLY_TIMEOUT_S)
                 await world.go_back(copied)
                 for _ in range(40):
                     await asyncio.sleep(0.1)
                     assert world.versions() == [2] * len(world.gateways)
                 await world.configure(2)
-                await asyncio.sleep(APPLIED_S)
+                await asyncio.sleep(APPLY_TIMEOUT_S)
                 assert world.versions() == [2] * len(world.gateways)
 
         run(scenario)
 
-    def test_a_replica_that_drained_is_not_ready_again(self):
+    def test_a_drained_replica_does_not_become_ready(self):
         async def scenario():
             async with EraWorld(plain=3) as world:
                 copied = world.kv.copy()
-                await world.enter("p1", "draining")
-                await asyncio.sleep(APPLIED_S)
+                await world.write_replica("p1", "draining")
+                await asyncio.sleep(APPLY_TIMEOUT_S)
                 await world.go_back(copied)
                 since = world.clock()
                 await world.load(30.0, since + 4.0, b"/i/x")
@@ -172,25 +175,25 @@
                 entry = world.kv.entries()["servers/p1"]
                 await world.kv.delete(entry.key, entry.revision)
                 copied = world.kv.copy()
-                await world.enter("p1")
-                await asyncio.sleep(LOOK_S)
+                await world.write_replica("p1")
+                await asyncio.sleep(POLL_INTERVAL_S)
                 await world.go_back(copied)
                 await asyncio.sleep(1.0)
-                await world.enter("p1")
+                await world.write_replica("p1")
                 for _ in range(30):
                     await asyncio.sleep(0.1)
                     assert all("p1" in one.daemon._state.replicas for one in world.gateways)
 
         run(scenario)
 
-    def test_the_planner_stays_in_its_place_with_a_greater_token(self):
+    def test_the_planner_keeps_its_role_with_a_greater_token(self):
         async def scenario():
             async with EraWorld() as world:
                 planner = world.planner()
                 (duty,) = planner.daemon._duties.values()
                 before, made = duty.election.fence, duty.planner
                 copied = world.kv.copy()
-                await world.grow()
+                await world.advance_revision()
                 sending = asyncio.create_task(world.load(20.0, world.clock() + 6.0))
                 await asyncio.sleep(1.0)
                 await world.go_back(copied)
@@ -205,11 +208,11 @@
 
         run(scenario)
 
-    def test_a_planner_that_is_lost_with_the_drill_is_replaced(self):
+    def test_a_planner_that_fails_during_a_restore_is_replaced(self):
         async def scenario():
             async with EraWorld() as world:
                 copied = world.kv.copy()
-                await world.grow()
+                await world.advance_revision()
                 lost = world.planner()
                 lost.kill()
                 await world.go_back(copied)
@@ -220,7 +223,7 @@
 
 
 class TestStore:
-    def test_revisions_that_are_given_out_again_only_grow(self):
+    def test_positions_grow_when_revisions_are_reused(self):
         async def scenario():
             stand_in = StandIn()
             copied = stand_in.kv.copy()
@@ -232,14 +235,14 @@
 
         run(scenario)
 
-    def test_a_condition_does_not_hold_by_a_number_that_was_given_out_again(self):
+    def test_a_condition_does_not_match_a_reused_revision(self):
         async def scenario():
             stand_in = StandIn()
             copied = stand_in.kv.copy()
             first = await stand_in.store.swap("k", b"mine", ABSENT)
             stand_in.kv.go_back(copied)
             other = await stand_in.kv.swap("k", b"another's", ABSENT)
-            # As the wire tells it, both stand at the same revision.
+            # In the store's protocol both entries have the same revision.
             assert await stand_in.store.get("other") is None
             assert not (await stand_in.store.swap("k", b"again", first.revision)).swapped
             assert not await stand_in.store.delete("k", first.revision)
@@ -247,7 +250,7 @@
 
         run(scenario)
 
-    def test_a_write_whose_condition_may_have_held_by_mistake_is_in_doubt(self):
+    def test_a_write_whose_condition_may_match_a_reused_revision_has_an_unknown_outcome(self):
         async def scenario():
             stand_in = StandIn()
             copied = stand_in.kv.copy()
@@ -259,7 +262,7 @@
 
         run(scenario)
 
-    def test_a_watch_of_an_earlier_era_lists_anew(self):
+    def test_a_watch_of_an_earlier_era_requires_a_new_listing(self):
         async def scenario():
             stand_in = StandIn()
             await stand_in.store.swap("k", b"1", ABSENT)
@@ -274,7 +277,7 @@
 
         run(scenario)
 
-    def test_a_lease_of_an_earlier_era_is_over_though_its_number_is_in_use(self):
+    def test_a_lease_of_an_earlier_era_is_invalid_though_its_number_is_reused(self):
         async def scenario():
             stand_in = StandIn()
             copied = stand_in.kv.copy()
@@ -289,7 +292,7 @@
 
         run(scenario)
 
-    def test_an_answer_of_an_era_that_is_over_is_no_answer(self):
+    def test_an_answer_of_an_earlier_era_is_rejected(self):
         async def scenario():
             stand_in = StandIn()
             stand_in.era = 2
@@ -301,7 +304,7 @@
         run(scenario)
 
     @pytest.mark.parametrize("era", ["", "-1", "x", "1.5", str(2**20)])
-    def test_an_answer_that_tells_no_era_is_of_the_known_one(self, era):
+    def test_an_answer_without_a_valid_era_counts_for_the_known_era(self, era):
         async def scenario():
             stand_in = StandIn()
             stand_in.era = 2
@@ -313,8 +316,8 @@
         run(scenario)
 
 
-class Shown:
-    """A feed over entries that are shown as the store would."""
+class FeedBench:
+    """A feed whose mirror is filled by the test."""
 
     def __init__(self):
         self.now = 0.0
@@ -322,7 +325,7 @@
         self.feed = Feed(self.mirror, PlatformEntries(), FleetState(), lambda: self.now)
 
     def show(self, era, **revisions):
-        """Show these replicas at these revisions and no others."""
+        """Fill the mirror with exactly these replicas at these revisions."""
         self.mirror.revision = position(era, max(revisions.values(), default=1))
         self.mirror.entries = {
             f"servers/{name}": self.entry(f"servers/{name}", position(era, revision))
@@ -339,7 +342,7 @@
 
 
 class TestProof:
-    def test_a_copy_proves_nothing_until_its_writers_had_time_to_write_again(self):
+    def test_a_copy_proves_nothing_until_writers_had_time_to_rewrite_their_entries(self):
         async def scenario():
             stand_in = StandIn()
             mirror = Mirror(stand_in.store, "", random.Random(1), 1.0, 0.3, 2.2, True)
@@ -353,7 +356,7 @@
             await asyncio.sleep(2.0)
             assert "k" not in mirror.entries
             assert mirror.proven_at <= before + 0.1
-            await asyncio.sleep(LOOK_S + WAIT_S)
+            await asyncio.sleep(POLL_INTERVAL_S + WAIT_S)
             assert mirror.proven_at > before + 1.0
             task.cancel()
 
@@ -361,33 +364,33 @@
 
 
 class TestReplicas:
-    def test_one_that_was_gone_is_not_shown_again_by_the_copy(self):
-        shown = Shown()
-        shown.show(1, a=3, b=4)
-        assert shown.show(1, a=3) == ["a"]
-        assert shown.show(2, a=3, b=4) == ["a"]
-        shown.now = STALE_RESTORE_GRACE_S - 0.1
-        assert shown.show(2, a=3, b=4) == ["a"]
-
-    def test_one_that_writes_its_entry_again_is_used(self):
-        shown = Shown()
-        shown.show(1, a=3, b=4)
-        shown.show(1, a=3)
-        shown.show(2, a=3, b=4)
-        assert shown.show(2, a=3, b=9) == ["a", "b"]
-
-    def test_one_whose_entry_stays_lives(self):
-        shown = Shown()
-        shown.show(1, a=3, b=4)
-        shown.show(1, a=3)
-        shown.show(2, a=3, b=4)
-        shown.now = STALE_RESTORE_GRACE_S
-        assert shown.show(2, a=3, b=4) == ["a", "b"]
-
-    def test_one_that_the_copy_lacks_is_kept_until_it_had_time_to_write(self):
-        shown = Shown()
-        shown.show(1, a=3, b=4)
-        shown.mirror.missing = {"servers/b"}
-        assert shown.show(2, a=3) == ["a", "b"]
-        shown.now = EXPIRED_ENTRY_GRACE_S
-        assert shown.show(2, a=3) == ["a"]
+    def test_a_removed_replica_is_not_restored_by_the_copy(self):
+        bench = FeedBench()
+        bench.show(1, a=3, b=4)
+        assert bench.show(1, a=3) == ["a"]
+        assert bench.show(2, a=3, b=4) == ["a"]
+        bench.now = STALE_RESTORE_GRACE_S - 0.1
+        assert bench.show(2, a=3, b=4) == ["a"]
+
+    def test_a_replica_that_rewrites_its_entry_is_used(self):
+        bench = FeedBench()
+        bench.show(1, a=3, b=4)
+        bench.show(1, a=3)
+        bench.show(2, a=3, b=4)
+        assert bench.show(2, a=3, b=9) == ["a", "b"]
+
+    def test_a_replica_whose_entry_remains_is_used(self):
+        bench = FeedBench()
+        bench.show(1, a=3, b=4)
+        bench.show(1, a=3)
+        bench.show(2, a=3, b=4)
+        bench.now = STALE_RESTORE_GRACE_S
+        assert bench.show(2, a=3, b=4) == ["a", "b"]
+
+    def test_a_replica_missing_from_the_copy_is_kept_until_it_had_time_to_write(self):
+        bench = FeedBench()
+        bench.show(1, a=3, b=4)
+        bench.mirror.missing = {"servers/b"}
+        assert bench.show(2, a=3) == ["a", "b"]
+        bench.now = EXPIRED_ENTRY_GRACE_S
+        assert bench.show(2, a=3) == ["a"]
