--- a/packages/coordination/src/gradelug_coordination/candidacy.py
+++ b/packages/coordination/src/gradelug_coordination/candidacy.py
@@ -10,9 +10,9 @@
 import random
 import typing as t
 
-TARGET_MEMBERS = 9
-"""Number of members below which instances join. The smaller deployments have 6 to 9 instances, and
-the group survives the loss of several at once."""
+MAX_MEMBERS = 9
+"""No further instances join a group of this size. The smaller deployments have 6 to 9 instances,
+and the group survives the loss of several at once."""
 JOIN_JITTER_S = 3.0
 """Weaker instances join after a delay drawn from this range. With 70 of them they are 0.04 s apart
 on average, so that each observes the members that joined before it."""
@@ -43,7 +43,7 @@
         clock: t.Callable[[], float],
         rng: random.Random,
         join_delay_s: float = 0.0,
-        max_members: int = TARGET_MEMBERS,
+        max_members: int = MAX_MEMBERS,
     ) -> None:
         self._clock = clock
         self._rng = rng
--- a/packages/coordination/src/gradelug_coordination/once.py
+++ b/packages/coordination/src/gradelug_coordination/once.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingReservation:
     """A reservation that is part of the next write."""
 
     record: OnceRecord
@@ -173,7 +173,7 @@
         self._shard = _ShardRecord()
         self._revision: int | None = None
         self._loaded_segments: set[str] = set()
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingReservation] = []
         self._pending_outcomes: dict[str, OnceState] = {}
         self._flush_task: asyncio.Task[None] | None = None
         self.writes = 0
@@ -203,7 +203,7 @@
         """
         record = OnceRecord(key, body, OnceState.RESERVED, self._wall_clock(), attempt)
         fut: asyncio.Future[OnceVerdict] = asyncio.get_running_loop().create_future()
-        self._pending.append(_Pending(record, fut))
+        self._pending.append(_PendingReservation(record, fut))
         self._ensure_flushing()
         return await fut
 
@@ -227,17 +227,19 @@
             try:
                 await self._flush(pending, outcomes)
             except (CoordinationError, OSError) as exc:
-                self._fail(pending, exc)
+                self._fail_reservations(pending, exc)
                 # Outcomes only improve the answers to repeated requests: without one the key stays
                 # reserved, which is safe.
                 self._revision = None
 
-    def _fail(self, pending: list[_Pending], exc: Exception) -> None:
+    def _fail_reservations(self, pending: list[_PendingReservation], exc: Exception) -> None:
         for item in pending:
             if not item.fut.done():
                 item.fut.set_exception(KvUnavailable(f"reservation not confirmed: {exc}"))
 
-    async def _flush(self, pending: list[_Pending], outcomes: dict[str, OnceState]) -> None:
+    async def _flush(
+        self, pending: list[_PendingReservation], outcomes: dict[str, OnceState]
+    ) -> None:
         while True:
             if self._revision is None:
                 await self._load()
@@ -251,7 +253,9 @@
                     item.fut.set_result(verdict)
             return
 
-    def _decide(self, pending: list[_Pending]) -> tuple[list[OnceVerdict], list[OnceRecord]]:
+    def _decide(
+        self, pending: list[_PendingReservation]
+    ) -> tuple[list[OnceVerdict], list[OnceRecord]]:
         verdicts, added = [], []
         chosen: dict[str, OnceRecord] = {}
         for item in pending:
--- a/packages/coordination/src/gradelug_coordination/ownership.py
+++ b/packages/coordination/src/gradelug_coordination/ownership.py
@@ -144,8 +144,7 @@
         return held is not None and held.lease == self._lease.lease and self._lease.is_valid()
 
     def forget_lost(self) -> list[str]:
-        """Drop resources whose lease expired or that another member acquired; return their
-        names."""
+        """Drop resources lost by a lease expiry or to another member; return their names."""
         records = self.records() if self._mirror.synced else {}
         lost = []
         for resource, held in self.held.items():
@@ -223,9 +222,9 @@
         since = self._free_since.setdefault(resource, self._clock())
         rank_index = rank(active, resource).index(me.name)
         if self._clock() - since >= rank_index * self._rank_delay_s:
-            await self._take(resource, free)
+            await self._acquire(resource, free)
 
-    async def _take(self, resource: str, free: OwnerRecord | None) -> None:
+    async def _acquire(self, resource: str, free: OwnerRecord | None) -> None:
         value = _encode(self._membership.me.name)
         lease = self._lease.lease
         expected = free.fence if free else ABSENT
