--- a/packages/coordination/src/gradelug_coordination/__init__.py
+++ b/packages/coordination/src/gradelug_coordination/__init__.py
@@ -91,8 +91,7 @@
     }
 
     def __getattr__(name):
-        """Import only the requested module, since each imported module adds to the start-up
-        time."""
+        """Import only the requested module, since each module adds to the start-up time."""
         if name not in _HOMES:
             raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
         return getattr(importlib.import_module(f".{_HOMES[name]}", __name__), name)
--- a/packages/coordination/src/gradelug_coordination/lasting.py
+++ b/packages/coordination/src/gradelug_coordination/lasting.py
@@ -198,8 +198,7 @@
 
     @property
     def has_joined(self) -> bool:
-        """Whether this process is a member and renews its lease, and so detects outages of the
-        service."""
+        """Whether this process is a member, and so renews its lease and detects outages."""
         return self._joined.is_set()
 
     @property
