--- a/packages/gateway/src/gradelug_gateway/authentication.py
+++ b/packages/gateway/src/gradelug_gateway/authentication.py
@@ -10,7 +10,7 @@
 
 _bearer_re = re.compile(rb"bearer +([A-Za-z0-9._~+/-]+=*)", re.IGNORECASE)
 """The header as RFC 6750 writes it; the name of the scheme has no case (RFC 9110)."""
-MOST_BYTES = 4_096
+MAX_HEADER_BYTES = 4_096
 """Longer headers are not looked into: keys have some tens of bytes."""
 
 
@@ -34,19 +34,19 @@
     if len(credentials) > 1:
         raise Unauthenticated("several keys were sent")
     value = credentials[0].strip(b" \t")
-    matched = _bearer_re.fullmatch(value) if len(value) <= MOST_BYTES else None
+    matched = _bearer_re.fullmatch(value) if len(value) <= MAX_HEADER_BYTES else None
     if matched is None:
         raise Unauthenticated("the key cannot be read")
     key_digest = digest(matched.group(1))
-    holder = organisations.holder(key_digest)
-    if holder is None:
+    owner = organisations.owner(key_digest)
+    if owner is None:
         raise Unauthenticated("nobody has the key")
-    return Principal(holder, key_digest)
+    return Principal(owner, key_digest)
 
 
 def renew(principal: Principal, organisations: Organisations) -> Principal:
     """Return who has a key in a later configuration; raises `Unauthenticated` if nobody has it."""
-    holder = organisations.holder(principal.digest)
-    if holder is None:
+    owner = organisations.owner(principal.digest)
+    if owner is None:
         raise Unauthenticated("the key was taken away")
-    return Principal(holder, principal.digest)
+    return Principal(owner, principal.digest)
--- a/packages/gateway/src/gradelug_gateway/departures.py
+++ b/packages/gateway/src/gradelug_gateway/departures.py
@@ -8,8 +8,8 @@
 
 from .feed import Feed
 from .followers import Follower
-from .limit_facts import speaks_for
-from .limit_teller import ToldLink
+from .limit_facts import is_responsible_for
+from .limit_teller import ReportLink
 
 
 class DepartureTeller:
@@ -25,33 +25,35 @@
         Returns the link, None before there is one.
     """
 
-    __slots__ = ("_feed", "_link", "_service", "_untold")
+    __slots__ = ("_feed", "_link", "_service", "_unreported")
 
-    def __init__(self, service: str, feed: Feed, link: t.Callable[[], ToldLink | None]) -> None:
+    def __init__(self, service: str, feed: Feed, link: t.Callable[[], ReportLink | None]) -> None:
         self._service = service
         self._feed = feed
         self._link = link
-        self._untold: set[str] = set()
-        feed.subscribe_leaving(self._note)
+        self._unreported: set[str] = set()
+        feed.subscribe_leaving(self._report_leaving)
 
     def begin_stream(self) -> None:
         """Report all leaving replicas to another planner."""
-        self._untold.update(rep.name for rep in self._feed.state.replicas.values() if rep.leaving)
+        self._unreported.update(
+            rep.name for rep in self._feed.state.replicas.values() if rep.leaving
+        )
 
     def fill(self, message: pb.FromGateway) -> None:
         """Add the reports since the last message."""
-        message.leaving.extend(_facts(self._feed, self._service, self._untold))
-        self._untold.clear()
+        message.leaving.extend(_encode_reports(self._feed, self._service, self._unreported))
+        self._unreported.clear()
 
     def take(self, message: pb.FromPlanner) -> None:
         """Apply reports of other gateways."""
         for told in message.leaving:
             self._feed.mark_leaving(told.replica, told.born, "planner")
 
-    def _note(self, replica: str) -> None:
-        if not speaks_for(self._service, replica, self._feed.state):
+    def _report_leaving(self, replica: str) -> None:
+        if not is_responsible_for(self._service, replica, self._feed.state):
             return
-        self._untold.add(replica)
+        self._unreported.add(replica)
         link = self._link()
         if link is not None:
             link.hurry()
@@ -68,19 +70,19 @@
         Knows which replicas leave.
     """
 
-    __slots__ = ("_due", "_feed", "_known", "_service")
+    __slots__ = ("_due", "_feed", "_joined", "_service")
 
     def __init__(self, service: str, feed: Feed) -> None:
         self._service = service
         self._feed = feed
-        self._known: set[int] = set()
+        self._joined: set[int] = set()
         """Numbers of the gateways that joined before."""
         self._due: set[str] = set()
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
         """Apply the reports of a gateway, and repeat all of them if it has just joined."""
-        if follower.number not in self._known:
-            self._known.add(follower.number)
+        if follower.number not in self._joined:
+            self._joined.add(follower.number)
             replicas = self._feed.state.replicas.values()
             self._due.update(rep.name for rep in replicas if rep.leaving)
         for told in message.leaving:
@@ -89,20 +91,20 @@
 
     def leave(self, follower: Follower, now: float) -> None:
         """Forget a gateway."""
-        self._known.discard(follower.number)
+        self._joined.discard(follower.number)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Add the reports that are due."""
-        news.leaving.extend(_facts(self._feed, self._service, self._due))
+        news.leaving.extend(_encode_reports(self._feed, self._service, self._due))
         self._due.clear()
 
     def forget(self, replica: str) -> None:
         """Nothing is kept of a replica here."""
 
 
-def _facts(feed: Feed, service: str, names: t.Iterable[str]) -> t.Iterator[pb.LeavingFact]:
+def _encode_reports(feed: Feed, service: str, names: t.Iterable[str]) -> t.Iterator[pb.LeavingFact]:
     """Yield reports of those leaving replicas that a service's planner is notified of."""
     for name in names:
         rep = feed.state.replicas.get(name)
-        if rep is not None and rep.leaving and speaks_for(service, name, feed.state):
+        if rep is not None and rep.leaving and is_responsible_for(service, name, feed.state):
             yield pb.LeavingFact(replica=name, born=rep.born)
--- a/packages/gateway/src/gradelug_gateway/fingerprints.py
+++ b/packages/gateway/src/gradelug_gateway/fingerprints.py
@@ -6,9 +6,9 @@
 
 from .requests import Request
 
-SIZE = 16
+FINGERPRINT_BYTES = 16
 """Bytes of a fingerprint: two different requests never share one."""
-SHOWN = 12
+LOGGED_HEX_DIGITS = 12
 """Digits of it that logs show."""
 
 
@@ -27,9 +27,9 @@
         itself with tells whose it is.
     """
     weights = req.key.text if req.key is not None else ""
-    digest = blake2b(digest_size=SIZE)
-    whose = (owner.encode(),) if owner else req.credentials
-    head = (req.method, req.host.encode(), req.target, weights.encode(), *whose)
+    digest = blake2b(digest_size=FINGERPRINT_BYTES)
+    sender = (owner.encode(),) if owner else req.credentials
+    head = (req.method, req.host.encode(), req.target, weights.encode(), *sender)
     for part in (*head, req.body):
         # With its length before it no part can be taken for the end of another.
         digest.update(b"%d:" % len(part))
@@ -39,4 +39,4 @@
 
 def shown(mark: bytes) -> str:
     """Return a fingerprint as logs show it."""
-    return mark.hex()[:SHOWN]
+    return mark.hex()[:LOGGED_HEX_DIGITS]
--- a/packages/gateway/src/gradelug_gateway/idle_connections.py
+++ b/packages/gateway/src/gradelug_gateway/idle_connections.py
@@ -11,7 +11,7 @@
 from .budgets import DEFAULT_GATEWAY_COUNT
 from .model import FleetState
 
-SCORES = 2.0**64
+SCORE_RANGE = 2.0**64
 
 
 class IdleConnections:
@@ -27,34 +27,34 @@
         Returns how many instances a planner told of last, 0 before the first.
     """
 
-    __slots__ = ("_instance", "_instances", "_known", "_known_for", "_state")
+    __slots__ = ("_instance", "_instances", "_max_conns", "_max_conns_key", "_state")
 
     def __init__(self, instance: str, state: FleetState, instances: t.Callable[[], int]) -> None:
         self._instance = instance
         self._state = state
         self._instances = instances
-        self._known: dict[str, int] = {}
+        self._max_conns: dict[str, int] = {}
         """Connections that the replica at each address takes."""
-        self._known_for = (-1, -1)
+        self._max_conns_key = (-1, -1)
         """The state's change and configuration for which that was looked up."""
 
     def __call__(self, address: str) -> int:
         """Return how many are kept to an address."""
-        most = self._look_up().get(address)
-        if most is None:
+        max_conns = self._max_conns_by_address().get(address)
+        if max_conns is None:
             return MOST_IDLE
-        draw = score(self._instance, address) / SCORES
-        return idle_share(most, self._instances() or DEFAULT_GATEWAY_COUNT, draw)
+        draw = score(self._instance, address) / SCORE_RANGE
+        return idle_share(max_conns, self._instances() or DEFAULT_GATEWAY_COUNT, draw)
 
-    def _look_up(self) -> dict[str, int]:
+    def _max_conns_by_address(self) -> dict[str, int]:
         snapshot = self._state.snapshot
-        seen = (self._state.change, snapshot.version if snapshot is not None else -1)
-        if seen != self._known_for:
-            self._known_for = seen
+        key = (self._state.change, snapshot.version if snapshot is not None else -1)
+        if key != self._max_conns_key:
+            self._max_conns_key = key
             services = snapshot.services if snapshot is not None else {}
-            self._known = {
+            self._max_conns = {
                 rep.address: services[rep.service].max_conns
                 for rep in self._state.replicas.values()
                 if rep.service in services
             }
-        return self._known
+        return self._max_conns
--- a/packages/gateway/src/gradelug_gateway/limit_facts.py
+++ b/packages/gateway/src/gradelug_gateway/limit_facts.py
@@ -11,11 +11,11 @@
 
 from .model import FleetState
 
-MOST_AGE_MS = 3_600_000
+MAX_AGE_MS = 3_600_000
 MS = 1000.0
 
 
-def speaks_for(service: str, replica: str, state: FleetState) -> bool:
+def is_responsible_for(service: str, replica: str, state: FleetState) -> bool:
     """Tell whether the planner of a service grants room at a replica."""
     rep = state.replicas.get(replica)
     return rep is not None and planner_for(rep.service, state) == service
@@ -45,4 +45,4 @@
 
 
 def _age_ms(now: float, at: float) -> int:
-    return min(MOST_AGE_MS, max(0, round((now - at) * MS)))
+    return min(MAX_AGE_MS, max(0, round((now - at) * MS)))
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -9,22 +9,22 @@
 from gradelug_policy.replica_room import OwnTurns
 from gradelug_wire import placement_pb2 as pb
 
-from .limit_facts import MOST_AGE_MS, MS, decode_limit, encode_limit, speaks_for
-from .limits import Demand, Denial, NoGrants, ReplicaLimits
+from .limit_facts import MAX_AGE_MS, MS, decode_limit, encode_limit, is_responsible_for
+from .limits import Demand, Denial, GrantsUnavailable, ReplicaLimits
 from .model import FleetState
 
-ANSWER_S = 0.25
+ANSWER_TIMEOUT_S = 0.25
 """An answer takes a round trip of milliseconds; a planner that rests after a decision takes some
 tens. Later than this it may be lost."""
-HURRIED_PER_S = 800.0
+MAX_URGENT_ASKS_PER_S = 800.0
 """Questions of all gateways that go out at once, a second: each is a message for the planner. More
 of them wait for the next message of their gateway, as where all replicas of a large fleet name a
 limit."""
-MOST_GIVEN_UP = 256
+MAX_ABANDONED_ASKS = 256
 """An answer that crosses its question's end comes within a round trip."""
 
 
-class ToldLink(t.Protocol):
+class ReportLink(t.Protocol):
     """The stream to a planner, as far as a part of it needs."""
 
     @property
@@ -62,15 +62,15 @@
         "_cancelled",
         "_clock",
         "_futures",
-        "_given_up",
-        "_hurried",
+        "_abandoned",
+        "_urgent_turns",
         "_limits",
         "_link",
         "_service",
         "_state",
         "_tickets",
         "_unsent",
-        "_untold",
+        "_unreported",
     )
 
     def __init__(
@@ -79,23 +79,23 @@
         limits: ReplicaLimits,
         state: FleetState,
         clock: t.Callable[[], float],
-        link: t.Callable[[], ToldLink | None],
+        link: t.Callable[[], ReportLink | None],
     ) -> None:
         self._service = service
         self._limits = limits
         self._state = state
         self._clock = clock
         self._link = link
-        self._hurried: tuple[int, OwnTurns] | None = None
+        self._urgent_turns: tuple[int, OwnTurns] | None = None
         """When questions may go out at once, and for how many instances that was reckoned."""
         self._tickets = itertools.count(1)
         self._futures: dict[int, asyncio.Future[pb.RoomAnswer]] = {}
-        self._given_up: dict[int, str] = {}
+        self._abandoned: dict[int, str] = {}
         """Replicas of questions that nobody waits for; they may have been answered meanwhile."""
         self._unsent: list[pb.RoomAsk] = []
         self._cancelled: list[int] = []
-        self._untold: set[str] = set()
-        limits.subscribe(self._note)
+        self._unreported: set[str] = set()
+        limits.subscribe(self._report_limit)
 
     async def ask(self, replica: str, demand: Demand) -> Denial | None:
         """Return None if a request may be sent to a replica.
@@ -116,21 +116,21 @@
             rank=demand.rank,
             value=demand.value,
             begun=demand.begun,
-            wait_ms=round(min(wait_s * MS, MOST_AGE_MS)),
+            wait_ms=round(min(wait_s * MS, MAX_AGE_MS)),
         )
         fut = self._futures[ticket] = asyncio.get_running_loop().create_future()
         self._unsent.append(ask)
-        gathered_s = self._send_soon(now)
+        batched_s = self._schedule_send(now)
         try:
-            async with asyncio.timeout_at(now + wait_s + gathered_s + ANSWER_S):
+            async with asyncio.timeout_at(now + wait_s + batched_s + ANSWER_TIMEOUT_S):
                 answer = await fut
         except BaseException:
-            self._give_up(ask)
+            self._abandon(ask)
             raise
         if answer.granted:
             return None
         if not answer.retry_after_ms:
-            raise NoGrants
+            raise GrantsUnavailable
         return Denial(answer.retry_after_ms / MS, answer.elsewhere)
 
     def begin_stream(self) -> None:
@@ -139,23 +139,23 @@
             if not fut.done():
                 fut.set_exception(TimeoutError("the planner is lost"))
         self._futures.clear()
-        self._given_up.clear()
+        self._abandoned.clear()
         self._unsent.clear()
         self._cancelled.clear()
-        self._untold.update(self._limits.named())
+        self._unreported.update(self._limits.named())
 
     def fill(self, message: pb.FromGateway) -> None:
         """Put what was heard and what is asked into a message."""
         now = self._clock()
-        for name in self._untold:
+        for name in self._unreported:
             fact, rep = self._limits.fact(name), self._state.replicas.get(name)
             if (
                 fact is not None
                 and rep is not None
-                and speaks_for(self._service, name, self._state)
+                and is_responsible_for(self._service, name, self._state)
             ):
                 message.limits.append(encode_limit(name, rep.born, fact, now))
-        self._untold.clear()
+        self._unreported.clear()
         message.room_asks.extend(self._unsent)
         message.room_cancelled.extend(self._cancelled)
         self._unsent.clear()
@@ -168,7 +168,7 @@
             if rep is not None and rep.born == told.born:
                 self._limits.take(told.replica, decode_limit(told, self._clock()), "planner")
         for answer in message.room_answers:
-            replica = self._given_up.pop(answer.ticket, "")
+            replica = self._abandoned.pop(answer.ticket, "")
             fut = self._futures.pop(answer.ticket, None)
             if fut is not None and not fut.done():
                 fut.set_result(answer)
@@ -176,32 +176,35 @@
                 # Its request has left; another one may use the room.
                 self._limits.add_permit(replica)
 
-    def _note(self, replica: str) -> None:
-        if speaks_for(self._service, replica, self._state):
-            self._untold.add(replica)
+    def _report_limit(self, replica: str) -> None:
+        if is_responsible_for(self._service, replica, self._state):
+            self._unreported.add(replica)
             link = self._link()
             if link is not None:
                 link.hurry()
 
-    def _send_soon(self, now: float) -> float:
+    def _schedule_send(self, now: float) -> float:
         """Have questions go out; return how long they are gathered at the most, in seconds."""
-        link, sharers = self._link(), self._limits.sharers
+        link, instance_count = self._link(), self._limits.instance_count
         if link is None:
             return 0.0
-        if self._hurried is None or self._hurried[0] != sharers:
-            self._hurried = (sharers, OwnTurns(HURRIED_PER_S / sharers, 0.0, now, keeps=True))
-        if self._hurried[1].take(now):
+        if self._urgent_turns is None or self._urgent_turns[0] != instance_count:
+            self._urgent_turns = (
+                instance_count,
+                OwnTurns(MAX_URGENT_ASKS_PER_S / instance_count, 0.0, now, keeps=True),
+            )
+        if self._urgent_turns[1].take(now):
             link.hurry()
             return 0.0
         link.tell_soon()
         return link.flush_s
 
-    def _give_up(self, ask: pb.RoomAsk) -> None:
+    def _abandon(self, ask: pb.RoomAsk) -> None:
         self._futures.pop(ask.ticket, None)
         if ask in self._unsent:
             self._unsent.remove(ask)
             return
         self._cancelled.append(ask.ticket)
-        self._given_up[ask.ticket] = ask.replica
-        if len(self._given_up) > MOST_GIVEN_UP:
-            del self._given_up[next(iter(self._given_up))]
+        self._abandoned[ask.ticket] = ask.replica
+        if len(self._abandoned) > MAX_ABANDONED_ASKS:
+            del self._abandoned[next(iter(self._abandoned))]
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -19,18 +19,18 @@
 from .model import Replica
 
 log = logbook.Logger("limits")
-COUNTED_S = 4.0
+SEND_COUNT_WINDOW_S = 4.0
 """Span over which sendings to a replica with a limit are counted, in seconds."""
-UNREADABLE = 40
+MAX_LOGGED_CHARS = 40
 """So much of a limit that is no number is logged, in characters."""
-PERMIT_S = 0.5
+PERMIT_TTL_S = 0.5
 """Room that was granted with an answer is used within milliseconds; later it is another second's,
 and would come beside what is granted then."""
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 """How often a request that waits for a planner looks whether there is one."""
-MOST_DELAY_S = 2.0
+MAX_DELAY_S = 2.0
 """A replica that takes next to nothing is taken for one with so long a wait."""
-LONGEST_RETRY_S = 5.0
+MAX_RETRY_S = 5.0
 """A planner that is lost is replaced within this."""
 
 
@@ -70,7 +70,7 @@
     elsewhere: bool = False
 
 
-class RoomDesk(t.Protocol):
+class CapacityClient(t.Protocol):
     """The way to the planner that grants room at a replica."""
 
     async def ask(self, replica: str, demand: Demand) -> Denial | None:
@@ -78,7 +78,7 @@
         ...
 
 
-class NoGrants(Exception):
+class GrantsUnavailable(Exception):
     """The planner that was asked grants nothing now."""
 
 
@@ -99,16 +99,16 @@
         "_clock",
         "_is_on",
         "_listeners",
-        "_own",
+        "_fallback_turns",
         "_permits",
         "_records",
         "_rng",
-        "_sent",
-        "_turns",
-        "_unreadable",
+        "_recent_sends",
+        "_offer_turns",
+        "_logged_unreadable",
         "denied",
         "find_desk",
-        "sharers",
+        "instance_count",
     )
 
     def __init__(
@@ -120,21 +120,21 @@
         self._clock = clock
         self._rng = rng or random.Random(0)
         self._is_on = is_on
-        self.find_desk: t.Callable[[str], RoomDesk | None] = lambda service: None
+        self.find_desk: t.Callable[[str], CapacityClient | None] = lambda service: None
         """Returns who grants room at replicas of a service, None while nobody does."""
         self._listeners: list[t.Callable[[str], None]] = []
         self._records: dict[str, LimitRecord] = {}
         self._permits: dict[str, list[float]] = {}
         """Until when room holds that was granted beforehand, by replica."""
-        self._turns: dict[str, OwnTurns] = {}
+        self._offer_turns: dict[str, OwnTurns] = {}
         """When this instance offers requests to a replica that could go elsewhere."""
-        self._own: dict[str, OwnTurns] = {}
+        self._fallback_turns: dict[str, OwnTurns] = {}
         """When it may send to a replica without having asked."""
-        self.sharers = DEFAULT_GATEWAY_COUNT
+        self.instance_count = DEFAULT_GATEWAY_COUNT
         """How many instances send to replicas."""
-        self._sent: deque[tuple[float, str]] = deque()
+        self._recent_sends: deque[tuple[float, str]] = deque()
         """Sendings of this instance to replicas with a limit."""
-        self._unreadable: set[str] = set()
+        self._logged_unreadable: set[str] = set()
         """Replicas of which it was logged that their limit cannot be read."""
         self.denied = 0
         """Sendings since the start that were not made for want of room."""
@@ -148,7 +148,7 @@
     def hear(self, replica: str, word: LimitWord, sent_at: float) -> None:
         """Take over what an answer to a request sent at a moment says."""
         if word.unreadable:
-            self._log_unreadable(replica, word)
+            self._log_unreadable_limit(replica, word)
             return
         if word.rate is None and replica not in self._records:
             return
@@ -162,8 +162,8 @@
         before, since = record.rate, record.since
         if not record.note(fact):
             return False
-        self._turns.pop(replica, None)
-        self._own.pop(replica, None)
+        self._offer_turns.pop(replica, None)
+        self._fallback_turns.pop(replica, None)
         if record.rate is None:
             self._permits.pop(replica, None)
             after_s = round(self._clock() - since, 2)
@@ -188,20 +188,20 @@
 
     def share_among(self, instances: int) -> None:
         """Take it that so many instances send to replicas."""
-        if instances != self.sharers:
-            self.sharers = max(1, instances)
-            self._turns.clear()
-            self._own.clear()
+        if instances != self.instance_count:
+            self.instance_count = max(1, instances)
+            self._offer_turns.clear()
+            self._fallback_turns.clear()
 
     def forget_gone(self, known: t.Container[str]) -> None:
         """Drop the limits of replicas that are gone."""
         for name in [name for name in self._records if name not in known]:
             self.forget(name)
-        self._unreadable = {name for name in self._unreadable if name in known}
+        self._logged_unreadable = {name for name in self._logged_unreadable if name in known}
 
     def forget(self, replica: str) -> None:
         """Drop the limit of a replica that has begun another life."""
-        for kept in (self._records, self._permits, self._turns, self._own):
+        for kept in (self._records, self._permits, self._offer_turns, self._fallback_turns):
             kept.pop(replica, None)
 
     # Choosing.
@@ -212,7 +212,7 @@
         A limited one is offered its part of the requests, and not all: each that it has no room for
         costs its caller a question.
         """
-        turns = self._turns_at(replica)
+        turns = self._offer_turns_at(replica)
         return turns is None or turns.is_due(self._clock())
 
     def delay_s(self, replica: str) -> float:
@@ -220,13 +220,13 @@
         rate = self.rate(replica)
         if rate is None or not self._is_on or self.is_open(replica):
             return 0.0
-        return min(MOST_DELAY_S, 1 / max(rate, 1 / MOST_DELAY_S))
+        return min(MAX_DELAY_S, 1 / max(rate, 1 / MAX_DELAY_S))
 
     # Leave to send.
 
     def add_permit(self, replica: str) -> None:
         """Take over room that a planner has granted beforehand."""
-        self._permits.setdefault(replica, []).append(self._clock() + PERMIT_S)
+        self._permits.setdefault(replica, []).append(self._clock() + PERMIT_TTL_S)
 
     async def admit(self, replica: Replica, demand: Demand) -> Denial | None:
         """Wait for leave to send a request to a replica; return None if it may be sent.
@@ -241,7 +241,7 @@
         name = replica.name
         if self.rate(name) is None or not self._is_on:
             return None
-        turns = self._turns_at(name)
+        turns = self._offer_turns_at(name)
         has_turn = turns is not None and turns.take(self._clock())
         if self._use_permit(name):
             return None
@@ -257,13 +257,15 @@
     def note_sent(self, replica: str) -> None:
         """Count a sending to a replica, if it has a limit."""
         if self.rate(replica) is not None:
-            self._sent.append((self._clock(), replica))
+            self._recent_sends.append((self._clock(), replica))
 
     def sent(self) -> Counter[str]:
         """Return how many requests were sent to each replica with a limit lately."""
-        while self._sent and self._sent[0][0] <= self._clock() - COUNTED_S:
-            self._sent.popleft()
-        return Counter(name for _, name in self._sent)
+        while (
+            self._recent_sends and self._recent_sends[0][0] <= self._clock() - SEND_COUNT_WINDOW_S
+        ):
+            self._recent_sends.popleft()
+        return Counter(name for _, name in self._recent_sends)
 
     async def _ask(self, replica: Replica, demand: Demand) -> Denial | None:
         while True:
@@ -271,14 +273,14 @@
             try:
                 if desk is not None:
                     return await desk.ask(replica.name, demand)
-            except (NoGrants, TimeoutError):
+            except (GrantsUnavailable, TimeoutError):
                 log.info("no room is granted", replica=replica.name)
             rate = self.rate(replica.name)
-            if rate is None or self._own_at(replica.name, rate).take(self._clock()):
+            if rate is None or self._fallback_turns_at(replica.name, rate).take(self._clock()):
                 return None
             if self._clock() >= demand.until:
-                return Denial(min(LONGEST_RETRY_S, 1 / max(rate, 1 / LONGEST_RETRY_S)))
-            await asyncio.sleep(POLL_S)
+                return Denial(min(MAX_RETRY_S, 1 / max(rate, 1 / MAX_RETRY_S)))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _use_permit(self, replica: str) -> bool:
         now = self._clock()
@@ -289,26 +291,28 @@
         self._permits[replica] = kept[1:]
         return True
 
-    def _turns_at(self, replica: str) -> OwnTurns | None:
+    def _offer_turns_at(self, replica: str) -> OwnTurns | None:
         rate = self.rate(replica)
         if rate is None or not self._is_on:
             return None
-        turns = self._turns.get(replica)
+        turns = self._offer_turns.get(replica)
         if turns is None:
-            turns = self._turns[replica] = self._new_turns(rate, 1.0, keeps=True)
+            turns = self._offer_turns[replica] = self._new_turns(rate, 1.0, keeps=True)
         return turns
 
-    def _own_at(self, replica: str, rate: float) -> OwnTurns:
-        own = self._own.get(replica)
-        if own is None:
-            own = self._own[replica] = self._new_turns(rate, OWN_PART)
-        return own
+    def _fallback_turns_at(self, replica: str, rate: float) -> OwnTurns:
+        turns = self._fallback_turns.get(replica)
+        if turns is None:
+            turns = self._fallback_turns[replica] = self._new_turns(rate, OWN_PART)
+        return turns
 
     def _new_turns(self, rate: float, part: float, keeps: bool = False) -> OwnTurns:
-        share = part * max(rate, LEAST_RATE) / self.sharers
+        share = part * max(rate, LEAST_RATE) / self.instance_count
         return OwnTurns(share, self._rng.random(), self._clock(), keeps)
 
-    def _log_unreadable(self, replica: str, word: LimitWord) -> None:
-        if replica not in self._unreadable:
-            self._unreadable.add(replica)
-            log.warning("limit cannot be read", replica=replica, value=word.unreadable[:UNREADABLE])
+    def _log_unreadable_limit(self, replica: str, word: LimitWord) -> None:
+        if replica not in self._logged_unreadable:
+            self._logged_unreadable.add(replica)
+            log.warning(
+                "limit cannot be read", replica=replica, value=word.unreadable[:MAX_LOGGED_CHARS]
+            )
--- a/packages/gateway/src/gradelug_gateway/organisations.py
+++ b/packages/gateway/src/gradelug_gateway/organisations.py
@@ -7,7 +7,7 @@
 import typing as t
 from dataclasses import dataclass
 
-_SECRET = secrets.token_bytes(32)
+_DIGEST_KEY = secrets.token_bytes(32)
 """Keys are found by a hash that only this process can compute: how long a look-up takes tells
 nothing of the keys, and neither does a digest that gets into a log."""
 DIGEST_BYTES = 16
@@ -34,11 +34,11 @@
     counts_tokens: bool = True
     plain_tokens: float = 1.0
 
-    def charge(self, prompt_tokens: int, most_tokens: int) -> float:
+    def charge(self, prompt_tokens: int, max_answer_tokens: int) -> float:
         """Return what a request counts, 0 tokens meaning that it states none."""
         if not self.counts_tokens:
             return 1.0
-        return float(prompt_tokens + most_tokens) or self.plain_tokens
+        return float(prompt_tokens + max_answer_tokens) or self.plain_tokens
 
 
 @dataclass(slots=True, frozen=True)
@@ -102,9 +102,9 @@
         for organisation, keys in members:
             self._by_name[organisation.name] = organisation
             for key in keys:
-                holder = self._by_digest.setdefault(digest(key.encode()), organisation)
-                if holder is not organisation:
-                    raise DuplicateKey(f"{holder.name} and {organisation.name} share a key")
+                owner = self._by_digest.setdefault(digest(key.encode()), organisation)
+                if owner is not organisation:
+                    raise DuplicateKey(f"{owner.name} and {organisation.name} share a key")
 
     def __bool__(self) -> bool:
         return bool(self._by_name)
@@ -121,11 +121,11 @@
             if member.quota is not None and member.quota.counts_tokens and member.quota.rate > 0
         }
 
-    def holder(self, key_digest: bytes) -> Organisation | None:
+    def owner(self, key_digest: bytes) -> Organisation | None:
         """Return the organisation that has the key of a digest."""
         return self._by_digest.get(key_digest)
 
 
 def digest(key: bytes) -> bytes:
     """Return a digest of a key that is good within this process."""
-    return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=_SECRET).digest()
+    return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=_DIGEST_KEY).digest()
--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -13,29 +13,29 @@
 from .fingerprints import shown
 
 log = logbook.Logger("poison")
-MOST_SERVED = 2048
+MAX_SERVED = 2048
 """Fingerprints kept of requests that were answered whole: those of 75 s at 27 requests a second."""
-MOST_SIGHTINGS = 1024
+MAX_OBSERVATIONS = 1024
 """Requests kept that were at replicas when they ended: of ten crowded engines."""
-MOST_CLEARED = 256
+MAX_CLEARED = 256
 BLOCKED_RETRY_S = 60.0
 """No instance sends it within this time: it had better not come back."""
-HELD_RETRY_S = 1.0
+SUSPECT_RETRY_S = 1.0
 """A planner that is lost is replaced within seconds."""
 
 
-class Judge(Enum):
+class BlockAuthority(Enum):
     """Who decides now which requests are blocked."""
 
     PLANNER = "planner"
     """The planner that keeps the ledger of all gateways is followed."""
-    NOBODY = "nobody"
+    UNKNOWN = "nobody"
     """It was lost a moment ago: its successor will know more than this gateway."""
     SELF = "self"
     """There is none, or has been none for long."""
 
 
-class Sighting(t.NamedTuple):
+class EndObservation(t.NamedTuple):
     """A request that was at a replica when it ended.
 
     Parameters
@@ -54,7 +54,7 @@
 
     number: int
     end: str
-    mark: bytes
+    fingerprint: bytes
     weight: float
     at: float
 
@@ -66,7 +66,7 @@
     suspects: frozenset[bytes]
 
 
-NOTHING = PoisonFindings(frozenset(), frozenset())
+NO_FINDINGS = PoisonFindings(frozenset(), frozenset())
 
 
 class PoisonGuard:
@@ -85,37 +85,37 @@
     __slots__ = (
         "_clock",
         "_hurry",
-        "_judge",
+        "_authority",
         "_ledger",
         "_number",
         "_served",
         "cleared",
         "refused",
-        "sightings",
-        "stored",
-        "told",
+        "observations",
+        "stored_findings",
+        "planner_findings",
     )
 
     def __init__(
         self,
         clock: t.Callable[[], float],
-        judge: t.Callable[[], Judge] = lambda: Judge.SELF,
+        authority: t.Callable[[], BlockAuthority] = lambda: BlockAuthority.SELF,
         hurry: t.Callable[[], None] = lambda: None,
     ) -> None:
         self._clock = clock
-        self._judge = judge
+        self._authority = authority
         self._hurry = hurry
         self._ledger = EndLedger()
         """Of what this gateway saw alone."""
         self._number = 0
         self._served: dict[bytes, None] = {}
-        self.sightings: deque[Sighting] = deque(maxlen=MOST_SIGHTINGS)
+        self.observations: deque[EndObservation] = deque(maxlen=MAX_OBSERVATIONS)
         """What this gateway saw, for planners; a new one is told all of it."""
-        self.cleared: deque[tuple[int, bytes]] = deque(maxlen=MOST_CLEARED)
+        self.cleared: deque[tuple[int, bytes]] = deque(maxlen=MAX_CLEARED)
         """Suspects that were answered whole, with their numbers among the sightings."""
-        self.told = NOTHING
+        self.planner_findings = NO_FINDINGS
         """What the planner found."""
-        self.stored = NOTHING
+        self.stored_findings = NO_FINDINGS
         """What stands in the platform's store."""
         self.refused = 0
         """Requests that were not sent."""
@@ -123,61 +123,77 @@
     @property
     def blocked(self) -> int:
         """Number of requests that are blocked here."""
-        return len(self.told.blocked | self.stored.blocked)
+        return len(self.planner_findings.blocked | self.stored_findings.blocked)
 
     @property
     def suspects(self) -> int:
         """Number of requests that one more end may block."""
-        return len(self.told.suspects | self.stored.suspects)
+        return len(self.planner_findings.suspects | self.stored_findings.suspects)
 
-    def check(self, mark: bytes) -> None:
+    def check(self, fingerprint: bytes) -> None:
         """Raise `Refused` if a request must not be sent to any replica now."""
-        if mark in self.told.blocked or mark in self.stored.blocked:
+        if (
+            fingerprint in self.planner_findings.blocked
+            or fingerprint in self.stored_findings.blocked
+        ):
             self.refused += 1
             raise Blocked("it ends the replicas that run it", BLOCKED_RETRY_S)
-        judge = self._judge()
-        if judge is Judge.PLANNER:
+        authority = self._authority()
+        if authority is BlockAuthority.PLANNER:
             return
-        if mark in self._ledger.blocked:
+        if fingerprint in self._ledger.blocked:
             self.refused += 1
             raise Blocked("it ended the replicas that ran it here", BLOCKED_RETRY_S)
-        if judge is Judge.NOBODY and self._is_suspect(mark):
+        if authority is BlockAuthority.UNKNOWN and self._is_suspect(fingerprint):
             # One more end of another gateway may have been its third.
-            raise Refused("replicas ended that ran it, and no planner tells of more", HELD_RETRY_S)
+            raise Refused(
+                "replicas ended that ran it, and no planner tells of more", SUSPECT_RETRY_S
+            )
 
     def note_end(self, end: str, weights: t.Mapping[bytes, float]) -> None:
         """Note which requests were at a replica when it ended."""
         now = self._clock()
-        for mark, weight in weights.items():
-            if mark in self._served:
+        for fingerprint, weight in weights.items():
+            if fingerprint in self._served:
                 # What ends each replica that begins it cannot have been answered.
                 continue
             self._number += 1
-            self.sightings.append(Sighting(self._number, end, mark, weight, now))
-            self._ledger.note_end(end, mark, weight, now)
+            self.observations.append(EndObservation(self._number, end, fingerprint, weight, now))
+            self._ledger.note_end(end, fingerprint, weight, now)
         for found in self._ledger.judge(now):
             log.info("would be blocked here", fingerprint=shown(found.mark), ends=found.ends)
-        while self.sightings and now - self.sightings[0].at > REMEMBERED_S:
-            self.sightings.popleft()
+        while self.observations and now - self.observations[0].at > REMEMBERED_S:
+            self.observations.popleft()
         self._hurry()
 
-    def note_served(self, mark: bytes) -> None:
+    def note_served(self, fingerprint: bytes) -> None:
         """Note that a request was answered whole."""
-        self._served.pop(mark, None)
-        self._served[mark] = None
-        if len(self._served) > MOST_SERVED:
+        self._served.pop(fingerprint, None)
+        self._served[fingerprint] = None
+        if len(self._served) > MAX_SERVED:
             del self._served[next(iter(self._served))]
-        was_seen = self._ledger.note_served(mark)
+        was_seen = self._ledger.note_served(fingerprint)
         if was_seen:
-            kept = [sighting for sighting in self.sightings if sighting.mark != mark]
-            self.sightings = deque(kept, MOST_SIGHTINGS)
-        if was_seen or mark in self.told.suspects or mark in self.stored.suspects:
+            kept = [
+                observation
+                for observation in self.observations
+                if observation.fingerprint != fingerprint
+            ]
+            self.observations = deque(kept, MAX_OBSERVATIONS)
+        if (
+            was_seen
+            or fingerprint in self.planner_findings.suspects
+            or fingerprint in self.stored_findings.suspects
+        ):
             self._number += 1
-            self.cleared.append((self._number, mark))
-            log.info("cleared", fingerprint=shown(mark))
+            self.cleared.append((self._number, fingerprint))
+            log.info("cleared", fingerprint=shown(fingerprint))
             self._hurry()
 
-    def _is_suspect(self, mark: bytes) -> bool:
-        if mark in self.told.suspects or mark in self.stored.suspects:
+    def _is_suspect(self, fingerprint: bytes) -> bool:
+        if (
+            fingerprint in self.planner_findings.suspects
+            or fingerprint in self.stored_findings.suspects
+        ):
             return True
-        return self._ledger.score(mark) >= SUSPECT
+        return self._ledger.score(fingerprint) >= SUSPECT
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -10,8 +10,8 @@
 from .end_detection import EndDetector
 from .link import REPLACED_S, PlannerLink
 from .model import FleetState
-from .poison import Judge, PoisonGuard
-from .poison_desk import PoisonDesk, PoisonTeller
+from .poison import BlockAuthority, PoisonGuard
+from .poison_desk import PoisonDesk, PoisonReporter
 from .poison_record import PoisonRecord
 
 
@@ -34,7 +34,7 @@
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_home", "_state", "ends", "guard", "record")
+    __slots__ = ("_clock", "_coordinator", "_state", "ends", "guard", "record")
 
     def __init__(
         self,
@@ -42,25 +42,25 @@
         mirror: Mirror,
         pool: HttpPool,
         state: FleetState,
-        home: t.Callable[[], PlannerLink | None],
+        link: t.Callable[[], PlannerLink | None],
         clock: t.Callable[[], float],
     ) -> None:
-        self._home = home
+        self._coordinator = link
         self._state = state
         self._clock = clock
-        self.guard = PoisonGuard(clock, self._judge, self._hurry)
+        self.guard = PoisonGuard(clock, self._authority, self._hurry)
         self.record = PoisonRecord(kv, mirror, clock)
         self.ends = EndDetector(pool, state, clock, self.guard.note_end)
 
     def look(self) -> None:
         """Follow what the platform tells: what is blocked, and which replicas are gone."""
-        if self.record.look():
-            self.guard.stored = self.record.findings
+        if self.record.poll():
+            self.guard.stored_findings = self.record.findings
         self.ends.poll()
 
-    def teller(self, service: str) -> PoisonTeller:
+    def teller(self, service: str) -> PoisonReporter:
         """Return what tells the planner of a service, if that is the one that all are told to."""
-        return PoisonTeller(
+        return PoisonReporter(
             self.guard, lambda: self._state.coordinating_service == service, self._clock
         )
 
@@ -68,15 +68,15 @@
         """Return what a planner of a service here takes that in with."""
         return PoisonDesk(service, self._state, self.record)
 
-    def _judge(self) -> Judge:
-        home = self._home()
-        if home is None:
-            return Judge.SELF
-        if not home.is_quiet:
-            return Judge.PLANNER
-        return Judge.NOBODY if home.missed_s < REPLACED_S else Judge.SELF
+    def _authority(self) -> BlockAuthority:
+        link = self._coordinator()
+        if link is None:
+            return BlockAuthority.SELF
+        if not link.is_quiet:
+            return BlockAuthority.PLANNER
+        return BlockAuthority.UNKNOWN if link.missed_s < REPLACED_S else BlockAuthority.SELF
 
     def _hurry(self) -> None:
-        home = self._home()
-        if home is not None:
-            home.hurry()
+        link = self._coordinator()
+        if link is not None:
+            link.hurry()
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -18,12 +18,12 @@
 from .poison_record import PoisonRecord
 
 log = logbook.Logger("poison")
-REPEAT_S = 1.0
+REPEAT_INTERVAL_S = 1.0
 """It is told this often at least, in seconds, for gateways that have come: 16 bytes for each
 request that is blocked or suspected, 3 KB at the most."""
 
 
-class PoisonTeller:
+class PoisonReporter:
     """Tells the planner what ended here; implements `parts.GatewayPart`.
 
     Parameters
@@ -36,50 +36,52 @@
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_guard", "_is_home", "_told")
+    __slots__ = ("_clock", "_guard", "_is_coordinator", "_last_reported")
 
     def __init__(
-        self, guard: PoisonGuard, is_home: t.Callable[[], bool], clock: t.Callable[[], float]
+        self, guard: PoisonGuard, is_coordinator: t.Callable[[], bool], clock: t.Callable[[], float]
     ) -> None:
         self._guard = guard
-        self._is_home = is_home
+        self._is_coordinator = is_coordinator
         self._clock = clock
-        self._told = 0
+        self._last_reported = 0
         """Number of the newest sighting that was told on this stream."""
 
     def begin_stream(self) -> None:
         """Tell everything again: another planner knows nothing of it."""
-        self._told = 0
+        self._last_reported = 0
 
     def fill(self, message: pb.FromGateway) -> None:
         """Put what was seen since the last message into this one."""
-        if not self._is_home():
+        if not self._is_coordinator():
             return
         now = self._clock()
         ends: dict[str, pb.ReplicaEnd] = {}
-        newest = self._told
-        for sighting in self._guard.sightings:
-            if sighting.number <= self._told:
+        newest = self._last_reported
+        for observation in self._guard.observations:
+            if observation.number <= self._last_reported:
                 continue
-            end = ends.get(sighting.end)
+            end = ends.get(observation.end)
             if end is None:
-                age_ms = max(0, round((now - sighting.at) * 1000))
-                end = ends[sighting.end] = pb.ReplicaEnd(life=sighting.end, age_ms=age_ms)
-            end.suspects.add(mark=sighting.mark, weight=sighting.weight)
-            newest = max(newest, sighting.number)
-        for number, mark in self._guard.cleared:
-            if number > self._told:
-                message.cleared.append(mark)
+                age_ms = max(0, round((now - observation.at) * 1000))
+                end = ends[observation.end] = pb.ReplicaEnd(life=observation.end, age_ms=age_ms)
+            end.suspects.add(mark=observation.fingerprint, weight=observation.weight)
+            newest = max(newest, observation.number)
+        for number, fingerprint in self._guard.cleared:
+            if number > self._last_reported:
+                message.cleared.append(fingerprint)
                 newest = max(newest, number)
         message.ended.extend(ends.values())
-        self._told = newest
+        self._last_reported = newest
 
     def take(self, message: pb.FromPlanner) -> None:
         """Take over what the planner found."""
-        if not message.HasField("poison") or not self._is_home():
+        if not message.HasField("poison") or not self._is_coordinator():
             return
         told = message.poison
-        self._guard.told = PoisonFindings(frozenset(told.blocked), frozenset(told.suspects))
+        self._guard.planner_findings = PoisonFindings(
+            frozenset(told.blocked), frozenset(told.suspects)
+        )
 
 
 class PoisonDesk:
@@ -95,29 +97,37 @@
         What outlives the planner.
     """
 
-    __slots__ = ("_has_changed", "_ledger", "_lifted", "_record", "_service", "_state", "_told_at")
+    __slots__ = (
+        "_has_changed",
+        "_ledger",
+        "_removal_count",
+        "_record",
+        "_service",
+        "_state",
+        "_published_at",
+    )
 
     def __init__(self, service: str, state: FleetState, record: PoisonRecord) -> None:
         self._service = service
         self._state = state
         self._record = record
         self._ledger: EndLedger | None = None
-        self._lifted = record.lifted
+        self._removal_count = record.removal_count
         self._has_changed = False
-        self._told_at = float("-inf")
+        self._published_at = float("-inf")
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
         """Take over what ended at a gateway."""
         if not (message.ended or message.cleared):
             return
-        ledger = self._opened(now)
+        ledger = self._open_ledger(now)
         for end in message.ended:
             at = now - end.age_ms / 1000
             for suspect in end.suspects:
                 ledger.note_end(end.life, suspect.mark, suspect.weight, at)
-        for mark in message.cleared:
-            if ledger.note_served(mark):
-                log.info("cleared", fingerprint=shown(mark), gateway=follower.instance)
+        for fingerprint in message.cleared:
+            if ledger.note_served(fingerprint):
+                log.info("cleared", fingerprint=shown(fingerprint), gateway=follower.instance)
         self._has_changed = True
 
     def leave(self, follower: Follower, now: float) -> None:
@@ -130,13 +140,13 @@
         """Judge anew, tell all gateways, and have the platform keep it."""
         if self._state.coordinating_service != self._service:
             return
-        if not self._has_changed and now - self._told_at < REPEAT_S:
+        if not self._has_changed and now - self._published_at < REPEAT_INTERVAL_S:
             return
-        self._told_at = now
-        if self._lifted != self._record.lifted:
-            self._lifted = self._record.lifted
+        self._published_at = now
+        if self._removal_count != self._record.removal_count:
+            self._removal_count = self._record.removal_count
             self._ledger = EndLedger()
-        ledger = self._opened(now)
+        ledger = self._open_ledger(now)
         for found in ledger.judge(now, GATHER_S):
             log.warning(
                 "blocked",
@@ -151,7 +161,7 @@
         news.poison.blocked.extend(ledger.blocked)
         news.poison.suspects.extend(ledger.suspects())
 
-    def _opened(self, now: float) -> EndLedger:
+    def _open_ledger(self, now: float) -> EndLedger:
         """Return the ledger, as an earlier planner left it at first."""
         if self._ledger is None:
             self._ledger = EndLedger()
--- a/packages/gateway/src/gradelug_gateway/poison_record.py
+++ b/packages/gateway/src/gradelug_gateway/poison_record.py
@@ -15,12 +15,12 @@
 from gradelug_coordination import CoordinationError, EraWatch, KeyValue, KvEntry, Mirror
 from gradelug_policy.poison import EndLedger
 
-from .poison import NOTHING, PoisonFindings
+from .poison import NO_FINDINGS, PoisonFindings
 
 log = logbook.Logger("poison record")
 KEY = "gradelug/poison"
 ABSENT = KvEntry(KEY, b"", 0)
-RETRY_S = 0.5
+WRITE_RETRY_S = 0.5
 """Pause before a write that failed is tried again."""
 
 
@@ -43,10 +43,10 @@
         "_kv",
         "_ledger",
         "_mirror",
-        "_seen",
-        "_wanted",
+        "_seen_revision",
+        "_write_requested",
         "_written",
-        "lifted",
+        "removal_count",
         "findings",
     )
 
@@ -56,41 +56,41 @@
         self._clock = clock
         self._ledger = EndLedger()
         """What is to be written."""
-        self._wanted = asyncio.Event()
+        self._write_requested = asyncio.Event()
         self._written = ABSENT
         """The newest entry that this instance wrote or took over."""
-        self._seen = 0
+        self._seen_revision = 0
         self._eras = EraWatch()
-        self.findings = NOTHING
+        self.findings = NO_FINDINGS
         """What the entry says."""
-        self.lifted = 0
+        self.removal_count = 0
         """How often the entry was taken away: an operator lets all of them be sent again."""
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Read the entry if it has changed; tell whether it has."""
         entry = self._mirror.entries.get(KEY)
         revision = entry.revision if entry is not None else 0
         if self._eras.has_risen(self._mirror.revision):
-            self._seen = revision
-            self._write_again(entry)
+            self._seen_revision = revision
+            self._rewrite_lost(entry)
             return False
-        if revision == self._seen:
+        if revision == self._seen_revision:
             return False
         if entry is None:
-            self.lifted += 1
+            self.removal_count += 1
             log.warning("taken away: nothing is blocked any more", key=KEY)
-        self._seen = revision
+        self._seen_revision = revision
         ledger = EndLedger()
         self.restore(ledger, self._clock())
         self.findings = PoisonFindings(frozenset(ledger.blocked), frozenset(ledger.suspects()))
         return True
 
-    def _write_again(self, entry: KvEntry | None) -> None:
+    def _rewrite_lost(self, entry: KvEntry | None) -> None:
         """Have written what the store lost as it went back to a copy; it stays in force."""
         self._written = entry or ABSENT
         if entry is not None:
             _add(entry.value, self._ledger, self._clock())
-        self._wanted.set()
+        self._write_requested.set()
 
     def restore(self, ledger: EndLedger, now: float) -> None:
         """Add what the entry says to a ledger."""
@@ -101,19 +101,19 @@
     def save(self, ledger: EndLedger) -> None:
         """Have a ledger written soon."""
         self._ledger = ledger
-        self._wanted.set()
+        self._write_requested.set()
 
     async def run(self) -> None:
         """Write what is to be written, until cancelled."""
         while True:
-            await self._wanted.wait()
-            self._wanted.clear()
+            await self._write_requested.wait()
+            self._write_requested.clear()
             try:
                 await self._write()
             except CoordinationError as exc:
                 log.warning("not written", why=repr(exc))
-                self._wanted.set()
-                await asyncio.sleep(RETRY_S)
+                self._write_requested.set()
+                await asyncio.sleep(WRITE_RETRY_S)
 
     async def _write(self) -> None:
         entry = self._mirror.entries.get(KEY)
@@ -131,7 +131,7 @@
             self._written = ABSENT
         else:
             self._take_over(found)
-        self._wanted.set()
+        self._write_requested.set()
 
     def _take_over(self, entry: KvEntry) -> None:
         """Add what an earlier planner wrote, which may have known more."""
@@ -141,8 +141,12 @@
 
 def _encode(ledger: EndLedger) -> bytes:
     data = {
-        "blocked": {mark.hex(): ledger.weight_of(mark) for mark in ledger.blocked},
-        "suspects": {mark.hex(): ledger.ends_of(mark) for mark in ledger.suspects()},
+        "blocked": {
+            fingerprint.hex(): ledger.weight_of(fingerprint) for fingerprint in ledger.blocked
+        },
+        "suspects": {
+            fingerprint.hex(): ledger.ends_of(fingerprint) for fingerprint in ledger.suspects()
+        },
     }
     return json.dumps(data).encode()
 
@@ -150,17 +154,23 @@
 def _add(value: bytes, ledger: EndLedger, now: float) -> None:
     try:
         data = json.loads(value)
-        blocked = {bytes.fromhex(mark): float(data["blocked"][mark]) for mark in data["blocked"]}
-        suspects = {bytes.fromhex(mark): dict(data["suspects"][mark]) for mark in data["suspects"]}
+        blocked = {
+            bytes.fromhex(fingerprint): float(data["blocked"][fingerprint])
+            for fingerprint in data["blocked"]
+        }
+        suspects = {
+            bytes.fromhex(fingerprint): dict(data["suspects"][fingerprint])
+            for fingerprint in data["suspects"]
+        }
         ends = [
-            (str(end), mark, float(weight))
-            for mark, weights in suspects.items()
+            (str(end), fingerprint, float(weight))
+            for fingerprint, weights in suspects.items()
             for end, weight in weights.items()
         ]
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
         log.error("the entry of another writer cannot be read", key=KEY, why=repr(exc))
         return
-    for mark, weight in blocked.items():
-        ledger.block(mark, weight, now)
-    for end, mark, weight in ends:
-        ledger.note_end(end, mark, weight, now)
+    for fingerprint, weight in blocked.items():
+        ledger.block(fingerprint, weight, now)
+    for end, fingerprint, weight in ends:
+        ledger.note_end(end, fingerprint, weight, now)
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -11,7 +11,7 @@
 
 from .followers import Follower
 from .model import FleetState
-from .quotas import LONGEST_WAIT_S
+from .quotas import MAX_WAIT_S
 
 
 class QuotaDesk:
@@ -69,7 +69,7 @@
         )
         answer = pb.QuotaAnswer(ticket=ask.ticket, granted=verdict.granted, share=verdict.share)
         if not verdict.granted:
-            answer.retry_after_ms = math.ceil(min(verdict.retry_s, LONGEST_WAIT_S) * 1000)
+            answer.retry_after_ms = math.ceil(min(verdict.retry_s, MAX_WAIT_S) * 1000)
             answer.level = math.floor(verdict.level)
             answer.needed = math.ceil(verdict.needed)
             answer.standing = verdict.standing.value
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -24,13 +24,13 @@
 ANSWER_S = 0.25
 """An answer takes a round trip of milliseconds; a home that rests after a decision takes some
 tens. Later than this it may be lost."""
-ELSEWHERE_S = 0.05
+UNAVAILABLE_RETRY_S = 0.05
 """Another instance may reach the home."""
-POLL_S = 0.03
+POLL_INTERVAL_S = 0.03
 """How often a request that waits for a home looks whether there is one."""
-LONGEST_WAIT_S = 3_600.0
+MAX_WAIT_S = 3_600.0
 """Nobody is told to come back later than this: a caller that waits for ever is told the same."""
-JITTER = 0.5
+RETRY_JITTER_FRACTION = 0.5
 """Callers that were refused together come back spread over so much more of the time."""
 
 
@@ -121,7 +121,7 @@
         What this instance may use without asking.
     """
 
-    __slots__ = ("_clock", "_locate", "_rng", "_shares")
+    __slots__ = ("_clock", "_find_link", "_rng", "_shares")
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
         rng: random.Random,
         shares: LocalShares,
     ) -> None:
-        self._locate = locate
+        self._find_link = locate
         self._clock = clock
         self._rng = rng
         self._shares = shares
@@ -176,16 +176,18 @@
         name = organisation.name
         tokens = round(organisation.quota.charge(prompt, most))
         while True:
-            charge = await self._ask(name, tokens, applicant) or self._draw(name, tokens)
+            charge = await self._ask(name, tokens, applicant) or self._charge_local_share(
+                name, tokens
+            )
             if charge is not None:
                 return charge
             if self._clock() >= until:
-                raise Refused(f"the quota of {name} cannot be asked for", ELSEWHERE_S)
-            await asyncio.sleep(POLL_S)
+                raise Refused(f"the quota of {name} cannot be asked for", UNAVAILABLE_RETRY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _ask(self, name: str, tokens: int, applicant: Applicant) -> Charge | None:
         """Ask the home; None if it cannot be asked or grants nothing now."""
-        link = self._locate()
+        link = self._find_link()
         if link is None or link.is_quiet:
             return None
         try:
@@ -195,18 +197,20 @@
             return None
         if not answer.granted and not answer.retry_after_ms:
             return None
-        return self._conclude(link, name, tokens, answer)
+        return self._apply_answer(link, name, tokens, answer)
 
-    def _conclude(self, link: QuotaLink, name: str, tokens: int, answer: pb.QuotaAnswer) -> Charge:
+    def _apply_answer(
+        self, link: QuotaLink, name: str, tokens: int, answer: pb.QuotaAnswer
+    ) -> Charge:
         now = self._clock()
         self._shares.note_told(name, answer.share, now)
         if answer.granted:
             return Charge(name, tokens, link, now)
         retry_s = answer.retry_after_ms / 1000
         inputs = QuotaInputs(tokens, answer.level, answer.needed, answer.standing)
-        raise Limited(name, retry_s * (1 + JITTER * self._rng.random()), inputs)
+        raise Limited(name, retry_s * (1 + RETRY_JITTER_FRACTION * self._rng.random()), inputs)
 
-    def _draw(self, name: str, tokens: int) -> Charge | None:
+    def _charge_local_share(self, name: str, tokens: int) -> Charge | None:
         """Draw on this instance's share while the home is being replaced."""
         now = self._clock()
         self._shares.note_lost(now)
@@ -226,12 +230,20 @@
         Called when there is something to send.
     """
 
-    __slots__ = ("_began_at", "_clock", "_futures", "_returns", "_ticket", "_unsent", "_wake")
+    __slots__ = (
+        "_stream_started_at",
+        "_clock",
+        "_futures",
+        "_returns",
+        "_ticket",
+        "_unsent",
+        "_wake",
+    )
 
     def __init__(self, clock: t.Callable[[], float], wake: t.Callable[[], None]) -> None:
         self._clock = clock
         self._wake = wake
-        self._began_at = clock()
+        self._stream_started_at = clock()
         self._futures: dict[int, asyncio.Future[pb.QuotaAnswer]] = {}
         self._unsent: list[pb.QuotaAsk] = []
         self._returns: list[pb.QuotaReturn] = []
@@ -260,18 +272,18 @@
                 return await fut
         finally:
             if not fut.done() or fut.cancelled():
-                self._give_up(ask)
+                self._abandon(ask)
 
     def give_back(self, organisation: str, tokens: int, granted_at: float) -> None:
         """Return what was granted to a request that has not run, unless by an earlier home."""
-        if granted_at < self._began_at:
+        if granted_at < self._stream_started_at:
             return
         self._returns.append(pb.QuotaReturn(organisation=organisation, tokens=tokens))
         self._wake()
 
     def begin_stream(self) -> None:
         """Ask another home: what the last one was asked is not answered any more."""
-        self._began_at = self._clock()
+        self._stream_started_at = self._clock()
         for fut in self._futures.values():
             if not fut.done():
                 fut.set_exception(TimeoutError("the home is lost"))
@@ -289,17 +301,17 @@
     def take(self, message: pb.FromPlanner) -> None:
         """Hand each answer to whoever waits for it."""
         for answer in message.quota_answers:
-            self._take_answer(answer)
+            self._resolve(answer)
 
     def _wait_ms(self, until: float) -> int:
-        return round(1000 * min(LONGEST_WAIT_S, max(0.0, until - self._clock())))
+        return round(1000 * min(MAX_WAIT_S, max(0.0, until - self._clock())))
 
-    def _take_answer(self, answer: pb.QuotaAnswer) -> None:
+    def _resolve(self, answer: pb.QuotaAnswer) -> None:
         fut = self._futures.pop(answer.ticket, None)
         if fut is not None and not fut.done():
             fut.set_result(answer)
 
-    def _give_up(self, ask: pb.QuotaAsk) -> None:
+    def _abandon(self, ask: pb.QuotaAsk) -> None:
         """Stop waiting; what is granted all the same is returned."""
         if ask in self._unsent:
             self._unsent.remove(ask)
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gradelug_coordination import KvEntry
-from gradelug_gateway.authentication import MOST_BYTES, authenticate, renew
+from gradelug_gateway.authentication import MAX_HEADER_BYTES, authenticate, renew
 from gradelug_gateway.exceptions import Unauthenticated
 from gradelug_gateway.feed import MalformedEntry
 from gradelug_gateway.model import Repeat, Snapshot
@@ -48,7 +48,7 @@
             ([b"Bearer key-a,Bearer key-b=="], "cannot be read"),
             ([b"Bearer key\xff"], "cannot be read"),
             ([b"Bearer key-a\x00"], "cannot be read"),
-            ([b"Bearer " + b"k" * MOST_BYTES], "cannot be read"),
+            ([b"Bearer " + b"k" * MAX_HEADER_BYTES], "cannot be read"),
             ([b"Bearer Key-A"], "nobody"),
             ([b"Bearer key-a", b"Bearer key-a"], "several"),
         ],
--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -4,10 +4,10 @@
 
 import pytest
 from gradelug_gateway.followers import Follower
-from gradelug_gateway.limit_desk import CHANGED_S, REPEAT_S, LimitDesk
+from gradelug_gateway.limit_desk import MIN_REPORT_INTERVAL_S, REPEAT_INTERVAL_S, LimitDesk
 from gradelug_gateway.limit_facts import decode_limit, encode_limit
-from gradelug_gateway.limit_teller import HURRIED_PER_S, LimitTeller
-from gradelug_gateway.limits import Demand, Denial, NoGrants, ReplicaLimits
+from gradelug_gateway.limit_teller import MAX_URGENT_ASKS_PER_S, LimitTeller
+from gradelug_gateway.limits import Demand, Denial, GrantsUnavailable, ReplicaLimits
 from gradelug_gateway.model import FleetState, Replica
 from gradelug_gateway.pending import merge_news
 from gradelug_policy.replica_limits import LimitFact, LimitWord
@@ -40,7 +40,7 @@
         self.link = Link()
         self.follower = Follower(number, f"g{number}", "")
         self.limits = ReplicaLimits(world.clock)
-        self.limits.share_among(world.sharers)
+        self.limits.share_among(world.instance_count)
         self.teller = LimitTeller(SERVICE, self.limits, world.state, world.clock, lambda: self.link)
         self.limits.find_desk = lambda service: self.teller
 
@@ -48,9 +48,9 @@
 class World:
     """Gateways and the desk of one planner; messages pass when they are let."""
 
-    def __init__(self, gateways=2, replicas=2, sharers=2):
+    def __init__(self, gateways=2, replicas=2, instance_count=2):
         self.clock = asyncio.get_running_loop().time
-        self.sharers = sharers
+        self.instance_count = instance_count
         names = [f"e{number}" for number in range(replicas)]
         self.state = FleetState(replicas={name: Replica(name, "plain", "", "h") for name in names})
         self.term = True
@@ -176,7 +176,7 @@
                 world.name(0, 1.0 + step % 7)
                 told += len(world.pass_on().limits)
                 await asyncio.sleep(0.1)
-            assert 10.0 / REPEAT_S - 1 <= told <= 10.0 / CHANGED_S + 1
+            assert 10.0 / REPEAT_INTERVAL_S - 1 <= told <= 10.0 / MIN_REPORT_INTERVAL_S + 1
 
         run(scenario)
 
@@ -241,20 +241,20 @@
 
     def test_a_planner_out_of_office_grants_nothing(self):
         async def scenario():
-            world = World(sharers=10_000)
+            world = World(instance_count=10_000)
             world.name(0, 50.0)
             world.term = False
             await world.let(0.5)
             asked = asyncio.create_task(world.gateways[0].teller.ask("e0", Demand(world.clock())))
             await world.let(0.1)
-            with pytest.raises(NoGrants):
+            with pytest.raises(GrantsUnavailable):
                 await asked
 
         run(scenario)
 
     def test_who_waits_at_a_planner_that_leaves_office_is_let_go_without_room(self):
         async def scenario():
-            world = World(sharers=10_000)
+            world = World(instance_count=10_000)
             world.name(0, 0.5)
             await world.let(0.05)
             asked = world.ask(0, wait_s=1.9)
@@ -314,7 +314,7 @@
 
     def test_questions_of_a_large_fleet_are_gathered(self):
         async def scenario():
-            world = World(sharers=370)
+            world = World(instance_count=370)
             world.name(0, 5.0)
             await world.let(0.05)
             link = world.gateways[0].link
@@ -325,7 +325,7 @@
                 await asyncio.sleep(1 / 27)
                 task.cancel()
             hurried = link.hurried - before
-            assert hurried <= HURRIED_PER_S / 370 + 2
+            assert hurried <= MAX_URGENT_ASKS_PER_S / 370 + 2
             assert link.told_soon >= 20
 
         run(scenario)
@@ -349,7 +349,7 @@
 
     def test_whoever_waits_asks_a_planner_that_comes(self):
         async def scenario():
-            world = World(sharers=10_000)
+            world = World(instance_count=10_000)
             world.name(0, 2.0)
             limits = world.gateways[0].limits
             desk, limits.find_desk = limits.find_desk, lambda service: None
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -13,14 +13,14 @@
 from gradelug_gateway.pending import merge_news
 from gradelug_gateway.poison import (
     BLOCKED_RETRY_S,
-    HELD_RETRY_S,
-    MOST_SERVED,
-    MOST_SIGHTINGS,
-    Judge,
+    MAX_OBSERVATIONS,
+    MAX_SERVED,
+    SUSPECT_RETRY_S,
+    BlockAuthority,
     PoisonFindings,
     PoisonGuard,
 )
-from gradelug_gateway.poison_desk import REPEAT_S, PoisonDesk, PoisonTeller
+from gradelug_gateway.poison_desk import REPEAT_INTERVAL_S, PoisonDesk, PoisonReporter
 from gradelug_gateway.poison_record import KEY, PoisonRecord
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_policy.poison import BEGUN, GATHER_S, WAITING, EndLedger
@@ -77,7 +77,7 @@
 
 
 class TestGuard:
-    def guard(self, judge=Judge.PLANNER):
+    def guard(self, judge=BlockAuthority.PLANNER):
         self.now, self.hurried = 0.0, 0
         return PoisonGuard(lambda: self.now, lambda: judge, self.hurry)
 
@@ -87,12 +87,12 @@
     def test_what_the_planner_or_the_store_tells_is_blocked_and_nothing_else(self):
         guard = self.guard()
         guard.check(A)
-        guard.told = PoisonFindings(frozenset({A}), frozenset())
+        guard.planner_findings = PoisonFindings(frozenset({A}), frozenset())
         with pytest.raises(Blocked) as caught:
             guard.check(A)
         assert caught.value.retry_after_s == BLOCKED_RETRY_S
         guard.check(B)
-        guard.stored = PoisonFindings(frozenset({B}), frozenset())
+        guard.stored_findings = PoisonFindings(frozenset({B}), frozenset())
         with pytest.raises(Blocked):
             guard.check(B)
         assert (guard.blocked, guard.refused) == (2, 2)
@@ -105,19 +105,19 @@
         assert self.hurried == 5
 
     def test_a_suspect_is_held_while_nobody_can_tell_of_its_other_ends(self):
-        guard = self.guard(Judge.NOBODY)
+        guard = self.guard(BlockAuthority.UNKNOWN)
         guard.note_end("e1", {A: BEGUN})
         guard.check(A)
         guard.note_end("e2", {A: BEGUN})
         with pytest.raises(Refused) as caught:
             guard.check(A)
-        assert caught.value.retry_after_s == HELD_RETRY_S
-        guard.told = PoisonFindings(frozenset(), frozenset({B}))
+        assert caught.value.retry_after_s == SUSPECT_RETRY_S
+        guard.planner_findings = PoisonFindings(frozenset(), frozenset({B}))
         with pytest.raises(Refused):
             guard.check(B)
 
     def test_where_there_is_no_planner_a_gateway_decides_by_what_it_saw(self):
-        guard = self.guard(Judge.SELF)
+        guard = self.guard(BlockAuthority.SELF)
         for number in range(3):
             guard.check(A)
             guard.note_end(f"e{number}", {A: BEGUN, B: WAITING})
@@ -126,14 +126,14 @@
         guard.check(B)
 
     def test_a_suspect_that_is_answered_is_cleared_and_everybody_is_told(self):
-        guard = self.guard(Judge.NOBODY)
+        guard = self.guard(BlockAuthority.UNKNOWN)
         guard.note_end("e1", {A: BEGUN})
         guard.note_end("e2", {A: BEGUN})
         guard.note_served(A)
         guard.check(A)
-        assert not guard.sightings
+        assert not guard.observations
         assert [mark for _, mark in guard.cleared] == [A]
-        guard.told = PoisonFindings(frozenset(), frozenset({B}))
+        guard.planner_findings = PoisonFindings(frozenset(), frozenset({B}))
         guard.note_served(B)
         assert [mark for _, mark in guard.cleared] == [A, B]
 
@@ -141,15 +141,15 @@
         guard = self.guard()
         guard.note_served(A)
         guard.note_end("e1", {A: BEGUN, B: BEGUN})
-        assert [sighting.mark for sighting in guard.sightings] == [B]
+        assert [observation.fingerprint for observation in guard.observations] == [B]
 
     def test_what_is_kept_is_bounded(self):
         guard = self.guard()
-        for number in range(2 * MOST_SERVED):
+        for number in range(2 * MAX_SERVED):
             guard.note_served(b"%d" % number)
             guard.note_end("e", {b"x%d" % number: WAITING})
-        assert len(guard._served) == MOST_SERVED
-        assert len(guard.sightings) == MOST_SIGHTINGS
+        assert len(guard._served) == MAX_SERVED
+        assert len(guard.observations) == MAX_OBSERVATIONS
 
 
 class Ends:
@@ -286,7 +286,7 @@
         for number in range(3):
             desk.take(Follower, self.ended(number, A), 1.0)
         desk.fill(pb.FromPlanner(), 2.0)
-        for at, told in ((2.5, False), (2.1 + REPEAT_S, True)):
+        for at, told in ((2.5, False), (2.1 + REPEAT_INTERVAL_S, True)):
             news = pb.FromPlanner()
             desk.fill(news, at)
             assert news.HasField("poison") is told
@@ -328,8 +328,8 @@
 
     def test_a_gateway_tells_each_planner_everything_once(self):
         now = [10.0]
-        guard = PoisonGuard(lambda: now[0], lambda: Judge.PLANNER)
-        teller = PoisonTeller(guard, lambda: True, lambda: now[0])
+        guard = PoisonGuard(lambda: now[0], lambda: BlockAuthority.PLANNER)
+        teller = PoisonReporter(guard, lambda: True, lambda: now[0])
         guard.note_end("e1", {A: BEGUN, B: WAITING})
         now[0] = 12.0
         for _ in range(2):
@@ -358,7 +358,7 @@
 
     async def read(self, record, mirror, kv):
         mirror.entries = kv.entries()
-        record.look()
+        record.poll()
         return record.findings
 
     def test_what_was_written_is_read_by_others_and_restored_by_a_successor(self):
@@ -374,7 +374,7 @@
             await asyncio.sleep(0.1)
             news = await self.read(reader, mirror, kv)
             assert news == PoisonFindings(frozenset({A}), frozenset({B}))
-            assert not reader.look()
+            assert not reader.poll()
             successor = EndLedger()
             reader.restore(successor, 1.0)
             # The same ends told again by gateways count once, and one more is enough.
@@ -405,7 +405,7 @@
             await asyncio.sleep(0.1)
             assert KEY in kv.entries()
             assert (await self.read(reader, other, kv)).blocked == {A}
-            assert reader.lifted == 0
+            assert reader.removal_count == 0
             task.cancel()
 
         run(scenario)
@@ -493,7 +493,7 @@
         async def scenario():
             ((record, mirror),) = self.records(MemoryKv(), 1)
             mirror.entries[KEY] = KvEntry(KEY, value, 5)
-            assert record.look()
+            assert record.poll()
             assert record.findings == PoisonFindings(frozenset(), frozenset())
 
         run(scenario)
