--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -1,4 +1,4 @@
-"""A planner's end of what is told and asked of replicas with a limit: it grants room there."""
+"""The planner's side of replica limits: grants capacity and distributes limits to gateways."""
 
 from __future__ import annotations
 
@@ -19,41 +19,42 @@
 
 log = logbook.Logger("limits")
 REPEAT_INTERVAL_S = 4.0
-"""Limits are told this often at least, in seconds, should one have been lost on the way; more often
-all of a large fleet would be most of what gateways are told."""
+"""Interval at which unchanged limits are repeated, in seconds, in case a message was lost. With a
+shorter one, repetitions for a large fleet would dominate the updates to gateways."""
 MIN_CHANGE_FRACTION = 0.05
-"""A limit that changes by less than this part is told with the next repetition: what gateways
-reckon from it does not change by more."""
+"""Relative change of a limit below which it is sent with the next repetition only: the estimates
+that gateways derive from it change no more than that."""
 MIN_REPORT_INTERVAL_S = 2.0
-"""One that changes again and again is told this often at most, in seconds: room is granted by the
-planner, who knows the newest."""
+"""Minimum interval between updates of a limit that changes often, in seconds. The planner grants
+capacity by the newest value in any case."""
 ENDED_LIMIT_TTL_S = 60.0
-"""Seconds to remember a removed limit, so that delayed reports do not restore it."""
+"""How long a removed limit is remembered, in seconds, so that delayed reports do not restore it."""
 LOG_INTERVAL_S = 5.0
-"""What is used of a limit is logged this often."""
+"""Interval at which the use of a limit is logged, in seconds."""
 MAX_LOGGED_GATEWAYS = 8
-"""So many gateways are named in such a line, those that use most."""
+"""Maximum number of gateways in such a log line; those with the highest use are listed."""
 CAPACITY_CACHE_TTL_S = 0.02
-"""How often it is looked at most whether other replicas have room: there may be hundreds."""
+"""How long the result of a search for other replicas with capacity is cached, in seconds; there may
+be hundreds of replicas."""
 MIN_TIMER_DELAY_S = 0.001
 """Lower bound of the timer, in seconds; shorter delays round to zero."""
 MAX_LOAD_PENALTY_S = 3.0
-"""An engine that takes next to nothing is a home for adapters only if others cost more than this,
-in seconds."""
+"""Upper bound of the penalty for loading adapters on an engine with a very low limit, in seconds.
+Such an engine is chosen only if others cost more."""
 
 
 @dataclass(slots=True)
 class _LimitedReplica:
-    """What a planner knows of one replica."""
+    """State of one replica that has or had a limit."""
 
     service: str
     born: int
     record: LimitRecord = field(default_factory=LimitRecord)
-    room: ReplicaRoom | None = None
-    """While it names a limit."""
+    limiter: ReplicaRoom | None = None
+    """None while the replica has no limit."""
     timer: asyncio.TimerHandle | None = None
     granted: Counter[str] = field(default_factory=Counter)
-    """Since it was logged last, by gateway."""
+    """Grants since the last log line, by gateway."""
     refused: int = 0
     logged_at: float = 0.0
     published_rate: float | None = None
@@ -61,18 +62,19 @@
 
 
 class LimitDesk:
-    """Grants room at replicas with a limit to all gateways; implements `parts.PlannerPart`.
+    """Grants gateways capacity at replicas with a limit; implements `parts.PlannerPart`.
 
     Parameters
     ----------
     service : str
-        The planner's.
+        The planner's service.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     clock : callable
         The runtime's clock.
     may_grant : callable
-        Tells whether this planner decides now: two that do would grant twice the limit.
+        Returns whether this planner's term holds; two planners that grant at the same time would
+        grant twice the limit.
     """
 
     __slots__ = (
@@ -99,66 +101,66 @@
         self._may_grant = may_grant
         self._limited: dict[str, _LimitedReplica] = {}
         self._followers: dict[int, Follower] = {}
-        """Gateways that have been told of all limits, by their numbers."""
+        """Gateways that all limits have been sent or scheduled for, by their numbers."""
         self._due: set[str] = set()
         self._capacity_cache: dict[str, tuple[bool, float]] = {}
-        """Whether a service had a replica with room, and when that was looked up."""
+        """Whether a service had a replica with capacity, and when that was checked, by service."""
 
-    # What gateways tell and ask.
+    # Messages of gateways.
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Take over what a gateway heard, and answer what it asks."""
+        """Apply the limits that a gateway reports, and handle its capacity requests."""
         if follower.number not in self._followers:
             self._followers[follower.number] = follower
             self._due.update(self._limited)
-        for told in message.limits:
-            self._apply_report(told, now)
+        for report in message.limits:
+            self._apply_report(report, now)
         if message.room_cancelled:
             self._withdraw({(follower.number, ticket) for ticket in message.room_cancelled})
         for ask in message.room_asks:
             self._handle_ask(follower, ask, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Forget what a gateway asked."""
+        """Withdraw the requests of a gateway that has disconnected."""
         self._followers.pop(follower.number, None)
         for limited in self._limited.values():
-            if limited.room is not None:
-                limited.room.withdraw(_GatewayTickets(follower.number))
+            if limited.limiter is not None:
+                limited.limiter.withdraw(_GatewayTickets(follower.number))
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Tell limits that have changed, and all of them now and then."""
+        """Add changed limits, and those due for repetition, to an update for all gateways."""
         self._forget_gone(now)
         for name, limited in self._limited.items():
             if self._is_due(name, limited, now):
                 limited.published_rate, limited.published_at = limited.record.rate, now
                 news.limits.append(encode_limit(name, limited.born, limited.record.fact, now))
-            if limited.room is not None and now - limited.logged_at >= LOG_INTERVAL_S:
+            if limited.limiter is not None and now - limited.logged_at >= LOG_INTERVAL_S:
                 self._log_usage(name, limited, now)
         self._due.clear()
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone or has begun another life."""
+        """Remove a replica that is gone or has a new incarnation, and release its waiting requests."""
         limited = self._limited.pop(replica, None)
-        if limited is not None and limited.room is not None:
-            self._send_rulings(limited, limited.room.release())
+        if limited is not None and limited.limiter is not None:
+            self._send_decisions(limited, limited.limiter.release())
 
-    # For the planner itself.
+    # Queries of the planner.
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for room at replicas with a limit."""
-        rooms = (limited.room for limited in self._limited.values())
-        return sum(room.waiting for room in rooms if room is not None)
+        """Number of requests that wait for capacity at replicas with a limit."""
+        limiters = (limited.limiter for limited in self._limited.values())
+        return sum(limiter.waiting for limiter in limiters if limiter is not None)
 
     def delay_s(self, replica: str, now: float) -> float:
-        """Return when there is room at a replica for one request more, in seconds."""
+        """Return the time until a replica has capacity for one more request, in seconds."""
         limited = self._limited.get(replica)
-        if limited is None or limited.room is None:
+        if limited is None or limited.limiter is None:
             return 0.0
-        return limited.room.ready_s(now)
+        return limited.limiter.ready_s(now)
 
     def home_s(self, replica: str) -> float:
-        """Return what an adapter costs more on an engine with a limit, in seconds."""
+        """Return the penalty for loading an adapter on an engine with a limit, in seconds."""
         limited = self._limited.get(replica)
         rate = limited.record.rate if limited is not None else None
         return (
@@ -166,58 +168,58 @@
         )
 
     def put_urgent_first(self, waiters: list[Waiter]) -> list[Waiter]:
-        """Return those that wait for a place in the order in which they get room."""
-        if all(limited.room is None for limited in self._limited.values()):
+        """Return waiters for a weight slot in the order in which capacity is granted."""
+        if all(limited.limiter is None for limited in self._limited.values()):
             return waiters
         return sorted(waiters, key=lambda waiter: (not waiter.ask.begun, waiter.ask.rank))
 
     def is_limited(self, replica: str) -> bool:
-        """Tell whether a replica names a limit."""
+        """Return whether a replica has a limit."""
         limited = self._limited.get(replica)
-        return limited is not None and limited.room is not None
+        return limited is not None and limited.limiter is not None
 
     def try_take(self, replica: str, gateway: str, now: float) -> bool:
-        """Take room for a request that is about to be placed; False if none is needed or left."""
+        """Take capacity for a request about to be placed; False if none is needed or available."""
         limited = self._limited.get(replica)
-        if limited is None or limited.room is None or not self._may_grant():
+        if limited is None or limited.limiter is None or not self._may_grant():
             return False
-        if not limited.room.try_take(now):
+        if not limited.limiter.try_take(now):
             return False
         limited.granted[gateway] += 1
         return True
 
-    # One replica.
+    # State of one replica.
 
-    def _apply_report(self, told: pb.LimitFact, now: float) -> None:
-        name, rep = told.replica, self._state.replicas.get(told.replica)
-        if rep is None or rep.born != told.born:
+    def _apply_report(self, report: pb.LimitFact, now: float) -> None:
+        name, rep = report.replica, self._state.replicas.get(report.replica)
+        if rep is None or rep.born != report.born:
             return
         if not is_responsible_for(self._service, name, self._state):
             return
         limited = self._limited.get(name)
-        if limited is None or limited.born != told.born:
-            if not told.named:
+        if limited is None or limited.born != report.born:
+            if not report.named:
                 return
-            limited = self._limited[name] = _LimitedReplica(rep.service, told.born, logged_at=now)
-        fact = decode_limit(told, now)
+            limited = self._limited[name] = _LimitedReplica(rep.service, report.born, logged_at=now)
+        fact = decode_limit(report, now)
         if limited.record.note(fact):
             self._apply_limit(name, limited, now)
         elif limited.record.rate != fact.rate:
-            # The gateway has missed what is known here.
+            # The gateway has missed a newer report.
             self._due.add(name)
 
     def _apply_limit(self, name: str, limited: _LimitedReplica, now: float) -> None:
         rate = limited.record.rate
         if rate is None:
             log.info("limit over", replica=name, age_s=round(now - limited.record.since, 2))
-            room, limited.room = limited.room, None
-            if room is not None:
-                self._send_rulings(limited, room.release())
-        elif limited.room is None:
+            limiter, limited.limiter = limited.limiter, None
+            if limiter is not None:
+                self._send_decisions(limited, limiter.release())
+        elif limited.limiter is None:
             log.info("limit", replica=name, rate=rate)
-            limited.room = ReplicaRoom(rate, now)
+            limited.limiter = ReplicaRoom(rate, now)
         else:
-            limited.room.rename(rate, now)
+            limited.limiter.rename(rate, now)
             self._grant_available(name)
 
     def _handle_ask(self, follower: Follower, ask: pb.RoomAsk, now: float) -> None:
@@ -225,47 +227,47 @@
         if not self._may_grant():
             follower.answer_room(pb.RoomAnswer(ticket=ask.ticket))
             return
-        if limited is None or limited.room is None:
+        if limited is None or limited.limiter is None:
             follower.answer_room(pb.RoomAnswer(ticket=ask.ticket, granted=True))
             return
-        applicant = Applicant(
+        request = Applicant(
             (follower.number, ask.ticket), now + ask.wait_ms / MS, ask.rank, ask.value, ask.begun
         )
-        self._send_rulings(limited, limited.room.apply(applicant, now))
+        self._send_decisions(limited, limited.limiter.apply(request, now))
         self._schedule_grants(ask.replica, limited, now)
 
     def _grant_available(self, name: str) -> None:
-        """Grant what room there is by now."""
+        """Grant the capacity that is available by now."""
         limited, now = self._limited.get(name), self._clock()
-        if limited is None or limited.room is None:
+        if limited is None or limited.limiter is None:
             return
         limited.timer = None
         if not self._may_grant():
-            self._send_rulings(limited, limited.room.release(), is_granted=False)
+            self._send_decisions(limited, limited.limiter.release(), is_granted=False)
             return
-        self._send_rulings(limited, limited.room.rule(now))
+        self._send_decisions(limited, limited.limiter.rule(now))
         self._schedule_grants(name, limited, now)
 
     def _schedule_grants(self, name: str, limited: _LimitedReplica, now: float) -> None:
-        next_s = limited.room.next_s(now) if limited.room is not None else None
+        next_s = limited.limiter.next_s(now) if limited.limiter is not None else None
         if next_s is None or limited.timer is not None:
             return
         loop = asyncio.get_running_loop()
         limited.timer = loop.call_later(max(MIN_TIMER_DELAY_S, next_s), self._grant_available, name)
 
-    def _send_rulings(
-        self, limited: _LimitedReplica, rulings: t.Iterable[Ruling], is_granted: bool = True
+    def _send_decisions(
+        self, limited: _LimitedReplica, decisions: t.Iterable[Ruling], is_granted: bool = True
     ) -> None:
-        for ruling in rulings:
-            number, ticket = t.cast(tuple[int, int], ruling.applicant.ticket)
+        for decision in decisions:
+            number, ticket = t.cast(tuple[int, int], decision.applicant.ticket)
             follower = self._followers.get(number)
             if follower is None:
                 continue
-            granted = ruling.granted and is_granted
+            granted = decision.granted and is_granted
             limited.granted[follower.instance] += granted
             limited.refused += not granted
-            # None at all where this planner grants nothing any more.
-            retry_ms = 0 if ruling.granted else max(1, round(ruling.retry_s * MS))
+            # Without a delay the gateway reads the answer as grants being unavailable.
+            retry_ms = 0 if decision.granted else max(1, round(decision.retry_s * MS))
             follower.answer_room(
                 pb.RoomAnswer(
                     ticket=ticket,
@@ -276,7 +278,7 @@
             )
 
     def _has_capacity(self, service: str) -> bool:
-        """Tell whether some replica of a service has room, as of a moment ago."""
+        """Return whether some replica of a service has capacity, from a short-lived cache."""
         now = self._clock()
         known, checked_at = self._capacity_cache.get(service, (False, float("-inf")))
         if now - checked_at >= CAPACITY_CACHE_TTL_S:
@@ -292,18 +294,19 @@
 
     def _withdraw(self, tickets: set[tuple[int, int]]) -> None:
         for limited in self._limited.values():
-            if limited.room is not None:
-                limited.room.withdraw(tickets)
+            if limited.limiter is not None:
+                limited.limiter.withdraw(tickets)
 
     def _is_due(self, name: str, limited: _LimitedReplica, now: float) -> bool:
-        rate, told = limited.record.rate, limited.published_rate
+        rate, published = limited.record.rate, limited.published_rate
         if name in self._due:
             return True
-        if rate is None or told is None:
-            return rate is not told
+        if rate is None or published is None:
+            return rate is not published
         elapsed_s = now - limited.published_at
         has_changed = (
-            abs(rate - told) > MIN_CHANGE_FRACTION * told and elapsed_s >= MIN_REPORT_INTERVAL_S
+            abs(rate - published) > MIN_CHANGE_FRACTION * published
+            and elapsed_s >= MIN_REPORT_INTERVAL_S
         )
         return has_changed or elapsed_s >= REPEAT_INTERVAL_S
 
@@ -311,13 +314,13 @@
         for name, limited in list(self._limited.items()):
             rep = self._state.replicas.get(name)
             is_over = (
-                limited.room is None and now - limited.record.fact.heard_at > ENDED_LIMIT_TTL_S
+                limited.limiter is None and now - limited.record.fact.heard_at > ENDED_LIMIT_TTL_S
             )
             if rep is None or rep.born != limited.born or is_over:
                 self.forget(name)
 
     def _log_usage(self, name: str, limited: _LimitedReplica, now: float) -> None:
-        room = limited.room
+        limiter = limited.limiter
         log.info(
             "limit used",
             replica=name,
@@ -326,7 +329,7 @@
             span_s=round(now - limited.logged_at, 2),
             granted=limited.granted.total(),
             refused=limited.refused,
-            waiting=room.waiting if room is not None else 0,
+            waiting=limiter.waiting if limiter is not None else 0,
             by=dict(limited.granted.most_common(MAX_LOGGED_GATEWAYS)),
         )
         limited.logged_at = now
@@ -335,7 +338,7 @@
 
 
 class _GatewayTickets(t.Container[t.Hashable]):
-    """The tickets of all questions of one gateway."""
+    """The set of all tickets of one gateway."""
 
     def __init__(self, number: int) -> None:
         self._number = number
--- a/packages/gateway/src/gradelug_gateway/limit_facts.py
+++ b/packages/gateway/src/gradelug_gateway/limit_facts.py
@@ -1,7 +1,7 @@
-"""Facts of replicas' limits between gateways and planners, and which planner they concern.
+"""Encoding of replicas' limits between gateways and planners, and which planner is responsible.
 
-The planner of a service speaks for its engines; the one that is the home of the quotas speaks for
-replicas of services without engines as well.
+The planner of a service grants capacity at its engines. The planner of the coordinating service
+does so at replicas of services without engines as well.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 
 def is_responsible_for(service: str, replica: str, state: FleetState) -> bool:
-    """Tell whether the planner of a service grants room at a replica."""
+    """Return whether the planner of a service grants capacity at a replica."""
     rep = state.replicas.get(replica)
     return rep is not None and planner_for(rep.service, state) == service
 
 
 def planner_for(service: str, state: FleetState) -> str:
-    """Return the service whose planner grants room at replicas of a service; empty for none."""
+    """Return the service whose planner grants capacity at replicas of `service`; may be empty."""
     return service if state.has_engines(service) else state.coordinating_service
 
 
 def encode_limit(replica: str, born: int, fact: LimitFact, now: float) -> pb.LimitFact:
-    """Return what is known of a limit as it is told at a moment."""
+    """Encode a limit; its times become ages at `now`."""
     return pb.LimitFact(
         replica=replica,
         born=born,
@@ -38,10 +38,10 @@
     )
 
 
-def decode_limit(told: pb.LimitFact, now: float) -> LimitFact:
-    """Return what was told of a limit, by the clock of who hears it at a moment."""
-    rate = told.rate if told.named else None
-    return LimitFact(rate, now - told.sent_age_ms / MS, now - told.heard_age_ms / MS)
+def decode_limit(message: pb.LimitFact, now: float) -> LimitFact:
+    """Decode a limit received at `now`, with its times by the local clock."""
+    rate = message.rate if message.named else None
+    return LimitFact(rate, now - message.sent_age_ms / MS, now - message.heard_age_ms / MS)
 
 
 def _age_ms(now: float, at: float) -> int:
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -1,4 +1,4 @@
-"""A gateway's end of what is told and asked of replicas with a limit."""
+"""The gateway's side of replica limits: reports them to a planner and asks it for capacity."""
 
 from __future__ import annotations
 
@@ -14,44 +14,47 @@
 from .model import FleetState
 
 ANSWER_TIMEOUT_S = 0.25
-"""An answer takes a round trip of milliseconds; a planner that rests after a decision takes some
-tens. Later than this it may be lost."""
+"""Response timeout of a planner, in seconds. A response takes a round trip of milliseconds, or some
+tens if the planner pauses after a decision; beyond the timeout the planner may be lost."""
 MAX_URGENT_ASKS_PER_S = 800.0
-"""Questions of all gateways that go out at once, a second: each is a message for the planner. More
-of them wait for the next message of their gateway, as where all replicas of a large fleet name a
-limit."""
+"""Maximum rate of capacity requests that all gateways together flush at once, since each is a
+message for the planner. Those beyond it wait for the next message of their gateway, for example
+where all replicas of a large fleet have a limit."""
 MAX_ABANDONED_ASKS = 256
-"""An answer that crosses its question's end comes within a round trip."""
+"""Maximum number of cancelled requests that are remembered, because a planner's answer may cross
+the cancellation; it arrives within a round trip."""
 
 
 class ReportLink(t.Protocol):
-    """The stream to a planner, as far as a part of it needs."""
+    """The stream to a planner, as its extensions use it."""
 
     @property
     def flush_s(self) -> float:
-        """How long what is told is gathered, in seconds."""
+        """Longest time that reports are batched, in seconds."""
         ...
 
     def hurry(self) -> None:
-        """Have what is to be told go out at once."""
+        """Send pending reports at once."""
         ...
 
     def tell_soon(self) -> None:
-        """Have it go out with the next message."""
+        """Send pending reports with the next message."""
         ...
 
 
 class LimitTeller:
-    """A gateway's end on the link to one planner; implements `parts.GatewayPart`, `RoomDesk`.
+    """Reports limits to one planner and asks it for capacity.
+
+    Implements `parts.GatewayPart` and `CapacityClient`.
 
     Parameters
     ----------
     service : str
-        Whose planner.
+        The service of the planner.
     limits : ReplicaLimits
-        What this gateway knows.
+        The limits known to this gateway.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     clock : callable
         The runtime's clock.
     link : callable
@@ -87,11 +90,11 @@
         self._clock = clock
         self._link = link
         self._urgent_turns: tuple[int, OwnTurns] | None = None
-        """When questions may go out at once, and for how many instances that was reckoned."""
+        """Number of instances, and the times at which requests may be flushed at once among so many."""
         self._tickets = itertools.count(1)
         self._futures: dict[int, asyncio.Future[pb.RoomAnswer]] = {}
         self._abandoned: dict[int, str] = {}
-        """Replicas of questions that nobody waits for; they may have been answered meanwhile."""
+        """Replicas of cancelled requests, by ticket; the planner may have granted them meanwhile."""
         self._unsent: list[pb.RoomAsk] = []
         self._cancelled: list[int] = []
         self._unreported: set[str] = set()
@@ -102,10 +105,10 @@
 
         Raises
         ------
-        NoGrants
-            If the planner grants nothing now.
+        GrantsUnavailable
+            If the planner grants no capacity at present.
         TimeoutError
-            If it does not answer, or is lost.
+            If the planner does not answer or is lost.
         """
         now = self._clock()
         ticket = next(self._tickets)
@@ -134,10 +137,10 @@
         return Denial(answer.retry_after_ms / MS, answer.elsewhere)
 
     def begin_stream(self) -> None:
-        """Ask another planner, and tell it of all limits: it knows of none."""
+        """Fail pending requests and report all limits, because a new planner knows none."""
         for fut in self._futures.values():
             if not fut.done():
-                fut.set_exception(TimeoutError("the planner is lost"))
+                fut.set_exception(TimeoutError("stream to the planner was replaced"))
         self._futures.clear()
         self._abandoned.clear()
         self._unsent.clear()
@@ -145,7 +148,7 @@
         self._unreported.update(self._limits.named())
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Put what was heard and what is asked into a message."""
+        """Add changed limits, capacity requests and cancellations to a message."""
         now = self._clock()
         for name in self._unreported:
             fact, rep = self._limits.fact(name), self._state.replicas.get(name)
@@ -162,18 +165,18 @@
         self._cancelled.clear()
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take over limits that others heard of, and hand answers to those who wait."""
-        for told in message.limits:
-            rep = self._state.replicas.get(told.replica)
-            if rep is not None and rep.born == told.born:
-                self._limits.take(told.replica, decode_limit(told, self._clock()), "planner")
+        """Apply limits from other gateways, and pass answers to waiting requests."""
+        for report in message.limits:
+            rep = self._state.replicas.get(report.replica)
+            if rep is not None and rep.born == report.born:
+                self._limits.take(report.replica, decode_limit(report, self._clock()), "planner")
         for answer in message.room_answers:
             replica = self._abandoned.pop(answer.ticket, "")
             fut = self._futures.pop(answer.ticket, None)
             if fut is not None and not fut.done():
                 fut.set_result(answer)
             elif answer.granted and replica:
-                # Its request has left; another one may use the room.
+                # The request was cancelled; another one may use the capacity.
                 self._limits.add_permit(replica)
 
     def _report_limit(self, replica: str) -> None:
@@ -184,7 +187,7 @@
                 link.hurry()
 
     def _schedule_send(self, now: float) -> float:
-        """Have questions go out; return how long they are gathered at the most, in seconds."""
+        """Schedule pending requests; return how long they may be batched, in seconds."""
         link, instance_count = self._link(), self._limits.instance_count
         if link is None:
             return 0.0
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -1,7 +1,8 @@
-"""Limits that replicas name in their answers, and leave to send to such a replica.
+"""Rate limits that replicas report in responses, and admission of requests to such replicas.
 
-What a replica takes is for all instances together: the planner of its service grants room for each
-sending (`limit_desk`), or the planner that is the home of the quotas for services without engines.
+A limit covers the requests of all instances together. Before each attempt at a limited replica an
+instance asks the planner of its service for capacity (`limit_desk`); for services without engines
+that is the planner of the coordinating service, which also holds the quotas.
 """
 
 from __future__ import annotations
@@ -20,33 +21,35 @@
 
 log = logbook.Logger("limits")
 SEND_COUNT_WINDOW_S = 4.0
-"""Span over which sendings to a replica with a limit are counted, in seconds."""
+"""Window over which requests to a replica with a limit are counted, in seconds."""
 MAX_LOGGED_CHARS = 40
-"""So much of a limit that is no number is logged, in characters."""
+"""Maximum length of an invalid limit in the log, in characters."""
 PERMIT_TTL_S = 0.5
-"""Room that was granted with an answer is used within milliseconds; later it is another second's,
-and would come beside what is granted then."""
+"""Lifetime of an unused permit, in seconds. A later use would add to the capacity that the planner
+grants by then, and exceed the limit."""
 POLL_INTERVAL_S = 0.05
-"""How often a request that waits for a planner looks whether there is one."""
+"""How often a waiting request checks whether a planner is available, in seconds."""
 MAX_DELAY_S = 2.0
-"""A replica that takes next to nothing is taken for one with so long a wait."""
+"""Upper bound of the expected wait at a replica with a very low limit, in seconds."""
 MAX_RETRY_S = 5.0
-"""A planner that is lost is replaced within this."""
+"""Upper bound of the retry delay without a planner, in seconds; a lost planner is replaced within
+this time."""
 
 
 class Demand(t.NamedTuple):
-    """How much a request needs room, as a planner is told.
+    """Urgency of a request for capacity, as sent to a planner.
 
     Parameters
     ----------
     until : float
-        How long it waits for room, by the runtime's clock; not at all if it can go elsewhere.
+        Deadline for waiting for capacity, by the runtime's clock; in the past or now if the request
+        does not wait because another replica can take it.
     rank : int
         Urgency, 0 first.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent one.
+        Value of a response in time, 1 for an ordinary urgent request.
     begun : bool
-        Whether its caller has had a part of the answer.
+        Whether the caller has received a part of the response.
     """
 
     until: float = 0.0
@@ -56,14 +59,14 @@
 
 
 class Denial(t.NamedTuple):
-    """A request may not be sent to a replica.
+    """Rejection of a request for capacity at a replica.
 
     Parameters
     ----------
     retry_s : float
-        When there will be room for it, in seconds.
+        Expected time until capacity is available, in seconds.
     elsewhere : bool
-        Whether another replica of the service has room.
+        Whether another replica of the service has capacity.
     """
 
     retry_s: float
@@ -71,7 +74,7 @@
 
 
 class CapacityClient(t.Protocol):
-    """The way to the planner that grants room at a replica."""
+    """Asks the responsible planner for capacity at a replica."""
 
     async def ask(self, replica: str, demand: Demand) -> Denial | None:
         """Return None if a request may be sent; raises `NoGrants` or `TimeoutError`."""
@@ -79,20 +82,20 @@
 
 
 class GrantsUnavailable(Exception):
-    """The planner that was asked grants nothing now."""
+    """The planner that was asked grants no capacity at present."""
 
 
 class ReplicaLimits:
-    """What replicas said of their limits, and whether this instance may send to them.
+    """Limits reported by replicas, and whether this instance may send requests to them.
 
     Parameters
     ----------
     clock : callable
         The runtime's clock.
     rng : Random or None
-        Draws at which moments this instance has turns of its own.
+        Draws the times at which this instance may send on its local share, and retry jitter.
     is_on : bool
-        Whether limits are kept to; otherwise they are only logged.
+        Whether limits are enforced; otherwise they are only logged.
     """
 
     __slots__ = (
@@ -121,32 +124,33 @@
         self._rng = rng or random.Random(0)
         self._is_on = is_on
         self.find_desk: t.Callable[[str], CapacityClient | None] = lambda service: None
-        """Returns who grants room at replicas of a service, None while nobody does."""
+        """Returns the client of the planner that grants capacity at replicas of a service, None while
+        there is no such planner."""
         self._listeners: list[t.Callable[[str], None]] = []
         self._records: dict[str, LimitRecord] = {}
         self._permits: dict[str, list[float]] = {}
-        """Until when room holds that was granted beforehand, by replica."""
+        """Expiry times of unused permits, by replica."""
         self._offer_turns: dict[str, OwnTurns] = {}
-        """When this instance offers requests to a replica that could go elsewhere."""
+        """Times at which this instance offers a replica requests that other replicas could take."""
         self._fallback_turns: dict[str, OwnTurns] = {}
-        """When it may send to a replica without having asked."""
+        """Times at which it may send to a replica while no planner grants capacity."""
         self.instance_count = DEFAULT_GATEWAY_COUNT
-        """How many instances send to replicas."""
+        """Number of instances that send requests to replicas."""
         self._recent_sends: deque[tuple[float, str]] = deque()
-        """Sendings of this instance to replicas with a limit."""
+        """Time and replica of each request that this instance sent to a replica with a limit."""
         self._logged_unreadable: set[str] = set()
-        """Replicas of which it was logged that their limit cannot be read."""
+        """Replicas whose invalid limit has been logged."""
         self.denied = 0
-        """Sendings since the start that were not made for want of room."""
+        """Attempts since the start that were rejected for lack of capacity."""
 
-    # What is known.
+    # Known limits.
 
     def subscribe(self, listener: t.Callable[[str], None]) -> None:
-        """Call `listener` with a replica's name when an answer here tells another limit of it."""
+        """Call `listener` with a replica's name when a response received here changes its limit."""
         self._listeners.append(listener)
 
     def hear(self, replica: str, word: LimitWord, sent_at: float) -> None:
-        """Take over what an answer to a request sent at a moment says."""
+        """Apply the limit in a response to a request that was sent at `sent_at`."""
         if word.unreadable:
             self._log_unreadable_limit(replica, word)
             return
@@ -157,7 +161,7 @@
                 listener(replica)
 
     def take(self, replica: str, fact: LimitFact, source: str) -> bool:
-        """Take over what is known of a limit; tell whether it is another one now."""
+        """Apply a report of a limit; return whether the limit has changed."""
         record = self._records.setdefault(replica, LimitRecord())
         before, since = record.rate, record.since
         if not record.note(fact):
@@ -167,76 +171,78 @@
         if record.rate is None:
             self._permits.pop(replica, None)
             after_s = round(self._clock() - since, 2)
-            log.info("limit ended", replica=replica, after_s=after_s, source=source)
+            log.info("limit removed", replica=replica, after_s=after_s, source=source)
         else:
-            log.info("limit named", replica=replica, rate=record.rate, before=before, source=source)
+            log.info(
+                "limit changed", replica=replica, rate=record.rate, before=before, source=source
+            )
         return True
 
     def fact(self, replica: str) -> LimitFact | None:
-        """Return the newest that is known of a replica's limit, None if nothing is."""
+        """Return the newest report of a replica's limit, None if there is none."""
         record = self._records.get(replica)
         return record.fact if record is not None else None
 
     def rate(self, replica: str) -> float | None:
-        """Return how many requests a second a replica takes, None if it names no limit."""
+        """Return a replica's limit in requests a second, None if it reports none."""
         record = self._records.get(replica)
         return record.rate if record is not None else None
 
     def named(self) -> list[str]:
-        """Return the replicas that name a limit."""
+        """Return the names of the replicas that have a limit."""
         return [name for name, record in self._records.items() if record.rate is not None]
 
     def share_among(self, instances: int) -> None:
-        """Take it that so many instances send to replicas."""
+        """Set the number of instances that send requests to replicas."""
         if instances != self.instance_count:
             self.instance_count = max(1, instances)
             self._offer_turns.clear()
             self._fallback_turns.clear()
 
     def forget_gone(self, known: t.Container[str]) -> None:
-        """Drop the limits of replicas that are gone."""
+        """Remove the limits of replicas that are not in `known`."""
         for name in [name for name in self._records if name not in known]:
             self.forget(name)
         self._logged_unreadable = {name for name in self._logged_unreadable if name in known}
 
     def forget(self, replica: str) -> None:
-        """Drop the limit of a replica that has begun another life."""
+        """Remove the limit of a replica, for example when a new incarnation starts."""
         for kept in (self._records, self._permits, self._offer_turns, self._fallback_turns):
             kept.pop(replica, None)
 
-    # Choosing.
+    # Choice of a replica.
 
     def is_open(self, replica: str) -> bool:
-        """Tell whether a request that could go elsewhere may be offered to a replica now.
+        """Return whether to offer a replica a request that other replicas could take.
 
-        A limited one is offered its part of the requests, and not all: each that it has no room for
-        costs its caller a question.
+        A limited replica is offered only its share of the requests, because each request beyond
+        its capacity costs a round trip to the planner.
         """
         turns = self._offer_turns_at(replica)
         return turns is None or turns.is_due(self._clock())
 
     def delay_s(self, replica: str) -> float:
-        """Return about how long a request would wait for room at a replica, in seconds."""
+        """Return the approximate wait for capacity at a replica, in seconds."""
         rate = self.rate(replica)
         if rate is None or not self._is_on or self.is_open(replica):
             return 0.0
         return min(MAX_DELAY_S, 1 / max(rate, 1 / MAX_DELAY_S))
 
-    # Leave to send.
+    # Admission.
 
     def add_permit(self, replica: str) -> None:
-        """Take over room that a planner has granted beforehand."""
+        """Add a permit that a planner granted to a request that was cancelled."""
         self._permits.setdefault(replica, []).append(self._clock() + PERMIT_TTL_S)
 
     async def admit(self, replica: Replica, demand: Demand) -> Denial | None:
-        """Wait for leave to send a request to a replica; return None if it may be sent.
+        """Wait for capacity at a replica; return None once a request may be sent.
 
         Parameters
         ----------
         replica : Replica
-            Where it is to go.
+            The replica that the request is to be sent to.
         demand : Demand
-            How much it needs room, and how long it waits for it.
+            The request's urgency, and how long it waits.
         """
         name = replica.name
         if self.rate(name) is None or not self._is_on:
@@ -250,17 +256,17 @@
             return None
         self.denied += 1
         if turns is not None and has_turn:
-            # Those that were denied together come back one after the other.
+            # Spreads the retries of requests that were rejected together.
             turns.give_back(self._clock() + denial.retry_s * (1 + self._rng.random()))
         return denial
 
     def note_sent(self, replica: str) -> None:
-        """Count a sending to a replica, if it has a limit."""
+        """Count a request sent to a replica, if the replica has a limit."""
         if self.rate(replica) is not None:
             self._recent_sends.append((self._clock(), replica))
 
     def sent(self) -> Counter[str]:
-        """Return how many requests were sent to each replica with a limit lately."""
+        """Return the requests sent to each replica with a limit within the counting window."""
         while (
             self._recent_sends and self._recent_sends[0][0] <= self._clock() - SEND_COUNT_WINDOW_S
         ):
@@ -274,7 +280,7 @@
                 if desk is not None:
                     return await desk.ask(replica.name, demand)
             except (GrantsUnavailable, TimeoutError):
-                log.info("no room is granted", replica=replica.name)
+                log.info("planner granted no capacity", replica=replica.name)
             rate = self.rate(replica.name)
             if rate is None or self._fallback_turns_at(replica.name, rate).take(self._clock()):
                 return None
