--- a/packages/gateway/src/gradelug_gateway/authentication.py
+++ b/packages/gateway/src/gradelug_gateway/authentication.py
@@ -1,4 +1,4 @@
-"""Who sent a request: the organisation whose key it carries."""
+"""Authentication of requests by API keys in their ``Authorization`` headers."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from .organisations import Organisations, Principal, digest
 
 _bearer_re = re.compile(rb"bearer +([A-Za-z0-9._~+/-]+=*)", re.IGNORECASE)
-"""The header as RFC 6750 writes it; the name of the scheme has no case (RFC 9110)."""
+"""Bearer credentials (RFC 6750); the scheme is case-insensitive (RFC 9110)."""
 MAX_HEADER_BYTES = 4_096
-"""Longer headers are not looked into: keys have some tens of bytes."""
+"""Longer headers are rejected without parsing; keys have some tens of bytes."""
 
 
 def authenticate(credentials: t.Sequence[bytes], organisations: Organisations) -> Principal:
-    """Return who sent a request.
+    """Return the sender of a request.
 
     Parameters
     ----------
     credentials : sequence of bytes
         Values of its ``Authorization`` headers.
     organisations : Organisations
-        Of the configuration in force.
+        The organisations of the current configuration.
 
     Raises
     ------
     Unauthenticated
-        If there is not exactly one, it cannot be read, or nobody has the key.
+        If there is not exactly one header, it is malformed, or no organisation owns the key.
     """
     if not credentials:
         raise Unauthenticated("no key was sent")
@@ -45,7 +45,7 @@
 
 
 def renew(principal: Principal, organisations: Organisations) -> Principal:
-    """Return who has a key in a later configuration; raises `Unauthenticated` if nobody has it."""
+    """Look up a principal's key in a later configuration; raises `Unauthenticated` if absent."""
     owner = organisations.owner(principal.digest)
     if owner is None:
         raise Unauthenticated("the key was taken away")
--- a/packages/gateway/src/gradelug_gateway/departures.py
+++ b/packages/gateway/src/gradelug_gateway/departures.py
@@ -1,4 +1,4 @@
-"""Reports of leaving replicas between gateways and planners."""
+"""Exchange of reports of leaving replicas between gateways and planners."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     Parameters
     ----------
     service : str
-        Whose planner.
+        The service of the planner.
     feed : Feed
-        Knows which replicas leave.
+        Holds the replicas and which of them are leaving.
     link : callable
         Returns the link, None before there is one.
     """
@@ -35,7 +35,7 @@
         feed.subscribe_leaving(self._report_leaving)
 
     def begin_stream(self) -> None:
-        """Report all leaving replicas to another planner."""
+        """Schedule a report of all leaving replicas, because a new planner has none."""
         self._unreported.update(
             rep.name for rep in self._feed.state.replicas.values() if rep.leaving
         )
@@ -47,8 +47,8 @@
 
     def take(self, message: pb.FromPlanner) -> None:
         """Apply reports of other gateways."""
-        for told in message.leaving:
-            self._feed.mark_leaving(told.replica, told.born, "planner")
+        for report in message.leaving:
+            self._feed.mark_leaving(report.replica, report.born, "planner")
 
     def _report_leaving(self, replica: str) -> None:
         if not is_responsible_for(self._service, replica, self._feed.state):
@@ -65,9 +65,9 @@
     Parameters
     ----------
     service : str
-        The planner's.
+        The planner's service.
     feed : Feed
-        Knows which replicas leave.
+        Holds the replicas and which of them are leaving.
     """
 
     __slots__ = ("_due", "_feed", "_joined", "_service")
@@ -76,7 +76,7 @@
         self._service = service
         self._feed = feed
         self._joined: set[int] = set()
-        """Numbers of the gateways that joined before."""
+        """Numbers of the gateways for which all reports have been scheduled."""
         self._due: set[str] = set()
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
@@ -85,12 +85,12 @@
             self._joined.add(follower.number)
             replicas = self._feed.state.replicas.values()
             self._due.update(rep.name for rep in replicas if rep.leaving)
-        for told in message.leaving:
-            if self._feed.mark_leaving(told.replica, told.born, "gateway"):
-                self._due.add(told.replica)
+        for report in message.leaving:
+            if self._feed.mark_leaving(report.replica, report.born, "gateway"):
+                self._due.add(report.replica)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Forget a gateway."""
+        """Remove a gateway that has disconnected."""
         self._joined.discard(follower.number)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
@@ -99,11 +99,11 @@
         self._due.clear()
 
     def forget(self, replica: str) -> None:
-        """Nothing is kept of a replica here."""
+        """Do nothing: the state of replicas is kept by the feed."""
 
 
 def _encode_reports(feed: Feed, service: str, names: t.Iterable[str]) -> t.Iterator[pb.LeavingFact]:
-    """Yield reports of those leaving replicas that a service's planner is notified of."""
+    """Yield reports of the leaving replicas that a service's planner is responsible for."""
     for name in names:
         rep = feed.state.replicas.get(name)
         if rep is not None and rep.leaving and is_responsible_for(service, name, feed.state):
--- a/packages/gateway/src/gradelug_gateway/fingerprints.py
+++ b/packages/gateway/src/gradelug_gateway/fingerprints.py
@@ -1,4 +1,4 @@
-"""What all sendings of one request have in common, whoever sends it again and where."""
+"""Fingerprints of requests, equal for all attempts of one request at any instance."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from .requests import Request
 
 FINGERPRINT_BYTES = 16
-"""Bytes of a fingerprint: two different requests never share one."""
+"""Size of a fingerprint; collisions between different requests are negligible at this size."""
 LOGGED_HEX_DIGITS = 12
-"""Digits of it that logs show."""
+"""Number of hexadecimal digits of a fingerprint in logs."""
 
 
 def fingerprint(req: Request, owner: str = "") -> bytes:
-    """Return a digest of whose request it is, of where it goes and of what it says.
+    """Return a digest of a request's sender, destination and content.
 
-    Another attempt of its caller has an identifier, a deadline and a last event of its own, and
-    comes to any instance: none of them counts, so that every instance finds the same digest.
+    Each attempt of a caller has its own identifier, deadline and last event, and may be received by
+    any instance. The digest covers none of these, so that all instances compute the same one.
 
     Parameters
     ----------
     req : Request
         The request.
     owner : str
-        The organisation that sent it, whose keys may change; if empty, what the caller proves
-        itself with tells whose it is.
+        Name of the organisation that sent it, whose keys may change. If empty, the credentials in
+        the request identify the sender.
     """
     weights = req.key.text if req.key is not None else ""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     sender = (owner.encode(),) if owner else req.credentials
     head = (req.method, req.host.encode(), req.target, weights.encode(), *sender)
     for part in (*head, req.body):
-        # With its length before it no part can be taken for the end of another.
+        # The length prefix makes the concatenation of the parts unambiguous.
         digest.update(b"%d:" % len(part))
         digest.update(part)
     return digest.digest()
 
 
 def shown(mark: bytes) -> str:
-    """Return a fingerprint as logs show it."""
+    """Return the prefix of a fingerprint that is written to logs."""
     return mark.hex()[:LOGGED_HEX_DIGITS]
--- a/packages/gateway/src/gradelug_gateway/idle_connections.py
+++ b/packages/gateway/src/gradelug_gateway/idle_connections.py
@@ -1,4 +1,4 @@
-"""This instance's share of the connections that each replica takes."""
+"""Limits of idle connections per replica, as this instance's share of the replica's maximum."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class IdleConnections:
-    """Tells how many idle connections to an address are kept here.
+    """Computes how many idle connections to an address this instance may keep open.
 
     Parameters
     ----------
     instance : str
-        This instance.
+        Name of this instance.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     instances : callable
-        Returns how many instances a planner told of last, 0 before the first.
+        Returns the number of instances last reported by a planner, 0 before the first report.
     """
 
     __slots__ = ("_instance", "_instances", "_max_conns", "_max_conns_key", "_state")
@@ -34,12 +34,12 @@
         self._state = state
         self._instances = instances
         self._max_conns: dict[str, int] = {}
-        """Connections that the replica at each address takes."""
+        """Maximum connections of the replica at each address."""
         self._max_conns_key = (-1, -1)
-        """The state's change and configuration for which that was looked up."""
+        """Change counter and configuration version that `_max_conns` was built from."""
 
     def __call__(self, address: str) -> int:
-        """Return how many are kept to an address."""
+        """Return the maximum number of idle connections to an address."""
         max_conns = self._max_conns_by_address().get(address)
         if max_conns is None:
             return MOST_IDLE
--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -139,7 +139,7 @@
         self._due.clear()
 
     def forget(self, replica: str) -> None:
-        """Remove a replica that is gone or has a new incarnation, and release its waiting requests."""
+        """Remove a replica that is gone or has a new incarnation; release its waiting requests."""
         limited = self._limited.pop(replica, None)
         if limited is not None and limited.limiter is not None:
             self._send_decisions(limited, limited.limiter.release())
--- a/packages/gateway/src/gradelug_gateway/limit_facts.py
+++ b/packages/gateway/src/gradelug_gateway/limit_facts.py
@@ -22,7 +22,7 @@
 
 
 def planner_for(service: str, state: FleetState) -> str:
-    """Return the service whose planner grants capacity at replicas of `service`; may be empty."""
+    """Return the service whose planner grants capacity at a service's replicas; empty for none."""
     return service if state.has_engines(service) else state.coordinating_service
 
 
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -90,11 +90,11 @@
         self._clock = clock
         self._link = link
         self._urgent_turns: tuple[int, OwnTurns] | None = None
-        """Number of instances, and the times at which requests may be flushed at once among so many."""
+        """Number of instances, and the times at which this one may flush requests at once."""
         self._tickets = itertools.count(1)
         self._futures: dict[int, asyncio.Future[pb.RoomAnswer]] = {}
         self._abandoned: dict[int, str] = {}
-        """Replicas of cancelled requests, by ticket; the planner may have granted them meanwhile."""
+        """Replicas of cancelled requests, by ticket; the planner may have granted these."""
         self._unsent: list[pb.RoomAsk] = []
         self._cancelled: list[int] = []
         self._unreported: set[str] = set()
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -124,8 +124,8 @@
         self._rng = rng or random.Random(0)
         self._is_on = is_on
         self.find_desk: t.Callable[[str], CapacityClient | None] = lambda service: None
-        """Returns the client of the planner that grants capacity at replicas of a service, None while
-        there is no such planner."""
+        """Returns the client of the planner that grants capacity at replicas of a service, None
+        while there is no such planner."""
         self._listeners: list[t.Callable[[str], None]] = []
         self._records: dict[str, LimitRecord] = {}
         self._permits: dict[str, list[float]] = {}
@@ -320,5 +320,7 @@
         if replica not in self._logged_unreadable:
             self._logged_unreadable.add(replica)
             log.warning(
-                "limit cannot be read", replica=replica, value=word.unreadable[:MAX_LOGGED_CHARS]
+                "invalid limit in a response",
+                replica=replica,
+                value=word.unreadable[:MAX_LOGGED_CHARS],
             )
--- a/packages/gateway/src/gradelug_gateway/organisations.py
+++ b/packages/gateway/src/gradelug_gateway/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations, their keys and their quotas, as a configuration names them."""
+"""Organisations with their API keys and quotas, as read from a configuration."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from dataclasses import dataclass
 
 _DIGEST_KEY = secrets.token_bytes(32)
-"""Keys are found by a hash that only this process can compute: how long a look-up takes tells
-nothing of the keys, and neither does a digest that gets into a log."""
+"""Secret of the keyed hash by which API keys are looked up. Only this process can compute the hash,
+so that neither the time of a look-up nor a logged digest reveals anything about a key."""
 DIGEST_BYTES = 16
 
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """What an organisation may use, of all instances together.
+    """Rate limit of an organisation, for all instances together.
 
     Parameters
     ----------
     rate : float
         Tokens a second; requests a second where `counts_tokens` is False.
     burst : float
-        As much again at once.
+        Size of a burst, in tokens or requests.
     counts_tokens : bool
         Whether requests count by their tokens, or each as one.
     plain_tokens : float
-        What a request counts that states no tokens.
+        Tokens counted for a request that states none.
     """
 
     rate: float
@@ -35,7 +35,7 @@
     plain_tokens: float = 1.0
 
     def charge(self, prompt_tokens: int, max_answer_tokens: int) -> float:
-        """Return what a request counts, 0 tokens meaning that it states none."""
+        """Return the amount to charge for a request; 0 tokens mean that it states none."""
         if not self.counts_tokens:
             return 1.0
         return float(prompt_tokens + max_answer_tokens) or self.plain_tokens
@@ -43,16 +43,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Organisation:
-    """One of those whose requests are served.
+    """An organisation whose requests are served.
 
     Parameters
     ----------
     name : str
-        Told to replicas.
+        Its name, also sent to replicas.
     rank : int or None
-        Urgency of its requests, 0 first; None for that of their routes.
+        Urgency of its requests, 0 first; None to use the urgency of their routes.
     quota : Quota or None
-        None without a limit.
+        Its rate limit, None if it has none.
     """
 
     name: str
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Principal:
-    """Who sent a request, by the key that it carried.
+    """The authenticated sender of a request.
 
     Parameters
     ----------
     organisation : Organisation
-        Whose key it is.
+        The organisation that owns the key.
     digest : bytes
-        Of the key.
+        Digest of the key, by which it can be checked again.
     """
 
     organisation: Organisation
@@ -77,11 +77,11 @@
 
 
 class DuplicateKey(ValueError):
-    """One key is given to two organisations; the message names them, not the key."""
+    """Two organisations have the same key; the message contains their names, not the key."""
 
 
 class Organisations:
-    """The organisations of one configuration by the digests of their keys; never changed.
+    """The organisations of one configuration, by name and by key digest; immutable.
 
     Parameters
     ----------
@@ -110,11 +110,11 @@
         return bool(self._by_name)
 
     def named(self, name: str) -> Organisation | None:
-        """Return the organisation of a name."""
+        """Return the organisation with a name, None if there is none."""
         return self._by_name.get(name)
 
     def token_rates(self) -> dict[str, float]:
-        """Return the rates of quotas that count tokens, in tokens a second, by organisation."""
+        """Return the rates of token quotas, in tokens a second, by organisation."""
         return {
             name: member.quota.rate
             for name, member in self._by_name.items()
@@ -122,10 +122,10 @@
         }
 
     def owner(self, key_digest: bytes) -> Organisation | None:
-        """Return the organisation that has the key of a digest."""
+        """Return the organisation that owns the key with a digest, None if there is none."""
         return self._by_digest.get(key_digest)
 
 
 def digest(key: bytes) -> bytes:
-    """Return a digest of a key that is good within this process."""
+    """Return the keyed digest of an API key; it is valid within this process only."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=_DIGEST_KEY).digest()
--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -1,4 +1,4 @@
-"""Keeps requests from replicas that end those which run them (`gradelug_policy.poison`)."""
+"""Blocks requests that crash the replicas running them (`gradelug_policy.poison`)."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 log = logbook.Logger("poison")
 MAX_SERVED = 2048
-"""Fingerprints kept of requests that were answered whole: those of 75 s at 27 requests a second."""
+"""Maximum number of fingerprints of completed requests: those of 75 s at 27 requests a second."""
 MAX_OBSERVATIONS = 1024
-"""Requests kept that were at replicas when they ended: of ten crowded engines."""
+"""Maximum number of end observations: those of ten fully loaded engines."""
 MAX_CLEARED = 256
 BLOCKED_RETRY_S = 60.0
-"""No instance sends it within this time: it had better not come back."""
+"""Retry delay for a blocked request, in seconds; no instance sends the request within it."""
 SUSPECT_RETRY_S = 1.0
-"""A planner that is lost is replaced within seconds."""
+"""Retry delay for a suspect while the planner is lost, in seconds; a successor follows in seconds."""
 
 
 class BlockAuthority(Enum):
-    """Who decides now which requests are blocked."""
+    """Which party decides at present whether a request is blocked."""
 
     PLANNER = "planner"
-    """The planner that keeps the ledger of all gateways is followed."""
+    """The planner that keeps the ledger of all gateways; this gateway is connected to it."""
     UNKNOWN = "nobody"
-    """It was lost a moment ago: its successor will know more than this gateway."""
+    """Undecided: the planner was lost recently; its successor will know more than this gateway."""
     SELF = "self"
-    """There is none, or has been none for long."""
+    """This gateway: there is no planner, or has been none for long."""
 
 
 class EndObservation(t.NamedTuple):
-    """A request that was at a replica when it ended.
+    """A request that was at a replica when the replica ended.
 
     Parameters
     ----------
     number : int
-        Grows from sighting to sighting.
+        Sequence number, increasing.
     end : str
-        The replica and its start.
-    mark : bytes
+        The incarnation of the replica: its name and start.
+    fingerprint : bytes
         The request's fingerprint.
     weight : float
-        How much that says.
+        Weight of the evidence that the request caused the end.
     at : float
-        When, by the runtime's clock.
+        Time of the observation, by the runtime's clock.
     """
 
     number: int
@@ -60,7 +60,7 @@
 
 
 class PoisonFindings(t.NamedTuple):
-    """What somebody found: requests that are blocked, and those that one more end may block."""
+    """Fingerprints of blocked requests, and of suspects that one more end may block."""
 
     blocked: frozenset[bytes]
     suspects: frozenset[bytes]
@@ -70,16 +70,16 @@
 
 
 class PoisonGuard:
-    """Decides at one gateway whether a request may be sent, by what all gateways found.
+    """Decides at one gateway whether to send a request, by the observations of all gateways.
 
     Parameters
     ----------
     clock : callable
         The runtime's clock.
-    judge : callable
-        Returns who decides now.
+    authority : callable
+        Returns the `BlockAuthority` at present.
     hurry : callable
-        Has what is to be told go out at once.
+        Sends pending observations at once.
     """
 
     __slots__ = (
@@ -106,28 +106,28 @@
         self._authority = authority
         self._hurry = hurry
         self._ledger = EndLedger()
-        """Of what this gateway saw alone."""
+        """Ledger of this gateway's own observations."""
         self._number = 0
         self._served: dict[bytes, None] = {}
         self.observations: deque[EndObservation] = deque(maxlen=MAX_OBSERVATIONS)
-        """What this gateway saw, for planners; a new one is told all of it."""
+        """This gateway's observations, to be reported to each planner."""
         self.cleared: deque[tuple[int, bytes]] = deque(maxlen=MAX_CLEARED)
-        """Suspects that were answered whole, with their numbers among the sightings."""
+        """Suspects that completed, with their sequence numbers among the observations."""
         self.planner_findings = NO_FINDINGS
-        """What the planner found."""
+        """Findings received from the planner."""
         self.stored_findings = NO_FINDINGS
-        """What stands in the platform's store."""
+        """Findings read from the platform's store."""
         self.refused = 0
-        """Requests that were not sent."""
+        """Number of requests that were blocked before being sent."""
 
     @property
     def blocked(self) -> int:
-        """Number of requests that are blocked here."""
+        """Number of fingerprints that are blocked here."""
         return len(self.planner_findings.blocked | self.stored_findings.blocked)
 
     @property
     def suspects(self) -> int:
-        """Number of requests that one more end may block."""
+        """Number of fingerprints that one more end may block."""
         return len(self.planner_findings.suspects | self.stored_findings.suspects)
 
     def check(self, fingerprint: bytes) -> None:
@@ -145,29 +145,31 @@
             self.refused += 1
             raise Blocked("it ended the replicas that ran it here", BLOCKED_RETRY_S)
         if authority is BlockAuthority.UNKNOWN and self._is_suspect(fingerprint):
-            # One more end of another gateway may have been its third.
+            # Another gateway may have observed its third end.
             raise Refused(
                 "replicas ended that ran it, and no planner tells of more", SUSPECT_RETRY_S
             )
 
     def note_end(self, end: str, weights: t.Mapping[bytes, float]) -> None:
-        """Note which requests were at a replica when it ended."""
+        """Record the requests that were at a replica when it ended, with their weights."""
         now = self._clock()
         for fingerprint, weight in weights.items():
             if fingerprint in self._served:
-                # What ends each replica that begins it cannot have been answered.
+                # A request that crashes every replica running it cannot have completed.
                 continue
             self._number += 1
             self.observations.append(EndObservation(self._number, end, fingerprint, weight, now))
             self._ledger.note_end(end, fingerprint, weight, now)
         for found in self._ledger.judge(now):
-            log.info("would be blocked here", fingerprint=shown(found.mark), ends=found.ends)
+            log.info(
+                "local ledger would block request", fingerprint=shown(found.mark), ends=found.ends
+            )
         while self.observations and now - self.observations[0].at > REMEMBERED_S:
             self.observations.popleft()
         self._hurry()
 
     def note_served(self, fingerprint: bytes) -> None:
-        """Note that a request was answered whole."""
+        """Record that a request completed; clears it if it was a suspect."""
         self._served.pop(fingerprint, None)
         self._served[fingerprint] = None
         if len(self._served) > MAX_SERVED:
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -1,4 +1,4 @@
-"""The parts of one instance that keep requests from ending replicas, put together."""
+"""Assembles the components of one instance that block requests which crash replicas."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class PoisonControl:
-    """Puts the guard, the watch over replicas and the platform's entry together.
+    """Connects the guard, the detector of replica ends and the record in the store.
 
     Parameters
     ----------
     kv : KeyValue
-        The platform's service.
+        The platform's key-value service.
     mirror : Mirror
-        Its copy here.
+        Local copy of its entries.
     pool : HttpPool
         Connections to replicas.
     state : FleetState
-        What the platform has told.
-    home : callable
-        Returns the link to the planner that all instances tell; None if there is none.
+        Replicas and configuration from the store.
+    link : callable
+        Returns the link to the planner of the coordinating service, None if there is none.
     clock : callable
         The runtime's clock.
     """
@@ -53,19 +53,19 @@
         self.ends = EndDetector(pool, state, clock, self.guard.note_end)
 
     def look(self) -> None:
-        """Follow what the platform tells: what is blocked, and which replicas are gone."""
+        """Read the record from the store, and check for replicas that are gone."""
         if self.record.poll():
             self.guard.stored_findings = self.record.findings
         self.ends.poll()
 
     def teller(self, service: str) -> PoisonReporter:
-        """Return what tells the planner of a service, if that is the one that all are told to."""
+        """Return the reporter for the planner of a service; active while that one coordinates."""
         return PoisonReporter(
             self.guard, lambda: self._state.coordinating_service == service, self._clock
         )
 
     def desk(self, service: str) -> PoisonDesk:
-        """Return what a planner of a service here takes that in with."""
+        """Return the aggregator for a planner of a service at this instance."""
         return PoisonDesk(service, self._state, self.record)
 
     def _authority(self) -> BlockAuthority:
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -1,6 +1,6 @@
-"""What gateways tell a planner of requests that end replicas, and what it finds.
+"""Reports of requests that crash replicas, from gateways to a planner, and its findings.
 
-All gateways tell one planner, the one that keeps the quotas, whatever service a replica belongs to.
+All gateways report to one planner, that of the coordinating service, for replicas of any service.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 log = logbook.Logger("poison")
 REPEAT_INTERVAL_S = 1.0
-"""It is told this often at least, in seconds, for gateways that have come: 16 bytes for each
-request that is blocked or suspected, 3 KB at the most."""
+"""Interval at which unchanged findings are repeated, in seconds, for gateways that have connected
+since: 16 bytes for each blocked request or suspect, 3 KB at most."""
 
 
 class PoisonReporter:
-    """Tells the planner what ended here; implements `parts.GatewayPart`.
+    """Reports this gateway's observations to a planner; implements `parts.GatewayPart`.
 
     Parameters
     ----------
     guard : PoisonGuard
-        Of this gateway.
-    is_home : callable
-        Whether the planner is the one that all are told to.
+        The guard of this gateway.
+    is_coordinator : callable
+        Returns whether the planner is that of the coordinating service.
     clock : callable
         The runtime's clock.
     """
@@ -45,14 +45,14 @@
         self._is_coordinator = is_coordinator
         self._clock = clock
         self._last_reported = 0
-        """Number of the newest sighting that was told on this stream."""
+        """Sequence number of the newest observation reported on this stream."""
 
     def begin_stream(self) -> None:
-        """Tell everything again: another planner knows nothing of it."""
+        """Report all observations again, because a new planner has none of them."""
         self._last_reported = 0
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Put what was seen since the last message into this one."""
+        """Add the observations since the last message."""
         if not self._is_coordinator():
             return
         now = self._clock()
@@ -75,26 +75,26 @@
         self._last_reported = newest
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Take over what the planner found."""
+        """Apply the planner's findings."""
         if not message.HasField("poison") or not self._is_coordinator():
             return
-        told = message.poison
+        news = message.poison
         self._guard.planner_findings = PoisonFindings(
-            frozenset(told.blocked), frozenset(told.suspects)
+            frozenset(news.blocked), frozenset(news.suspects)
         )
 
 
 class PoisonDesk:
-    """Keeps the ledger of all gateways at a planner; implements `parts.PlannerPart`.
+    """Aggregates the observations of all gateways at a planner; implements `parts.PlannerPart`.
 
     Parameters
     ----------
     service : str
-        The planner's.
+        The planner's service.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     record : PoisonRecord
-        What outlives the planner.
+        The record in the store, which outlives the planner.
     """
 
     __slots__ = (
@@ -117,7 +117,7 @@
         self._published_at = float("-inf")
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Take over what ended at a gateway."""
+        """Add the observations of a gateway to the ledger."""
         if not (message.ended or message.cleared):
             return
         ledger = self._open_ledger(now)
@@ -131,13 +131,13 @@
         self._has_changed = True
 
     def leave(self, follower: Follower, now: float) -> None:
-        """What a gateway saw holds when it is gone."""
+        """Do nothing: observations stay valid after their gateway disconnects."""
 
     def forget(self, replica: str) -> None:
-        """What was at a replica counts when it is gone."""
+        """Do nothing: observations stay valid after their replica is gone."""
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Judge anew, tell all gateways, and have the platform keep it."""
+        """Evaluate the ledger, add the findings to an update for all gateways, and store them."""
         if self._state.coordinating_service != self._service:
             return
         if not self._has_changed and now - self._published_at < REPEAT_INTERVAL_S:
@@ -154,7 +154,7 @@
                 ends=found.ends,
                 score=round(found.score, 2),
             )
-        # Ends that are still gathered may change it again.
+        # Ends that are still being gathered may change the findings.
         self._has_changed = ledger.is_gathering(now, GATHER_S)
         self._record.save(ledger)
         news.poison.SetInParent()
@@ -162,7 +162,7 @@
         news.poison.suspects.extend(ledger.suspects())
 
     def _open_ledger(self, now: float) -> EndLedger:
-        """Return the ledger, as an earlier planner left it at first."""
+        """Return the ledger, restored from the record on first use."""
         if self._ledger is None:
             self._ledger = EndLedger()
             self._record.restore(self._ledger, now)
--- a/packages/gateway/src/gradelug_gateway/poison_record.py
+++ b/packages/gateway/src/gradelug_gateway/poison_record.py
@@ -1,8 +1,8 @@
-"""What is known of requests that end replicas, as it stands in the platform's store.
+"""Persistence of blocked requests and suspects in the platform's store.
 
-One entry, written by the planner that keeps the ledger; every instance reads it with the rest of
-the store. It holds those that are blocked, and those that one further end may block with the ends
-that speak against them: should all instances lose power after the third end, the next is enough.
+One entry is written by the planner that keeps the ledger, and read by every instance with the rest
+of the store. It holds the blocked requests, and the suspects with the ends that count against them:
+should all instances lose power after the third end, the next is enough to block a suspect.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 KEY = "gradelug/poison"
 ABSENT = KvEntry(KEY, b"", 0)
 WRITE_RETRY_S = 0.5
-"""Pause before a write that failed is tried again."""
+"""Delay before a failed write is retried, in seconds."""
 
 
 class PoisonRecord:
-    """Reads and writes the entry.
+    """Reads and writes the entry of blocked requests and suspects.
 
     Parameters
     ----------
     kv : KeyValue
-        The platform's service.
+        The platform's key-value service.
     mirror : Mirror
-        Its copy here.
+        Local copy of its entries.
     clock : callable
         The runtime's clock.
     """
@@ -55,19 +55,19 @@
         self._mirror = mirror
         self._clock = clock
         self._ledger = EndLedger()
-        """What is to be written."""
+        """The ledger to be written."""
         self._write_requested = asyncio.Event()
         self._written = ABSENT
-        """The newest entry that this instance wrote or took over."""
+        """The newest entry that this instance wrote or merged."""
         self._seen_revision = 0
         self._eras = EraWatch()
         self.findings = NO_FINDINGS
-        """What the entry says."""
+        """Findings of the entry."""
         self.removal_count = 0
-        """How often the entry was taken away: an operator lets all of them be sent again."""
+        """Number of times the entry was deleted, by which an operator unblocks all requests."""
 
     def poll(self) -> bool:
-        """Read the entry if it has changed; tell whether it has."""
+        """Read the entry if it has changed; return whether the findings were updated."""
         entry = self._mirror.entries.get(KEY)
         revision = entry.revision if entry is not None else 0
         if self._eras.has_risen(self._mirror.revision):
@@ -78,7 +78,7 @@
             return False
         if entry is None:
             self.removal_count += 1
-            log.warning("taken away: nothing is blocked any more", key=KEY)
+            log.warning("entry deleted by an operator; unblocking all requests", key=KEY)
         self._seen_revision = revision
         ledger = EndLedger()
         self.restore(ledger, self._clock())
@@ -86,39 +86,39 @@
         return True
 
     def _rewrite_lost(self, entry: KvEntry | None) -> None:
-        """Have written what the store lost as it went back to a copy; it stays in force."""
+        """Schedule a rewrite of findings lost when the store was restored; they stay in force."""
         self._written = entry or ABSENT
         if entry is not None:
             _add(entry.value, self._ledger, self._clock())
         self._write_requested.set()
 
     def restore(self, ledger: EndLedger, now: float) -> None:
-        """Add what the entry says to a ledger."""
+        """Add the findings of the entry to a ledger."""
         entry = self._mirror.entries.get(KEY)
         if entry is not None:
             _add(entry.value, ledger, now)
 
     def save(self, ledger: EndLedger) -> None:
-        """Have a ledger written soon."""
+        """Schedule a write of a ledger."""
         self._ledger = ledger
         self._write_requested.set()
 
     async def run(self) -> None:
-        """Write what is to be written, until cancelled."""
+        """Write scheduled ledgers until cancelled."""
         while True:
             await self._write_requested.wait()
             self._write_requested.clear()
             try:
                 await self._write()
             except CoordinationError as exc:
-                log.warning("not written", why=repr(exc))
+                log.warning("write failed; retrying", why=repr(exc))
                 self._write_requested.set()
                 await asyncio.sleep(WRITE_RETRY_S)
 
     async def _write(self) -> None:
         entry = self._mirror.entries.get(KEY)
         if entry is not None and entry.revision > self._written.revision:
-            self._take_over(entry)
+            self._merge(entry)
         value, written = _encode(self._ledger), self._written
         if value == (written.value or _encode(EndLedger())):
             return
@@ -130,11 +130,11 @@
         if found is None:
             self._written = ABSENT
         else:
-            self._take_over(found)
+            self._merge(found)
         self._write_requested.set()
 
-    def _take_over(self, entry: KvEntry) -> None:
-        """Add what an earlier planner wrote, which may have known more."""
+    def _merge(self, entry: KvEntry) -> None:
+        """Merge the entry of another planner, which may hold more findings."""
         self._written = entry
         _add(entry.value, self._ledger, self._clock())
 
@@ -168,7 +168,7 @@
             for end, weight in weights.items()
         ]
     except (AttributeError, KeyError, TypeError, ValueError) as exc:
-        log.error("the entry of another writer cannot be read", key=KEY, why=repr(exc))
+        log.error("malformed entry of another writer", key=KEY, why=repr(exc))
         return
     for fingerprint, weight in blocked.items():
         ledger.block(fingerprint, weight, now)
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -1,4 +1,4 @@
-"""The home of the quotas at a planner: takes gateways' questions and answers them."""
+"""The planner's side of quotas: answers the requests of gateways as their coordinator."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class QuotaDesk:
-    """Implements `parts.PlannerPart` for the quotas of organisations.
+    """Answers quota requests of gateways; implements `parts.PlannerPart`.
 
     Parameters
     ----------
     home : QuotaHome
-        Decides.
+        Decides on requests and holds the balances of all organisations.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     may_grant : callable
-        Whether this planner's term holds: without one another planner may grant.
+        Returns whether this planner's term holds; otherwise another planner may grant.
     """
 
     __slots__ = ("_home", "_may_grant", "_state")
@@ -35,7 +35,7 @@
         self._may_grant = may_grant
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Answer the questions of a gateway, take back what it did not use."""
+        """Answer the requests of a gateway and apply its refunds."""
         if message.instance:
             # The first message on the stream.
             self._home.join(follower.process, dict(message.shares), now)
@@ -45,20 +45,20 @@
             self._home.give_back(returned.organisation, returned.tokens, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Keep back what a gateway may use without asking."""
+        """Reserve the share that a disconnected gateway may still use."""
         self._home.leave(follower.process, now)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Tell nothing: shares go with the answers."""
+        """Add nothing: shares are sent with the answers."""
 
     def forget(self, replica: str) -> None:
-        """Quotas know no replicas."""
+        """Do nothing: quotas keep no state of replicas."""
 
     def _answer(self, follower: Follower, ask: pb.QuotaAsk, now: float) -> pb.QuotaAnswer:
         snapshot = self._state.snapshot
         organisation = snapshot.organisations.named(ask.organisation) if snapshot else None
         if not self._may_grant() or organisation is None:
-            # Another planner may grant, or a configuration that is not known here yet.
+            # Another planner may grant, or the organisation is not in the configuration here yet.
             return pb.QuotaAnswer(ticket=ask.ticket)
         if organisation.quota is None:
             return pb.QuotaAnswer(ticket=ask.ticket, granted=True)
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -1,8 +1,8 @@
-"""Quotas of organisations at an instance: asked of their home, or drawn from a share of its own.
+"""Enforcement of organisations' quotas at an instance, by a coordinator or from a local share.
 
-One instance, the planner of a service, is the home of all quotas: it sees every request that
-counts, so that a window holds no more than the quota wherever the requests come in. A question
-takes one round trip between instances.
+One instance, the planner of the coordinating service, coordinates all quotas: it sees every request
+that counts, so that a window holds no more than the quota whichever instances receive the requests.
+Each check takes one round trip between instances.
 """
 
 from __future__ import annotations
@@ -22,34 +22,35 @@
 
 log = logbook.Logger("quotas")
 ANSWER_S = 0.25
-"""An answer takes a round trip of milliseconds; a home that rests after a decision takes some
-tens. Later than this it may be lost."""
+"""Response timeout of the coordinator, in seconds. A response takes a round trip of milliseconds,
+or some tens if the coordinator pauses after a decision; beyond the timeout it may be lost."""
 UNAVAILABLE_RETRY_S = 0.05
-"""Another instance may reach the home."""
+"""Retry delay without a coordinator, in seconds; another instance may reach it."""
 POLL_INTERVAL_S = 0.03
-"""How often a request that waits for a home looks whether there is one."""
+"""How often a waiting request checks whether there is a coordinator, in seconds."""
 MAX_WAIT_S = 3_600.0
-"""Nobody is told to come back later than this: a caller that waits for ever is told the same."""
+"""Upper bound of retry delays and of callers' waits, in seconds; also stands for no deadline."""
 RETRY_JITTER_FRACTION = 0.5
-"""Callers that were refused together come back spread over so much more of the time."""
+"""Maximum random extension of a retry delay, as a fraction of it; spreads the retries of callers
+that were rejected together."""
 
 
 @dataclass(slots=True, frozen=True)
 class Applicant:
-    """Who asks for a part of a quota, as the home is told.
+    """Priority of a request for quota, as sent to the coordinator.
 
     Parameters
     ----------
     rank : int
         Urgency within the organisation, 0 first.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent request.
+        Value of a response in time, 1 for an ordinary urgent request.
     until : float
-        Until when its caller waits, by the runtime's clock.
+        Deadline of its caller, by the runtime's clock.
     service : str
-        Where it goes: urgencies compare within a service.
+        The service that it is sent to: urgencies compare within a service.
     mark : int
-        The same for all tries of one request, 32 bits; 0 if nothing tells.
+        Fingerprint that all attempts of one request share, 32 bits; 0 if there is none.
     """
 
     rank: int = 0
@@ -63,38 +64,38 @@
 
 
 class QuotaLink(t.Protocol):
-    """The way to the home of the quotas."""
+    """The link to the coordinator of the quotas."""
 
     @property
     def is_quiet(self) -> bool:
-        """Whether the home may be lost."""
+        """Whether the coordinator may be lost."""
         ...
 
     async def ask_quota(
         self, organisation: str, tokens: int, until: float, applicant: Applicant
     ) -> pb.QuotaAnswer:
-        """Return the home's answer; raises `TimeoutError`."""
+        """Return the coordinator's answer; raises `TimeoutError`."""
         ...
 
     def return_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
-        """Give back what was granted at a moment to a request that has not run."""
+        """Refund tokens granted at `granted_at` to a request that has not run."""
         ...
 
 
 @dataclass(slots=True, frozen=True)
 class Charge:
-    """What a request was granted.
+    """Tokens granted to a request.
 
     Parameters
     ----------
     organisation : str
-        From whose quota.
+        The organisation whose quota was charged.
     tokens : int
-        How much.
+        Number of tokens, or 1 if the quota counts requests.
     link : QuotaLink or None
-        Who granted it; None for this instance's own share.
+        Link to the coordinator that granted them; None for this instance's local share.
     granted_at : float
-        When, by the runtime's clock.
+        Time of the grant, by the runtime's clock.
     """
 
     organisation: str
@@ -103,22 +104,22 @@
     granted_at: float
 
     def give_back(self) -> None:
-        """Return it: the request has not run and will not."""
+        """Refund the charge of a request that has not run and will not."""
         if self.link is not None:
             self.link.return_quota(self.organisation, self.tokens, self.granted_at)
 
 
 class Quotas:
-    """Lets requests run within the quotas of their organisations.
+    """Admits requests within the quotas of their organisations.
 
     Parameters
     ----------
     locate : callable
-        Returns the way to the home, None if there is none.
+        Returns the link to the coordinator, None if there is none.
     clock, rng
-        The runtime's clock and source of chance.
+        The runtime's clock and random number generator.
     shares : LocalShares
-        What this instance may use without asking.
+        What this instance may use while there is no coordinator.
     """
 
     __slots__ = ("_clock", "_find_link", "_rng", "_shares")
@@ -143,33 +144,34 @@
         until: float,
         applicant: Applicant = ANYBODY,
     ) -> Charge | None:
-        """Let a request run, or raise.
+        """Charge a request to its organisation's quota, or raise.
 
-        While the home is being replaced, a request that no share covers waits for it: after all
-        instances were lost at once nobody has a share, and a home is there within a second.
+        While the coordinator is being replaced, a request that the local share does not cover waits
+        for the new one: after all instances were lost at once none has a share, and a coordinator
+        is elected within a second.
 
         Parameters
         ----------
         organisation : Organisation
-            Whose request it is.
+            The organisation that sent the request.
         prompt, most : int
-            Tokens that the request states; 0 for none.
+            Prompt tokens and maximum answer tokens that the request states; 0 for none.
         until : float
-            How long it may wait for a home, by the runtime's clock.
+            Deadline for waiting for a coordinator, by the runtime's clock.
         applicant : Applicant
-            Who asks.
+            The request's priority.
 
         Returns
         -------
         Charge or None
-            What it counts, None without a limit.
+            The charge, None if the organisation has no quota.
 
         Raises
         ------
         Limited
             If the quota is used up.
         Refused
-            If the home cannot be asked and this instance has no share left.
+            If there is no coordinator and the local share is used up.
         """
         if organisation.quota is None:
             return None
@@ -186,14 +188,14 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _ask(self, name: str, tokens: int, applicant: Applicant) -> Charge | None:
-        """Ask the home; None if it cannot be asked or grants nothing now."""
+        """Ask the coordinator; return None if it is unavailable or grants nothing at present."""
         link = self._find_link()
         if link is None or link.is_quiet:
             return None
         try:
             answer = await link.ask_quota(name, tokens, self._clock() + ANSWER_S, applicant)
         except TimeoutError:
-            log.info("no answer on a quota", organisation=name)
+            log.info("quota coordinator did not answer", organisation=name)
             return None
         if not answer.granted and not answer.retry_after_ms:
             return None
@@ -211,7 +213,7 @@
         raise Limited(name, retry_s * (1 + RETRY_JITTER_FRACTION * self._rng.random()), inputs)
 
     def _charge_local_share(self, name: str, tokens: int) -> Charge | None:
-        """Draw on this instance's share while the home is being replaced."""
+        """Charge this instance's local share while the coordinator is being replaced."""
         now = self._clock()
         self._shares.note_lost(now)
         if self._shares.try_take(name, tokens, now):
@@ -220,14 +222,14 @@
 
 
 class QuotaQuestions:
-    """Questions for quotas that wait for the home's answer; implements `parts.GatewayPart`.
+    """Sends quota requests to the coordinator and awaits the answers; a `parts.GatewayPart`.
 
     Parameters
     ----------
     clock : callable
         The runtime's clock.
     wake : callable
-        Called when there is something to send.
+        Called when there is a message to send.
     """
 
     __slots__ = (
@@ -252,7 +254,7 @@
     async def ask(
         self, organisation: str, tokens: int, until: float, applicant: Applicant = ANYBODY
     ) -> pb.QuotaAnswer:
-        """Return the home's answer; raises `TimeoutError`."""
+        """Return the coordinator's answer; raises `TimeoutError`."""
         self._ticket += 1
         ask = pb.QuotaAsk(
             ticket=self._ticket,
@@ -275,31 +277,31 @@
                 self._abandon(ask)
 
     def give_back(self, organisation: str, tokens: int, granted_at: float) -> None:
-        """Return what was granted to a request that has not run, unless by an earlier home."""
+        """Refund tokens of a request that has not run; a grant of an earlier coordinator lapses."""
         if granted_at < self._stream_started_at:
             return
         self._returns.append(pb.QuotaReturn(organisation=organisation, tokens=tokens))
         self._wake()
 
     def begin_stream(self) -> None:
-        """Ask another home: what the last one was asked is not answered any more."""
+        """Fail the pending requests, because a new coordinator will not answer them."""
         self._stream_started_at = self._clock()
         for fut in self._futures.values():
             if not fut.done():
-                fut.set_exception(TimeoutError("the home is lost"))
+                fut.set_exception(TimeoutError("stream to the coordinator was replaced"))
         self._futures.clear()
         self._unsent.clear()
         self._returns.clear()
 
     def fill(self, message: pb.FromGateway) -> None:
-        """Put what is to be sent into a message."""
+        """Add pending requests and refunds to a message."""
         message.quota_asks.extend(self._unsent)
         message.quota_returns.extend(self._returns)
         self._unsent.clear()
         self._returns.clear()
 
     def take(self, message: pb.FromPlanner) -> None:
-        """Hand each answer to whoever waits for it."""
+        """Pass each answer to the request that waits for it."""
         for answer in message.quota_answers:
             self._resolve(answer)
 
@@ -312,7 +314,7 @@
             fut.set_result(answer)
 
     def _abandon(self, ask: pb.QuotaAsk) -> None:
-        """Stop waiting; what is granted all the same is returned."""
+        """Stop waiting for an answer; refund a grant that arrives later."""
         if ask in self._unsent:
             self._unsent.remove(ask)
             self._futures.pop(ask.ticket, None)
--- a/packages/gateway/src/gradelug_gateway/rests.py
+++ b/packages/gateway/src/gradelug_gateway/rests.py
@@ -1,6 +1,6 @@
-"""Replicas that asked this instance for rest: nothing is sent there until it is over.
+"""Backoff of replicas by their ``Retry-After`` headers: no requests are sent until it expires.
 
-Rest is asked of one instance and kept by it alone; it is told to nobody.
+A replica's backoff applies to the instance that received the response; it is not shared.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 log = logbook.Logger("rests")
 MAX_LOGGED_CHARS = 40
-"""Longest part of an unreadable value in the log, in characters."""
+"""Maximum length of an invalid value in the log, in characters."""
 MAX_LOGGED_REPLICAS = 1024
-"""Upper bound of replicas whose unreadable value is logged once."""
+"""Maximum number of replicas whose invalid value is logged, once each."""
 
 
 class ReplicaRests:
-    """What replicas asked of this instance, by life: another life begins without a rest.
+    """Backoffs requested by replicas, by incarnation: a new incarnation starts without one.
 
     Parameters
     ----------
     clock : callable
         The runtime's clock.
     rng : Random or None
-        Draws when this instance comes back after a rest.
+        Draws the jitter that is added to a backoff.
     is_on : bool
-        Whether rests are kept to; otherwise they are only logged.
+        Whether backoffs are enforced; otherwise they are only logged.
     """
 
     __slots__ = ("_clock", "_is_on", "_rests", "_logged_unreadable", "denied")
@@ -47,23 +47,28 @@
         self._rests = Rests(rng or random.Random(0))
         self._logged_unreadable: set[tuple[str, int]] = set()
         self.denied = 0
-        """Sendings since the start that were not made because their replica rested."""
+        """Attempts since the start that were not made because of their replica's backoff."""
 
     def hear(self, replica: Replica, word: RestWord) -> None:
-        """Take over what an answer of a replica says."""
+        """Apply the backoff in a response of a replica."""
         if word.unreadable:
             self._log_unreadable_value(replica, word)
         elif word.rest_s and self._rests.note(_incarnation(replica), word.rest_s, self._clock()):
-            log.info("replica rests", replica=replica.name, rest_s=word.rest_s, kept=self._is_on)
+            log.info(
+                "replica requested backoff",
+                replica=replica.name,
+                rest_s=word.rest_s,
+                kept=self._is_on,
+            )
 
     def left_s(self, replica: Replica) -> float:
-        """Return for how long nothing may be sent to a replica, in seconds."""
+        """Return the remaining backoff of a replica, in seconds."""
         if not (self._is_on and self._rests):
             return 0.0
         return self._rests.left_s(_incarnation(replica), self._clock())
 
     def least_left_s(self, replicas: t.Iterable[Replica]) -> float:
-        """Return the shortest rest left among some replicas, 0 if one of them does not rest."""
+        """Return the shortest remaining backoff among replicas, in seconds; 0 if one has none."""
         if not self._rests:
             return 0.0
         min_s = math.inf
@@ -74,17 +79,17 @@
         return 0.0 if math.isinf(min_s) else min_s
 
     def drop_over(self) -> None:
-        """Drop the rests that are over."""
+        """Remove expired backoffs."""
         self._rests.keep(self._clock())
 
     @property
     def resting(self) -> int:
-        """How many replicas rest."""
+        """Number of replicas with an active backoff."""
         return self._rests.count(self._clock())
 
     @property
     def most_resting(self) -> int:
-        """How many replicas rest at most: rests that have just ended count as well."""
+        """Upper bound of the replicas with an active backoff, including expired, unremoved ones."""
         return len(self._rests) if self._is_on else 0
 
     def _log_unreadable_value(self, replica: Replica, word: RestWord) -> None:
@@ -95,7 +100,9 @@
             return
         self._logged_unreadable.add(_incarnation(replica))
         log.warning(
-            "rest cannot be read", replica=replica.name, value=word.unreadable[:MAX_LOGGED_CHARS]
+            "invalid backoff in a response",
+            replica=replica.name,
+            value=word.unreadable[:MAX_LOGGED_CHARS],
         )
 
 
