--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -21,7 +21,7 @@
 BLOCKED_RETRY_S = 60.0
 """Retry delay for a blocked request, in seconds; no instance sends the request within it."""
 SUSPECT_RETRY_S = 1.0
-"""Retry delay for a suspect while the planner is lost, in seconds; a successor follows in seconds."""
+"""Retry delay for a suspect while the planner is lost, in seconds; a successor soon follows."""
 
 
 class BlockAuthority(Enum):
