--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -174,8 +174,8 @@
         self._served[fingerprint] = None
         if len(self._served) > MAX_SERVED:
             del self._served[next(iter(self._served))]
-        was_seen = self._ledger.note_served(fingerprint)
-        if was_seen:
+        was_suspected = self._ledger.note_served(fingerprint)
+        if was_suspected:
             kept = [
                 observation
                 for observation in self.observations
@@ -183,7 +183,7 @@
             ]
             self.observations = deque(kept, MAX_OBSERVATIONS)
         if (
-            was_seen
+            was_suspected
             or fingerprint in self.planner_findings.suspects
             or fingerprint in self.stored_findings.suspects
         ):
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    home : QuotaHome
+    coordinator : QuotaHome
         Decides on requests and holds the balances of all organisations.
     state : FleetState
         Replicas and configuration from the store.
@@ -27,10 +27,12 @@
         Returns whether this planner's term holds; otherwise another planner may grant.
     """
 
-    __slots__ = ("_home", "_may_grant", "_state")
+    __slots__ = ("_coordinator", "_may_grant", "_state")
 
-    def __init__(self, home: QuotaHome, state: FleetState, may_grant: t.Callable[[], bool]) -> None:
-        self._home = home
+    def __init__(
+        self, coordinator: QuotaHome, state: FleetState, may_grant: t.Callable[[], bool]
+    ) -> None:
+        self._coordinator = coordinator
         self._state = state
         self._may_grant = may_grant
 
@@ -38,15 +40,15 @@
         """Answer the requests of a gateway and apply its refunds."""
         if message.instance:
             # The first message on the stream.
-            self._home.join(follower.process, dict(message.shares), now)
+            self._coordinator.join(follower.process, dict(message.shares), now)
         for ask in message.quota_asks:
             follower.answer_quota(self._answer(follower, ask, now))
         for returned in message.quota_returns:
-            self._home.give_back(returned.organisation, returned.tokens, now)
+            self._coordinator.give_back(returned.organisation, returned.tokens, now)
 
     def leave(self, follower: Follower, now: float) -> None:
         """Reserve the share that a disconnected gateway may still use."""
-        self._home.leave(follower.process, now)
+        self._coordinator.leave(follower.process, now)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Add nothing: shares are sent with the answers."""
@@ -64,7 +66,7 @@
             return pb.QuotaAnswer(ticket=ask.ticket, granted=True)
         terms = QuotaTerms(organisation.quota.rate, organisation.quota.burst)
         caller = Caller(ask.rank, ask.wait_ms / 1000, ask.service, ask.value, ask.mark)
-        verdict = self._home.ask(
+        verdict = self._coordinator.ask(
             follower.process, organisation.name, terms, ask.tokens, now, caller
         )
         answer = pb.QuotaAnswer(ticket=ask.ticket, granted=verdict.granted, share=verdict.share)
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -1,6 +1,6 @@
 """Enforcement of organisations' quotas at an instance, by a coordinator or from a local share.
 
-One instance, the planner of the coordinating service, coordinates all quotas: it sees every request
+One instance, the planner of the coordinating service, decides on all quotas: it sees every request
 that counts, so that a window holds no more than the quota whichever instances receive the requests.
 Each check takes one round trip between instances.
 """
@@ -29,7 +29,7 @@
 POLL_INTERVAL_S = 0.03
 """How often a waiting request checks whether there is a coordinator, in seconds."""
 MAX_WAIT_S = 3_600.0
-"""Upper bound of retry delays and of callers' waits, in seconds; also stands for no deadline."""
+"""Upper bound of retry delays and of callers' waits, in seconds; a longer wait is sent as this."""
 RETRY_JITTER_FRACTION = 0.5
 """Maximum random extension of a retry delay, as a fraction of it; spreads the retries of callers
 that were rejected together."""
@@ -139,8 +139,8 @@
     async def take(
         self,
         organisation: Organisation,
-        prompt: int,
-        most: int,
+        prompt_tokens: int,
+        max_answer_tokens: int,
         until: float,
         applicant: Applicant = ANYBODY,
     ) -> Charge | None:
@@ -154,7 +154,7 @@
         ----------
         organisation : Organisation
             The organisation that sent the request.
-        prompt, most : int
+        prompt_tokens, max_answer_tokens : int
             Prompt tokens and maximum answer tokens that the request states; 0 for none.
         until : float
             Deadline for waiting for a coordinator, by the runtime's clock.
@@ -176,7 +176,7 @@
         if organisation.quota is None:
             return None
         name = organisation.name
-        tokens = round(organisation.quota.charge(prompt, most))
+        tokens = round(organisation.quota.charge(prompt_tokens, max_answer_tokens))
         while True:
             charge = await self._ask(name, tokens, applicant) or self._charge_local_share(
                 name, tokens
