--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -184,9 +184,7 @@
             if charge is not None:
                 return charge
             if self._clock() >= until:
-                raise Refused(
-                    f"no coordinator for the quota of {name} is available", UNAVAILABLE_RETRY_S
-                )
+                raise Refused(f"the quota of {name} cannot be asked for", UNAVAILABLE_RETRY_S)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _ask(self, name: str, tokens: int, applicant: Applicant) -> Charge | None:
