--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -60,7 +60,7 @@
 
     def replace_planner(self):
         """Replace the planner by a new one."""
-        self.desk = LimitDesk(SERVICE, self.state, self.clock, lambda: self.holds_term)
+        self.allocator = LimitDesk(SERVICE, self.state, self.clock, lambda: self.holds_term)
         for one in self.gateways:
             one.client.begin_stream()
 
@@ -69,9 +69,9 @@
         for one in self.gateways:
             message = pb.FromGateway()
             one.client.fill(message)
-            self.desk.take(one.follower, message, self.clock())
+            self.allocator.take(one.follower, message, self.clock())
         news = pb.FromPlanner()
-        self.desk.fill(news, self.clock())
+        self.allocator.fill(news, self.clock())
         for one in self.gateways:
             answers = pb.FromPlanner(room_answers=one.follower.room_answers)
             one.follower.room_answers.clear()
@@ -124,7 +124,7 @@
             world.exchange_messages()
             world.replace_planner()
             world.exchange_messages()
-            assert world.desk.is_limited("e0")
+            assert world.allocator.is_limited("e0")
 
         run(scenario)
 
@@ -163,8 +163,8 @@
             message = pb.FromGateway()
             world.gateways[0].client.fill(message)
             world.state.replicas["e0"] = Replica("e0", "plain", "", "h", born=5)
-            world.desk.take(world.gateways[0].follower, message, world.clock())
-            assert not world.desk.is_limited("e0")
+            world.allocator.take(world.gateways[0].follower, message, world.clock())
+            assert not world.allocator.is_limited("e0")
 
         run(scenario)
 
@@ -196,7 +196,7 @@
             del world.state.replicas["e0"]
             await world.run_for(0.1)
             assert await asked is None
-            assert not world.desk.is_limited("e0")
+            assert not world.allocator.is_limited("e0")
 
         run(scenario)
 
@@ -276,7 +276,7 @@
             world.gateways[0].client.fill(message)
             left.cancel()
             await asyncio.sleep(0)
-            world.desk.take(world.gateways[0].follower, message, world.clock())
+            world.allocator.take(world.gateways[0].follower, message, world.clock())
             await world.run_for(0.05)
             other = world.request(0)
             await asyncio.sleep(0)
@@ -291,10 +291,10 @@
             await world.run_for(0.05)
             left = world.request(0, wait_s=30.0)
             await world.run_for(0.05)
-            assert world.desk.waiting == 1
+            assert world.allocator.waiting == 1
             left.cancel()
             await world.run_for(0.05)
-            assert world.desk.waiting == 0
+            assert world.allocator.waiting == 0
 
         run(scenario)
 
@@ -305,8 +305,8 @@
             await world.run_for(0.05)
             asked = [world.request(at, wait_s=30.0) for at in (0, 0, 1)]
             await world.run_for(0.05)
-            world.desk.leave(world.gateways[0].follower, world.clock())
-            assert world.desk.waiting == 1
+            world.allocator.leave(world.gateways[0].follower, world.clock())
+            assert world.allocator.waiting == 1
             for task in asked:
                 task.cancel()
 
@@ -352,10 +352,10 @@
             world = LimitFleet(instance_count=10_000)
             world.set_limit(0, 2.0)
             limits = world.gateways[0].limits
-            desk, limits.find_desk = limits.find_desk, lambda service: None
+            find_client, limits.find_desk = limits.find_desk, lambda service: None
             asked = world.request(0, wait_s=5.0)
             await world.run_for(1.0)
-            limits.find_desk = desk
+            limits.find_desk = find_client
             await world.run_for(1.0)
             assert asked.done()
             assert asked.result() is None
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -261,7 +261,7 @@
 
 
 class TestAggregator:
-    def desk(self, service="llm"):
+    def aggregator(self, service="llm"):
         self.kv = MemoryKv()
         self.mirror = Mirror(self.kv, "", None)
         return PoisonDesk(service, new_state(), PoisonRecord(self.kv, self.mirror, lambda: 0.0))
@@ -273,50 +273,50 @@
         return pb.FromGateway(ended=[end])
 
     def test_observations_of_gateways_are_aggregated(self):
-        desk = self.desk()
+        aggregator = self.aggregator()
         for number in range(3):
-            desk.take(Follower, self.ended(number, A), 1.0)
-            desk.take(Follower, self.ended(number, b"x%d" % number), 1.0)
+            aggregator.take(Follower, self.ended(number, A), 1.0)
+            aggregator.take(Follower, self.ended(number, b"x%d" % number), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * GATHER_S)
         assert list(news.poison.blocked) == [A]
 
     def test_findings_are_repeated_for_joining_gateways(self):
-        desk = self.desk()
+        aggregator = self.aggregator()
         for number in range(3):
-            desk.take(Follower, self.ended(number, A), 1.0)
-        desk.fill(pb.FromPlanner(), 2.0)
+            aggregator.take(Follower, self.ended(number, A), 1.0)
+        aggregator.fill(pb.FromPlanner(), 2.0)
         for at, is_published in ((2.5, False), (2.1 + REPEAT_INTERVAL_S, True)):
             news = pb.FromPlanner()
-            desk.fill(news, at)
+            aggregator.fill(news, at)
             assert news.HasField("poison") is is_published
 
     def test_a_successor_restores_earlier_findings(self):
-        desk = self.desk()
+        aggregator = self.aggregator()
         suspects = {A.hex(): {"e1@0": BEGUN, "e2@0": BEGUN}}
         value = json.dumps({"blocked": {B.hex(): BEGUN}, "suspects": suspects}).encode()
         self.mirror.entries[KEY] = KvEntry(KEY, value, 5)
-        desk.take(Follower, self.ended(3, A), 1.0)
+        aggregator.take(Follower, self.ended(3, A), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * GATHER_S)
         assert set(news.poison.blocked) == {A, B}
 
     def test_suspects_are_published_and_cleared(self):
-        desk = self.desk()
+        aggregator = self.aggregator()
         for number in range(2):
-            desk.take(Follower, self.ended(number, A), 1.0)
+            aggregator.take(Follower, self.ended(number, A), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 2.0)
+        aggregator.fill(news, 2.0)
         assert list(news.poison.suspects) == [A]
-        desk.take(Follower, pb.FromGateway(cleared=[A]), 2.1)
+        aggregator.take(Follower, pb.FromGateway(cleared=[A]), 2.1)
         news = pb.FromPlanner()
-        desk.fill(news, 2.2)
+        aggregator.fill(news, 2.2)
         assert news.HasField("poison")
         assert not news.poison.suspects
 
     def test_only_the_coordinating_planner_publishes(self):
         news = pb.FromPlanner()
-        self.desk("other").fill(news, 1.0)
+        self.aggregator("other").fill(news, 1.0)
         assert not news.HasField("poison")
 
     def test_merged_updates_keep_the_newest_findings(self):
