--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -1,4 +1,4 @@
-"""The parts of one instance that keep requests from ending replicas, put together."""
+"""Assembles the components of one instance that block requests which crash replicas."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from .end_detection import EndDetector
 from .link import REPLACED_S, PlannerLink
 from .model import FleetState
-from .poison import Judge, PoisonGuard
-from .poison_desk import PoisonDesk, PoisonTeller
+from .poison import BlockAuthority, PoisonGuard
+from .poison_desk import PoisonDesk, PoisonReporter
 from .poison_record import PoisonRecord
 
 
 class PoisonControl:
-    """Puts the guard, the watch over replicas and the platform's entry together.
+    """Connects the guard, the detector of replica ends and the record in the store.
 
     Parameters
     ----------
     kv : KeyValue
-        The platform's service.
+        The platform's key-value service.
     mirror : Mirror
-        Its copy here.
+        Local copy of its entries.
     pool : HttpPool
         Connections to replicas.
     state : FleetState
-        What the platform has told.
-    home : callable
-        Returns the link to the planner that all instances tell; None if there is none.
+        Replicas and configuration from the store.
+    link : callable
+        Returns the link to the planner of the coordinating service, None if there is none.
     clock : callable
         The runtime's clock.
     """
 
-    __slots__ = ("_clock", "_home", "_state", "ends", "guard", "record")
+    __slots__ = ("_clock", "_coordinator", "_state", "ends", "guard", "record")
 
     def __init__(
         self,
@@ -42,41 +42,41 @@
         mirror: Mirror,
         pool: HttpPool,
         state: FleetState,
-        home: t.Callable[[], PlannerLink | None],
+        link: t.Callable[[], PlannerLink | None],
         clock: t.Callable[[], float],
     ) -> None:
-        self._home = home
+        self._coordinator = link
         self._state = state
         self._clock = clock
-        self.guard = PoisonGuard(clock, self._judge, self._hurry)
+        self.guard = PoisonGuard(clock, self._authority, self._hurry)
         self.record = PoisonRecord(kv, mirror, clock)
         self.ends = EndDetector(pool, state, clock, self.guard.note_end)
 
     def look(self) -> None:
-        """Follow what the platform tells: what is blocked, and which replicas are gone."""
-        if self.record.look():
-            self.guard.stored = self.record.findings
+        """Read the record from the store, and check for replicas that are gone."""
+        if self.record.poll():
+            self.guard.stored_findings = self.record.findings
         self.ends.poll()
 
-    def teller(self, service: str) -> PoisonTeller:
-        """Return what tells the planner of a service, if that is the one that all are told to."""
-        return PoisonTeller(
+    def teller(self, service: str) -> PoisonReporter:
+        """Return the reporter for the planner of a service; active while that one coordinates."""
+        return PoisonReporter(
             self.guard, lambda: self._state.coordinating_service == service, self._clock
         )
 
     def desk(self, service: str) -> PoisonDesk:
-        """Return what a planner of a service here takes that in with."""
+        """Return the aggregator for a planner of a service at this instance."""
         return PoisonDesk(service, self._state, self.record)
 
-    def _judge(self) -> Judge:
-        home = self._home()
-        if home is None:
-            return Judge.SELF
-        if not home.is_quiet:
-            return Judge.PLANNER
-        return Judge.NOBODY if home.missed_s < REPLACED_S else Judge.SELF
+    def _authority(self) -> BlockAuthority:
+        link = self._coordinator()
+        if link is None:
+            return BlockAuthority.SELF
+        if not link.is_quiet:
+            return BlockAuthority.PLANNER
+        return BlockAuthority.UNKNOWN if link.missed_s < REPLACED_S else BlockAuthority.SELF
 
     def _hurry(self) -> None:
-        home = self._home()
-        if home is not None:
-            home.hurry()
+        link = self._coordinator()
+        if link is not None:
+            link.hurry()
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -1,4 +1,4 @@
-"""The home of the quotas at a planner: takes gateways' questions and answers them."""
+"""The planner's side of quotas: answers the requests of gateways as their coordinator."""
 
 from __future__ import annotations
 
@@ -11,65 +11,67 @@
 
 from .followers import Follower
 from .model import FleetState
-from .quotas import LONGEST_WAIT_S
+from .quotas import MAX_WAIT_S
 
 
 class QuotaDesk:
-    """Implements `parts.PlannerPart` for the quotas of organisations.
+    """Answers quota requests of gateways; implements `parts.PlannerPart`.
 
     Parameters
     ----------
-    home : QuotaHome
-        Decides.
+    coordinator : QuotaHome
+        Decides on requests and holds the balances of all organisations.
     state : FleetState
-        What the platform has told.
+        Replicas and configuration from the store.
     may_grant : callable
-        Whether this planner's term holds: without one another planner may grant.
+        Returns whether this planner's term holds; otherwise another planner may grant.
     """
 
-    __slots__ = ("_home", "_may_grant", "_state")
+    __slots__ = ("_coordinator", "_may_grant", "_state")
 
-    def __init__(self, home: QuotaHome, state: FleetState, may_grant: t.Callable[[], bool]) -> None:
-        self._home = home
+    def __init__(
+        self, coordinator: QuotaHome, state: FleetState, may_grant: t.Callable[[], bool]
+    ) -> None:
+        self._coordinator = coordinator
         self._state = state
         self._may_grant = may_grant
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
-        """Answer the questions of a gateway, take back what it did not use."""
+        """Answer the requests of a gateway and apply its refunds."""
         if message.instance:
             # The first message on the stream.
-            self._home.join(follower.process, dict(message.shares), now)
+            self._coordinator.join(follower.process, dict(message.shares), now)
         for ask in message.quota_asks:
             follower.answer_quota(self._answer(follower, ask, now))
         for returned in message.quota_returns:
-            self._home.give_back(returned.organisation, returned.tokens, now)
+            self._coordinator.give_back(returned.organisation, returned.tokens, now)
 
     def leave(self, follower: Follower, now: float) -> None:
-        """Keep back what a gateway may use without asking."""
-        self._home.leave(follower.process, now)
+        """Reserve the share that a disconnected gateway may still use."""
+        self._coordinator.leave(follower.process, now)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
-        """Tell nothing: shares go with the answers."""
+        """Add nothing: shares are sent with the answers."""
 
     def forget(self, replica: str) -> None:
-        """Quotas know no replicas."""
+        """Do nothing: quotas keep no state of replicas."""
 
     def _answer(self, follower: Follower, ask: pb.QuotaAsk, now: float) -> pb.QuotaAnswer:
         snapshot = self._state.snapshot
         organisation = snapshot.organisations.named(ask.organisation) if snapshot else None
         if not self._may_grant() or organisation is None:
-            # Another planner may grant, or a configuration that is not known here yet.
+            # Another planner may grant, or the organisation is not in the configuration here yet.
             return pb.QuotaAnswer(ticket=ask.ticket)
         if organisation.quota is None:
             return pb.QuotaAnswer(ticket=ask.ticket, granted=True)
         terms = QuotaTerms(organisation.quota.rate, organisation.quota.burst)
         caller = Caller(ask.rank, ask.wait_ms / 1000, ask.service, ask.value, ask.mark)
-        verdict = self._home.ask(
+        verdict = self._coordinator.ask(
             follower.process, organisation.name, terms, ask.tokens, now, caller
         )
         answer = pb.QuotaAnswer(ticket=ask.ticket, granted=verdict.granted, share=verdict.share)
         if not verdict.granted:
-            answer.retry_after_ms = math.ceil(min(verdict.retry_s, LONGEST_WAIT_S) * 1000)
+            answer.retry_after_ms = math.ceil(min(verdict.retry_s, MAX_WAIT_S) * 1000)
             answer.level = math.floor(verdict.level)
             answer.needed = math.ceil(verdict.needed)
             answer.standing = verdict.standing.value
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -1,4 +1,4 @@
-"""The parts of a gateway that keep requests from replicas which they would end."""
+"""The components of a gateway that block requests which crash replicas."""
 
 import asyncio
 import json
@@ -13,14 +13,14 @@
 from gradelug_gateway.pending import merge_news
 from gradelug_gateway.poison import (
     BLOCKED_RETRY_S,
-    HELD_RETRY_S,
-    MOST_SERVED,
-    MOST_SIGHTINGS,
-    Judge,
+    MAX_OBSERVATIONS,
+    MAX_SERVED,
+    SUSPECT_RETRY_S,
+    BlockAuthority,
     PoisonFindings,
     PoisonGuard,
 )
-from gradelug_gateway.poison_desk import REPEAT_S, PoisonDesk, PoisonTeller
+from gradelug_gateway.poison_desk import REPEAT_INTERVAL_S, PoisonDesk, PoisonReporter
 from gradelug_gateway.poison_record import KEY, PoisonRecord
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_policy.poison import BEGUN, GATHER_S, WAITING, EndLedger
@@ -33,7 +33,7 @@
 
 
 def request(**changes):
-    told = {
+    fields = {
         "id": "q1",
         "host": "h",
         "path": "/p",
@@ -44,17 +44,17 @@
         "arrived_at": 0.0,
         "key": AdapterKey("m", "a1"),
     }
-    return Request(**{**told, **changes})
+    return Request(**{**fields, **changes})
 
 
 class TestFingerprint:
     @pytest.mark.parametrize(
         "changes", [{"id": "q2"}, {"arrived_at": 9.0}, {"wait_s": 1.0}, {"last_event": 3}]
     )
-    def test_another_try_of_a_request_has_the_same(self, changes):
+    def test_attempts_of_a_request_share_a_fingerprint(self, changes):
         assert fingerprint(request(**changes)) == fingerprint(request())
 
-    def test_an_organisation_that_changes_its_keys_sends_the_same(self):
+    def test_the_fingerprint_is_independent_of_the_key_of_an_organisation(self):
         keys = [request(credentials=(key,)) for key in (b"Bearer k1", b"Bearer k2")]
         assert len({fingerprint(req, "org") for req in keys}) == 1
         assert fingerprint(keys[0], "org") != fingerprint(keys[0], "other")
@@ -72,52 +72,52 @@
             {"host": "", "target": b"h/p"},
         ],
     )
-    def test_another_request_has_another(self, changes):
+    def test_different_requests_have_different_fingerprints(self, changes):
         assert fingerprint(request(**changes)) != fingerprint(request())
 
 
 class TestGuard:
-    def guard(self, judge=Judge.PLANNER):
-        self.now, self.hurried = 0.0, 0
+    def guard(self, judge=BlockAuthority.PLANNER):
+        self.now, self.flush_count = 0.0, 0
         return PoisonGuard(lambda: self.now, lambda: judge, self.hurry)
 
     def hurry(self):
-        self.hurried += 1
+        self.flush_count += 1
 
-    def test_what_the_planner_or_the_store_tells_is_blocked_and_nothing_else(self):
+    def test_only_findings_of_the_planner_and_the_store_are_blocked(self):
         guard = self.guard()
         guard.check(A)
-        guard.told = PoisonFindings(frozenset({A}), frozenset())
+        guard.planner_findings = PoisonFindings(frozenset({A}), frozenset())
         with pytest.raises(Blocked) as caught:
             guard.check(A)
         assert caught.value.retry_after_s == BLOCKED_RETRY_S
         guard.check(B)
-        guard.stored = PoisonFindings(frozenset({B}), frozenset())
+        guard.stored_findings = PoisonFindings(frozenset({B}), frozenset())
         with pytest.raises(Blocked):
             guard.check(B)
         assert (guard.blocked, guard.refused) == (2, 2)
 
-    def test_while_a_planner_is_followed_it_alone_decides(self):
+    def test_a_connected_planner_alone_decides(self):
         guard = self.guard()
         for number in range(5):
             guard.note_end(f"e{number}", {A: BEGUN})
         guard.check(A)
-        assert self.hurried == 5
+        assert self.flush_count == 5
 
-    def test_a_suspect_is_held_while_nobody_can_tell_of_its_other_ends(self):
-        guard = self.guard(Judge.NOBODY)
+    def test_a_suspect_is_refused_while_the_planner_is_lost(self):
+        guard = self.guard(BlockAuthority.UNKNOWN)
         guard.note_end("e1", {A: BEGUN})
         guard.check(A)
         guard.note_end("e2", {A: BEGUN})
         with pytest.raises(Refused) as caught:
             guard.check(A)
-        assert caught.value.retry_after_s == HELD_RETRY_S
-        guard.told = PoisonFindings(frozenset(), frozenset({B}))
+        assert caught.value.retry_after_s == SUSPECT_RETRY_S
+        guard.planner_findings = PoisonFindings(frozenset(), frozenset({B}))
         with pytest.raises(Refused):
             guard.check(B)
 
-    def test_where_there_is_no_planner_a_gateway_decides_by_what_it_saw(self):
-        guard = self.guard(Judge.SELF)
+    def test_without_a_planner_a_gateway_decides_by_its_own_observations(self):
+        guard = self.guard(BlockAuthority.SELF)
         for number in range(3):
             guard.check(A)
             guard.note_end(f"e{number}", {A: BEGUN, B: WAITING})
@@ -125,35 +125,35 @@
             guard.check(A)
         guard.check(B)
 
-    def test_a_suspect_that_is_answered_is_cleared_and_everybody_is_told(self):
-        guard = self.guard(Judge.NOBODY)
+    def test_a_suspect_that_completes_is_cleared_and_reported(self):
+        guard = self.guard(BlockAuthority.UNKNOWN)
         guard.note_end("e1", {A: BEGUN})
         guard.note_end("e2", {A: BEGUN})
         guard.note_served(A)
         guard.check(A)
-        assert not guard.sightings
+        assert not guard.observations
         assert [mark for _, mark in guard.cleared] == [A]
-        guard.told = PoisonFindings(frozenset(), frozenset({B}))
+        guard.planner_findings = PoisonFindings(frozenset(), frozenset({B}))
         guard.note_served(B)
         assert [mark for _, mark in guard.cleared] == [A, B]
 
-    def test_a_request_that_was_answered_here_before_is_never_suspected(self):
+    def test_a_request_that_completed_here_is_never_suspected(self):
         guard = self.guard()
         guard.note_served(A)
         guard.note_end("e1", {A: BEGUN, B: BEGUN})
-        assert [sighting.mark for sighting in guard.sightings] == [B]
+        assert [observation.fingerprint for observation in guard.observations] == [B]
 
-    def test_what_is_kept_is_bounded(self):
+    def test_memory_is_bounded(self):
         guard = self.guard()
-        for number in range(2 * MOST_SERVED):
+        for number in range(2 * MAX_SERVED):
             guard.note_served(b"%d" % number)
             guard.note_end("e", {b"x%d" % number: WAITING})
-        assert len(guard._served) == MOST_SERVED
-        assert len(guard.sightings) == MOST_SIGHTINGS
+        assert len(guard._served) == MAX_SERVED
+        assert len(guard.observations) == MAX_OBSERVATIONS
 
 
 class Ends:
-    """A watch over one replica, and what it found."""
+    """A detector with one replica, and the ends that it reported."""
 
     def __init__(self, replies=None, leaving=False):
         self.found = []
@@ -163,7 +163,7 @@
         self.state.replicas["e1"] = self.replica
         clock = asyncio.get_running_loop().time
         pool = HttpPool(clock, self.net.dial)
-        self.watch = EndDetector(pool, self.state, clock, lambda *told: self.found.append(told))
+        self.detector = EndDetector(pool, self.state, clock, lambda *end: self.found.append(end))
         if replies is not None:
             self.net.servers[self.replica.address] = lambda: RawServer(replies)
 
@@ -171,79 +171,79 @@
         await asyncio.sleep(100.0)
 
 
-class TestEndWatch:
-    def test_a_replica_that_refuses_connections_ended_with_all_that_was_there(self):
+class TestEndDetector:
+    def test_a_replica_that_refuses_connections_ended_with_its_requests(self):
         async def scenario():
             ends = Ends()
-            ends.watch.note_broken(ends.replica, A, BEGUN)
-            ends.watch.note_broken(ends.replica, B, WAITING)
+            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, B, WAITING)
             await asyncio.sleep(0.1)
             assert ends.found == [("e1@7", {A: BEGUN, B: WAITING})]
-            ends.watch.note_broken(ends.replica, b"late", WAITING)
+            ends.detector.note_broken(ends.replica, b"late", WAITING)
             assert ends.found[1] == ("e1@7", {b"late": WAITING})
-            assert ends.watch.ended == 1
+            assert ends.detector.ended == 1
 
         run(scenario)
 
-    def test_connections_that_were_reset_at_a_replica_that_lives_say_nothing(self):
+    def test_reset_connections_of_a_live_replica_are_ignored(self):
         async def scenario():
             ends = Ends(replies=[])
             for _ in range(3):
-                ends.watch.note_broken(ends.replica, A, BEGUN)
+                ends.detector.note_broken(ends.replica, A, BEGUN)
                 await asyncio.sleep(0.1)
-            ends.watch.poll()
+            ends.detector.poll()
             assert ends.found == []
             assert ends.net.dialled == ["10.0.1.1:80"] * 3
 
         run(scenario)
 
     @pytest.mark.parametrize("is_announced", [True, False])
-    def test_a_planned_end_is_no_requests_doing(self, is_announced):
+    def test_a_planned_end_is_not_attributed_to_requests(self, is_announced):
         async def scenario():
             ends = Ends(leaving=is_announced)
             if not is_announced:
                 del ends.state.replicas["e1"]
-            ends.watch.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, A, BEGUN)
             await asyncio.sleep(0.1)
             assert ends.found == []
 
         run(scenario)
 
-    @pytest.mark.parametrize("is_reborn", [False, True])
-    def test_of_one_that_cannot_be_reached_the_platform_tells(self, is_reborn):
+    @pytest.mark.parametrize("is_restarted", [False, True])
+    def test_the_end_of_an_unreachable_replica_is_read_from_the_store(self, is_restarted):
         async def scenario():
             ends = Ends()
-            ends.watch._pool._dial = ends.never
-            ends.watch.note_broken(ends.replica, A, BEGUN)
+            ends.detector._pool._dial = ends.never
+            ends.detector.note_broken(ends.replica, A, BEGUN)
             await asyncio.sleep(3.0)
-            ends.watch.poll()
+            ends.detector.poll()
             assert ends.found == []
             del ends.state.replicas["e1"]
-            if is_reborn:
+            if is_restarted:
                 ends.state.replicas["e1"] = Replica("e1", "llm", "10.0.1.1:80", "h", born=8)
-            ends.watch.poll()
+            ends.detector.poll()
             assert ends.found == [("e1@7", {A: BEGUN})]
 
         run(scenario)
 
-    def test_what_is_not_told_in_time_is_forgotten(self):
+    def test_a_check_without_a_removal_report_expires(self):
         async def scenario():
             ends = Ends()
-            ends.watch._pool._dial = ends.never
-            ends.watch.note_broken(ends.replica, A, BEGUN)
+            ends.detector._pool._dial = ends.never
+            ends.detector.note_broken(ends.replica, A, BEGUN)
             await asyncio.sleep(REMOVAL_REPORT_S + 0.1)
-            ends.watch.poll()
-            assert not ends.watch._checks
+            ends.detector.poll()
+            assert not ends.detector._checks
             assert ends.found == []
 
         run(scenario)
 
-    def test_a_sending_that_is_refused_tells_as_well(self):
+    def test_a_refused_connection_reports_an_end(self):
         async def scenario():
             ends = Ends()
-            ends.watch._pool._dial = ends.never
-            ends.watch.note_broken(ends.replica, A, BEGUN)
-            ends.watch.note_refused(ends.replica)
+            ends.detector._pool._dial = ends.never
+            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_refused(ends.replica)
             assert ends.found == [("e1@7", {A: BEGUN})]
 
         run(scenario)
@@ -260,8 +260,8 @@
     instance = "g"
 
 
-class TestDesk:
-    def desk(self, service="llm"):
+class TestAggregator:
+    def aggregator(self, service="llm"):
         self.kv = MemoryKv()
         self.mirror = Mirror(self.kv, "", None)
         return PoisonDesk(service, new_state(), PoisonRecord(self.kv, self.mirror, lambda: 0.0))
@@ -272,70 +272,70 @@
             end.suspects.add(mark=mark, weight=BEGUN)
         return pb.FromGateway(ended=[end])
 
-    def test_ends_of_several_gateways_are_put_together_and_told_to_all(self):
-        desk = self.desk()
+    def test_observations_of_gateways_are_aggregated(self):
+        aggregator = self.aggregator()
         for number in range(3):
-            desk.take(Follower, self.ended(number, A), 1.0)
-            desk.take(Follower, self.ended(number, b"x%d" % number), 1.0)
+            aggregator.take(Follower, self.ended(number, A), 1.0)
+            aggregator.take(Follower, self.ended(number, b"x%d" % number), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * GATHER_S)
         assert list(news.poison.blocked) == [A]
 
-    def test_what_is_known_is_repeated_for_those_who_have_come(self):
-        desk = self.desk()
+    def test_findings_are_repeated_for_joining_gateways(self):
+        aggregator = self.aggregator()
         for number in range(3):
-            desk.take(Follower, self.ended(number, A), 1.0)
-        desk.fill(pb.FromPlanner(), 2.0)
-        for at, told in ((2.5, False), (2.1 + REPEAT_S, True)):
+            aggregator.take(Follower, self.ended(number, A), 1.0)
+        aggregator.fill(pb.FromPlanner(), 2.0)
+        for at, is_published in ((2.5, False), (2.1 + REPEAT_INTERVAL_S, True)):
             news = pb.FromPlanner()
-            desk.fill(news, at)
-            assert news.HasField("poison") is told
+            aggregator.fill(news, at)
+            assert news.HasField("poison") is is_published
 
-    def test_a_successor_counts_what_its_predecessor_had_found(self):
-        desk = self.desk()
+    def test_a_successor_restores_earlier_findings(self):
+        aggregator = self.aggregator()
         suspects = {A.hex(): {"e1@0": BEGUN, "e2@0": BEGUN}}
         value = json.dumps({"blocked": {B.hex(): BEGUN}, "suspects": suspects}).encode()
         self.mirror.entries[KEY] = KvEntry(KEY, value, 5)
-        desk.take(Follower, self.ended(3, A), 1.0)
+        aggregator.take(Follower, self.ended(3, A), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * GATHER_S)
         assert set(news.poison.blocked) == {A, B}
 
-    def test_suspects_are_told_and_cleared(self):
-        desk = self.desk()
+    def test_suspects_are_published_and_cleared(self):
+        aggregator = self.aggregator()
         for number in range(2):
-            desk.take(Follower, self.ended(number, A), 1.0)
+            aggregator.take(Follower, self.ended(number, A), 1.0)
         news = pb.FromPlanner()
-        desk.fill(news, 2.0)
+        aggregator.fill(news, 2.0)
         assert list(news.poison.suspects) == [A]
-        desk.take(Follower, pb.FromGateway(cleared=[A]), 2.1)
+        aggregator.take(Follower, pb.FromGateway(cleared=[A]), 2.1)
         news = pb.FromPlanner()
-        desk.fill(news, 2.2)
+        aggregator.fill(news, 2.2)
         assert news.HasField("poison")
         assert not news.poison.suspects
 
-    def test_only_the_home_of_all_services_tells(self):
+    def test_only_the_coordinating_planner_publishes(self):
         news = pb.FromPlanner()
-        self.desk("other").fill(news, 1.0)
+        self.aggregator("other").fill(news, 1.0)
         assert not news.HasField("poison")
 
-    def test_news_that_wait_for_a_slow_reader_keep_what_was_told(self):
+    def test_merged_updates_keep_the_newest_findings(self):
         old, new = pb.FromPlanner(), pb.FromPlanner()
         old.poison.blocked.append(A)
         assert list(merge_news(old, new).poison.blocked) == [A]
         new.poison.blocked.append(B)
         assert list(merge_news(old, new).poison.blocked) == [B]
 
-    def test_a_gateway_tells_each_planner_everything_once(self):
+    def test_observations_are_reported_once_to_each_planner(self):
         now = [10.0]
-        guard = PoisonGuard(lambda: now[0], lambda: Judge.PLANNER)
-        teller = PoisonTeller(guard, lambda: True, lambda: now[0])
+        guard = PoisonGuard(lambda: now[0], lambda: BlockAuthority.PLANNER)
+        reporter = PoisonReporter(guard, lambda: True, lambda: now[0])
         guard.note_end("e1", {A: BEGUN, B: WAITING})
         now[0] = 12.0
         for _ in range(2):
-            teller.begin_stream()
+            reporter.begin_stream()
             message = pb.FromGateway()
-            teller.fill(message)
+            reporter.fill(message)
             (end,) = message.ended
             assert (end.life, end.age_ms) == ("e1", 2000)
             assert {suspect.mark: suspect.weight for suspect in end.suspects} == {
@@ -343,10 +343,10 @@
                 B: WAITING,
             }
             message = pb.FromGateway()
-            teller.fill(message)
+            reporter.fill(message)
             assert not message.ended
         guard.note_served(A)
-        teller.fill(message)
+        reporter.fill(message)
         assert list(message.cleared) == [A]
 
 
@@ -358,10 +358,10 @@
 
     async def read(self, record, mirror, kv):
         mirror.entries = kv.entries()
-        record.look()
+        record.poll()
         return record.findings
 
-    def test_what_was_written_is_read_by_others_and_restored_by_a_successor(self):
+    def test_a_written_record_is_read_and_restored(self):
         async def scenario():
             kv = MemoryKv()
             (writer, _), (reader, mirror) = self.records(kv)
@@ -374,10 +374,10 @@
             await asyncio.sleep(0.1)
             news = await self.read(reader, mirror, kv)
             assert news == PoisonFindings(frozenset({A}), frozenset({B}))
-            assert not reader.look()
+            assert not reader.poll()
             successor = EndLedger()
             reader.restore(successor, 1.0)
-            # The same ends told again by gateways count once, and one more is enough.
+            # Repeated reports of an end count once, and one more end is enough.
             for number in range(3):
                 successor.note_end(f"e{number}", B, BEGUN, 1.0)
             assert [found.mark for found in successor.judge(2.0)] == [B]
@@ -385,7 +385,7 @@
 
         run(scenario)
 
-    def test_what_a_store_lost_that_came_back_from_a_copy_stays_and_is_written_again(self):
+    def test_findings_lost_by_a_restored_store_are_rewritten(self):
         async def scenario():
             kv = MemoryKv()
             (writer, mirror), (reader, other) = self.records(kv)
@@ -405,12 +405,12 @@
             await asyncio.sleep(0.1)
             assert KEY in kv.entries()
             assert (await self.read(reader, other, kv)).blocked == {A}
-            assert reader.lifted == 0
+            assert reader.removal_count == 0
             task.cancel()
 
         run(scenario)
 
-    def test_nothing_is_written_where_nothing_ends(self):
+    def test_an_empty_ledger_is_not_written(self):
         async def scenario():
             kv = MemoryKv()
             ((writer, _),) = self.records(kv, 1)
@@ -422,7 +422,7 @@
 
         run(scenario)
 
-    def test_a_write_whose_answer_was_lost_and_an_outage_are_survived(self):
+    def test_writes_survive_a_lost_response_and_an_outage(self):
         async def scenario():
             kv = MemoryKv()
             ((writer, _),) = self.records(kv, 1)
@@ -444,8 +444,8 @@
 
         run(scenario)
 
-    def test_a_successor_that_reads_late_keeps_what_its_predecessor_wrote(self):
-        """Its ledger was empty when it began, and replaced the entry as soon as that showed."""
+    def test_a_successor_that_reads_late_keeps_earlier_findings(self):
+        """The empty ledger of a new planner replaced the entry when its mirror received it late."""
 
         async def scenario():
             kv = MemoryKv()
@@ -469,7 +469,7 @@
 
         run(scenario)
 
-    def test_two_planners_that_write_at_once_lose_nothing(self):
+    def test_concurrent_writes_of_two_planners_are_merged(self):
         async def scenario():
             kv = MemoryKv()
             records = self.records(kv)
@@ -489,11 +489,11 @@
     @pytest.mark.parametrize(
         "value", [b"\xff", b"[]", b"{}", b'{"blocked":{"zz":1},"suspects":{}}']
     )
-    def test_an_entry_of_another_writer_blocks_nothing(self, value):
+    def test_a_malformed_entry_blocks_nothing(self, value):
         async def scenario():
             ((record, mirror),) = self.records(MemoryKv(), 1)
             mirror.entries[KEY] = KvEntry(KEY, value, 5)
-            assert record.look()
+            assert record.poll()
             assert record.findings == PoisonFindings(frozenset(), frozenset())
 
         run(scenario)
