--- a/packages/policy/src/gradelug_policy/connections.py
+++ b/packages/policy/src/gradelug_policy/connections.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-IDLE_PART = 0.5
+IDLE_CONNECTION_FRACTION = 0.5
 """Part of the connections that may rest; the others are for requests, orders and reports."""
 
 
@@ -23,5 +23,5 @@
         Of this instance and the replica, spread evenly from 0 to 1: where there is less than one
         connection for each instance, some keep one and the others none.
     """
-    whole, part = divmod(IDLE_PART * most / max(1, instances), 1.0)
-    return int(whole) + (draw < part)
+    whole, fraction = divmod(IDLE_CONNECTION_FRACTION * most / max(1, instances), 1.0)
+    return int(whole) + (draw < fraction)
--- a/packages/policy/src/gradelug_policy/credits.py
+++ b/packages/policy/src/gradelug_policy/credits.py
@@ -7,7 +7,7 @@
 VALID_S = 2.0
 """Longest validity of a grant: a shorter one means more messages, a longer one a longer wait
 before an adapter may be dropped after its holder has died."""
-SPARE_SHARE = 0.25
+SPARE_CREDIT_FRACTION = 0.25
 """Share of the engine's free room that goes to spare credits."""
 
 
@@ -50,5 +50,5 @@
     if contended:
         return CreditOffer(needed)
     expected = int(rate * VALID_S / max(1, holders))
-    spare = min(expected, int((free - needed) * SPARE_SHARE))
+    spare = min(expected, int((free - needed) * SPARE_CREDIT_FRACTION))
     return CreditOffer(needed + spare)
--- a/packages/policy/src/gradelug_policy/departures.py
+++ b/packages/policy/src/gradelug_policy/departures.py
@@ -17,20 +17,20 @@
     no later report reverts it. The next life under its name is not affected.
     """
 
-    __slots__ = ("_lives",)
+    __slots__ = ("_incarnations",)
 
     def __init__(self) -> None:
-        self._lives: dict[tuple[str, int], None] = {}
+        self._incarnations: dict[tuple[str, int], None] = {}
 
     def note(self, replica: str, born: int) -> bool:
         """Note that a life leaves; tell whether that is new."""
         if self.has(replica, born):
             return False
-        self._lives[replica, born] = None
-        if len(self._lives) > MOST_LIVES:
-            del self._lives[next(iter(self._lives))]
+        self._incarnations[replica, born] = None
+        if len(self._incarnations) > MOST_LIVES:
+            del self._incarnations[next(iter(self._incarnations))]
         return True
 
     def has(self, replica: str, born: int) -> bool:
         """Tell whether a life is known to leave."""
-        return (replica, born) in self._lives
+        return (replica, born) in self._incarnations
--- a/packages/policy/src/gradelug_policy/doubts.py
+++ b/packages/policy/src/gradelug_policy/doubts.py
@@ -10,10 +10,10 @@
 
 from .outcomes import WINDOW_S
 
-DOUBTED_S = WINDOW_S
+SUSPICION_TTL_S = WINDOW_S
 """A replica is doubted for so long after it failed a request, in seconds: as long as that counts
 at the planner, what was answered beside it has to count there too."""
-KEPT_S = 2.0
+OUTCOME_HOLD_S = 2.0
 """What ended well is kept for so long before it is dropped untold, in seconds: until others have
 told of failures, which takes two messages of at most 0.9 s. Then it is told with them, and failures
 do not stand alone: without that a wave of requests that failed wherever they were sent (40% for
@@ -36,28 +36,28 @@
     failures there, and until both are past.
     """
 
-    __slots__ = ("_doubted_until", "_kept_since")
+    __slots__ = ("_suspected_until", "_held_since")
 
     def __init__(self) -> None:
-        self._doubted_until: dict[str, float] = {}
-        self._kept_since: dict[str, float] = {}
+        self._suspected_until: dict[str, float] = {}
+        self._held_since: dict[str, float] = {}
 
     def begin(self) -> None:
         """Forget all: another planner is told."""
-        self._doubted_until.clear()
-        self._kept_since.clear()
+        self._suspected_until.clear()
+        self._held_since.clear()
 
     def doubt(self, replica: str, now: float) -> None:
         """Note that the replica failed a request, here or as the planner says."""
-        self._doubted_until[replica] = now + DOUBTED_S
+        self._suspected_until[replica] = now + SUSPICION_TTL_S
 
     def decide(self, replica: str, now: float) -> Telling:
         """Return what becomes of what has ended at a replica and has not been told."""
-        if now < self._doubted_until.get(replica, now):
-            self._kept_since.pop(replica, None)
+        if now < self._suspected_until.get(replica, now):
+            self._held_since.pop(replica, None)
             return Telling.TELL
-        self._doubted_until.pop(replica, None)
-        if now - self._kept_since.setdefault(replica, now) < KEPT_S:
+        self._suspected_until.pop(replica, None)
+        if now - self._held_since.setdefault(replica, now) < OUTCOME_HOLD_S:
             return Telling.KEEP
-        del self._kept_since[replica]
+        del self._held_since[replica]
         return Telling.DROP
--- a/packages/policy/src/gradelug_policy/permits.py
+++ b/packages/policy/src/gradelug_policy/permits.py
@@ -5,7 +5,7 @@
 import typing as t
 from dataclasses import dataclass
 
-PERMIT_LIMIT_S = 30.0
+PERMIT_TTL_S = 30.0
 """A permit whose holder has died lapses after this long."""
 
 
@@ -40,7 +40,15 @@
         The present moment.
     """
 
-    __slots__ = ("_burst", "_live", "_next", "_parallel", "_rate", "_tokens", "_updated_at")
+    __slots__ = (
+        "_burst",
+        "_expiry_by_permit",
+        "_next_number",
+        "_parallel",
+        "_rate",
+        "_tokens",
+        "_updated_at",
+    )
 
     def __init__(self, rate: float, parallel: int, now: float) -> None:
         self._rate = rate
@@ -48,8 +56,8 @@
         self._burst = max(1.0, rate)
         self._tokens = 1.0
         self._updated_at = now
-        self._live: dict[int, float] = {}
-        self._next = 1
+        self._expiry_by_permit: dict[int, float] = {}
+        self._next_number = 1
 
     def limit(self, rate: float, parallel: int) -> None:
         """Change the limits."""
@@ -59,17 +67,17 @@
     def try_take(self, now: float) -> int:
         """Return the number of a new permit, or 0 if the store is at its limit."""
         self._refill(now)
-        if self._tokens < 1 or len(self._live) >= self._parallel:
+        if self._tokens < 1 or len(self._expiry_by_permit) >= self._parallel:
             return 0
         self._tokens -= 1
-        number = self._next
-        self._next += 1
-        self._live[number] = now + PERMIT_LIMIT_S
+        number = self._next_number
+        self._next_number += 1
+        self._expiry_by_permit[number] = now + PERMIT_TTL_S
         return number
 
     def end(self, number: int) -> None:
         """Give a permit back."""
-        self._live.pop(number, None)
+        self._expiry_by_permit.pop(number, None)
 
     def next_at(self, now: float) -> float:
         """Return the seconds until a token is there; 0 if only a place is missing."""
@@ -79,8 +87,8 @@
     def _refill(self, now: float) -> None:
         self._tokens = min(self._burst, self._tokens + (now - self._updated_at) * self._rate)
         self._updated_at = now
-        for number in [number for number, until in self._live.items() if until <= now]:
-            del self._live[number]
+        for number in [number for number, until in self._expiry_by_permit.items() if until <= now]:
+            del self._expiry_by_permit[number]
 
 
 def most_urgent(requests: t.Iterable[PermitRequest]) -> PermitRequest | None:
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -28,13 +28,13 @@
 WAITING = 0.5
 """Of one of which nothing had come where a stream's head is sent as it begins: most such wait. Six
 ends are enough."""
-ENOUGH = 3.0
+BLOCK_SCORE = 3.0
 """A request with this score is blocked: three ends that nothing else explains. Two happen to a
 request of a crowded batch whose engines end for reasons of their own."""
-MARGIN = 0.5
+MIN_SCORE_LEAD = 0.5
 """No other request at the same ends may come as near to its score as this: the difference between
 waiting and having begun, once."""
-CERTAIN = 5.0
+CERTAIN_BLOCK_SCORE = 5.0
 """With this score it is blocked whoever was there beside it."""
 SUSPECT = 2.0
 """From this score on all gateways know of it: one further end may be enough."""
@@ -44,15 +44,15 @@
 REMEMBERED_S = 600.0
 """An end that blocked nobody is forgotten after this: a request that comes again comes within the
 time of a few retries, or of a job that runs each minute or two."""
-HOLDS_S = 3600.0
+BLOCK_TTL_S = 3600.0
 """A request stays blocked this long: its caller has had to change it by then, or the engines have
 been repaired, and one that still ends them costs three of them an hour."""
-MOST_ENDS = 128
-MOST_MARKS = 96
+MAX_ENDS = 128
+MAX_REQUESTS_PER_END = 96
 """Requests remembered of one end, those of the most weight: the slots of an engine."""
-MOST_BLOCKED = 128
+MAX_BLOCKED = 128
 """Each cost three engines, 384 in an hour: whoever has more to block has no engines left."""
-MOST_SUSPECTS = 64
+MAX_SUSPECTS = 64
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Finding:
+class BlockedRequest:
     """A request that is blocked from now on.
 
     Parameters
@@ -115,14 +115,14 @@
         now : float
             When it ended, by the runtime's clock.
         """
-        found = self._ends.get(end)
-        if found is None:
-            found = self._ends[end] = _End(now)
-            while len(self._ends) > MOST_ENDS:
+        crashing = self._ends.get(end)
+        if crashing is None:
+            crashing = self._ends[end] = _End(now)
+            while len(self._ends) > MAX_ENDS:
                 del self._ends[next(iter(self._ends))]
-        weights = found.weights
+        weights = crashing.weights
         weights[mark] = max(weight, weights.get(mark, 0.0))
-        if len(weights) > MOST_MARKS:
+        if len(weights) > MAX_REQUESTS_PER_END:
             del weights[min(weights, key=weights.__getitem__)]
 
     def note_served(self, mark: bytes) -> bool:
@@ -135,10 +135,10 @@
     def block(self, mark: bytes, weight: float, now: float) -> None:
         """Block a request that was found before, by another judge."""
         self._blocked.setdefault(mark, _Blocked(now, weight))
-        while len(self._blocked) > MOST_BLOCKED:
+        while len(self._blocked) > MAX_BLOCKED:
             del self._blocked[next(iter(self._blocked))]
 
-    def judge(self, now: float, gather_s: float = 0.0) -> list[Finding]:
+    def judge(self, now: float, gather_s: float = 0.0) -> list[BlockedRequest]:
         """Block those that are found now, and return them.
 
         Parameters
@@ -147,18 +147,18 @@
             Ends of the last so many seconds do not count yet, in seconds.
         """
         self._forget(now)
-        findings: list[Finding] = []
+        findings: list[BlockedRequest] = []
         while True:
             scores = self._scores(now - gather_s)
-            found = [mark for mark, score in scores.items() if score >= CERTAIN]
-            if not found:
-                best = self._best(scores, now - gather_s)
+            crashing = [mark for mark, score in scores.items() if score >= CERTAIN_BLOCK_SCORE]
+            if not crashing:
+                best = self._find_culprit(scores, now - gather_s)
                 if best is None:
                     return findings
-                found = [best]
-            for mark in found:
+                crashing = [best]
+            for mark in crashing:
                 weights = [end.weights[mark] for end in self._ends_of(mark)]
-                findings.append(Finding(mark, len(weights), scores[mark]))
+                findings.append(BlockedRequest(mark, len(weights), scores[mark]))
                 self.block(mark, max(weights), now)
 
     def is_gathering(self, now: float, gather_s: float) -> bool:
@@ -172,7 +172,7 @@
     def suspects(self) -> dict[bytes, float]:
         """Return the requests that one further end may block, the most suspect first."""
         scores = self._scores(math.inf)
-        marks = sorted(scores, key=lambda mark: -scores[mark])[:MOST_SUSPECTS]
+        marks = sorted(scores, key=lambda mark: -scores[mark])[:MAX_SUSPECTS]
         return {mark: scores[mark] for mark in marks if scores[mark] >= SUSPECT}
 
     def ends_of(self, mark: bytes) -> dict[str, float]:
@@ -189,18 +189,24 @@
             if now - end.at > REMEMBERED_S:
                 del self._ends[name]
         for mark, blocked in list(self._blocked.items()):
-            if now - blocked.since > HOLDS_S:
+            if now - blocked.since > BLOCK_TTL_S:
                 del self._blocked[mark]
 
-    def _best(self, scores: t.Mapping[bytes, float], until: float) -> bytes | None:
+    def _find_culprit(self, scores: t.Mapping[bytes, float], until: float) -> bytes | None:
         """Return one with enough against it, if no other explains its ends as well."""
-        enough = [mark for mark, score in scores.items() if score >= ENOUGH]
-        for mark in sorted(enough, key=lambda mark: -scores[mark]):
-            rivals = {
-                rival for end in self._ends_of(mark) if end.at <= until for rival in end.weights
+        candidates = [mark for mark, score in scores.items() if score >= BLOCK_SCORE]
+        for mark in sorted(candidates, key=lambda mark: -scores[mark]):
+            others = {
+                other_mark
+                for end in self._ends_of(mark)
+                if end.at <= until
+                for other_mark in end.weights
             }
-            rivals -= {mark, *self._blocked}
-            if all(scores.get(rival, 0.0) <= scores[mark] - MARGIN for rival in rivals):
+            others -= {mark, *self._blocked}
+            if all(
+                scores.get(other_mark, 0.0) <= scores[mark] - MIN_SCORE_LEAD
+                for other_mark in others
+            ):
                 return mark
         return None
 
--- a/packages/policy/src/gradelug_policy/queue.py
+++ b/packages/policy/src/gradelug_policy/queue.py
@@ -4,11 +4,11 @@
 
 import math
 
-AGEING_S = 2.0
+AGING_S = 2.0
 """A wait of this many seconds lifts a request as much as doubling its weight does."""
 
 
-def priority(weight: float, waited_s: float, ageing_s: float = AGEING_S) -> float:
+def priority(weight: float, waited_s: float, ageing_s: float = AGING_S) -> float:
     """Return a request's priority; greater goes first.
 
     A request twice as weighty is served as if it had come `ageing_s` seconds earlier, so the
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -11,21 +11,21 @@
 import typing as t
 from dataclasses import dataclass, replace
 
-from .contention import Contest, Standing
+from .contention import QuotaArbiter, RetryState
 from .popularity import Popularity
-from .refusals import ANYBODY, Caller, Refusals
+from .refusals import UNKNOWN_CALLER, Caller, Refusals
 
-LEAST_BURST_S = 0.5
+MIN_BURST_S = 0.5
 """A bucket holds at least what its rate brings in this time, in seconds: requests come in clumps,
 and a quota without a burst would refuse one of two that come together."""
 SHARE_HALF_LIFE_S = 4.0
 """Shares follow what an instance has used lately; clients stay with an instance for seconds."""
-BASE_PART = 0.1
+EVEN_SHARE_FRACTION = 0.1
 """Part of the rate that is shared out evenly: an instance that has used little may use some."""
-LENT_S = 6.0
+SHARE_TTL_S = 6.0
 """How long a share holds that an instance was told, in seconds: a planner is replaced within 2 to
 4 s, and where the platform's service was away as well."""
-TOLD_S = 0.5
+MAX_ANSWER_DELAY_S = 0.5
 """An instance counts its share from its answer's arrival, which was this much earlier at most."""
 
 
@@ -37,7 +37,7 @@
     burst: float
 
 
-class ToldShare(t.NamedTuple):
+class GrantedShare(t.NamedTuple):
     """What an instance may use while nobody answers it: tokens a second, and until when."""
 
     rate: float
@@ -57,7 +57,7 @@
         By the runtime's clock. The bucket starts empty: what was granted before is not known.
     """
 
-    __slots__ = ("_at", "_level", "_lent", "_promised", "scale", "terms")
+    __slots__ = ("_at", "_level", "_deducted", "_reserved", "scale", "terms")
 
     def __init__(self, terms: QuotaTerms, now: float) -> None:
         self.terms = terms
@@ -65,15 +65,15 @@
         """Part of the rate that is granted here."""
         self._at = now
         self._level = 0.0
-        self._promised = 0.0
+        self._reserved = 0.0
         """Tokens of refused requests that were told to come back and have not had time to."""
-        self._lent: dict[str, ToldShare] = {}
+        self._deducted: dict[str, GrantedShare] = {}
         """What instances use without asking."""
 
     @property
     def capacity(self) -> float:
         """The most tokens that are saved up."""
-        return max(self.terms.burst, self.terms.rate * LEAST_BURST_S)
+        return max(self.terms.burst, self.terms.rate * MIN_BURST_S)
 
     @property
     def level(self) -> float:
@@ -81,19 +81,21 @@
         return self._level
 
     @property
-    def earning(self) -> float:
+    def refill_rate(self) -> float:
         """Tokens that come in a second, without what instances use that do not ask."""
-        lent = sum(share.rate for share in self._lent.values())
-        return max(0.0, self.terms.rate * self.scale - lent)
+        deducted = sum(share.rate for share in self._deducted.values())
+        return max(0.0, self.terms.rate * self.scale - deducted)
 
     def settle(self, now: float) -> None:
         """Take the time that has passed into account."""
         passed_s = now - self._at
         self._at = now
-        earned = self.earning * passed_s
-        self._lent = {name: share for name, share in self._lent.items() if share.until > now}
+        earned = self.refill_rate * passed_s
+        self._deducted = {
+            name: share for name, share in self._deducted.items() if share.until > now
+        }
         self._level = min(self.capacity, self._level + earned)
-        self._promised = max(0.0, self._promised - earned)
+        self._reserved = max(0.0, self._reserved - earned)
 
     def try_take(self, amount: float, now: float, needed: float | None = None) -> bool:
         """Take tokens if they are there, or as many as are `needed` for it."""
@@ -108,25 +110,25 @@
         self.settle(now)
         self._level = min(self.capacity, self._level + amount)
 
-    def promise_s(self, amount: float, now: float) -> float:
+    def reserve_retry_s(self, amount: float, now: float) -> float:
         """Return when a refused request may come back, in seconds, behind those refused before."""
         self.settle(now)
-        self._promised += amount
-        return max(0.0, self._promised - self._level) / self.terms.rate
+        self._reserved += amount
+        return max(0.0, self._reserved - self._level) / self.terms.rate
 
-    def lend(self, instance: str, share: ToldShare, now: float) -> None:
+    def deduct_share(self, instance: str, share: GrantedShare, now: float) -> None:
         """Grant so much less while an instance that is not heard of may use its share."""
         self.settle(now)
-        self._lent[instance] = share
+        self._deducted[instance] = share
 
-    def reclaim(self, instance: str, now: float) -> None:
+    def restore_share(self, instance: str, now: float) -> None:
         """Note that an instance asks again."""
         self.settle(now)
-        self._lent.pop(instance, None)
+        self._deducted.pop(instance, None)
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaVerdict:
+class QuotaDecision:
     """What an instance is told of a request.
 
     Parameters
@@ -148,51 +150,51 @@
     share: float
     level: float = 0.0
     needed: float = 0.0
-    standing: Standing = Standing.FIRST
+    standing: RetryState = RetryState.FIRST
 
 
 class _Account:
     """Grants and shares of one organisation."""
 
-    __slots__ = ("_contest", "_reported", "_told", "_uses", "bucket")
+    __slots__ = ("_arbiter", "_reported_rates", "_shares", "_usage", "bucket")
 
-    def __init__(self, terms: QuotaTerms, now: float, contest: Contest | None) -> None:
+    def __init__(self, terms: QuotaTerms, now: float, arbiter: QuotaArbiter | None) -> None:
         self.bucket = QuotaBucket(terms, now)
-        self._contest = contest
-        self._uses = Popularity(SHARE_HALF_LIFE_S)
-        self._told: dict[str, ToldShare] = {}
-        self._reported: dict[str, float] = {}
+        self._arbiter = arbiter
+        self._usage = Popularity(SHARE_HALF_LIFE_S)
+        self._shares: dict[str, GrantedShare] = {}
+        self._reported_rates: dict[str, float] = {}
 
-    def ask(self, instance: str, amount: float, caller: Caller, now: float) -> QuotaVerdict:
+    def ask(self, instance: str, amount: float, caller: Caller, now: float) -> QuotaDecision:
         """Return a verdict without a share."""
-        if self._contest is None:
-            return self._first_come(instance, amount, now)
+        if self._arbiter is None:
+            return self._ask_first_come(instance, amount, now)
         bucket = self.bucket
         bucket.settle(now)
-        claim = self._contest.enter(amount, caller, bucket.earning, bucket.capacity, now)
+        claim = self._arbiter.enter(amount, caller, bucket.refill_rate, bucket.capacity, now)
         level = bucket.level
         if bucket.try_take(amount, now, claim.needed):
-            self._uses.note(instance, now, amount)
-            self._contest.note_granted(claim, caller, now)
-            return QuotaVerdict(True, 0.0, 0.0, level, claim.needed, claim.standing)
-        rate = max(bucket.earning, BASE_PART * bucket.terms.rate)
-        retry_s = self._contest.refuse(claim, caller, rate, level, now)
-        return QuotaVerdict(False, retry_s, 0.0, level, claim.needed, claim.standing)
-
-    def _first_come(self, instance: str, amount: float, now: float) -> QuotaVerdict:
+            self._usage.note(instance, now, amount)
+            self._arbiter.record_grant(claim, caller, now)
+            return QuotaDecision(True, 0.0, 0.0, level, claim.needed, claim.standing)
+        rate = max(bucket.refill_rate, EVEN_SHARE_FRACTION * bucket.terms.rate)
+        retry_s = self._arbiter.refuse(claim, caller, rate, level, now)
+        return QuotaDecision(False, retry_s, 0.0, level, claim.needed, claim.standing)
+
+    def _ask_first_come(self, instance: str, amount: float, now: float) -> QuotaDecision:
         if self.bucket.try_take(amount, now):
-            self._uses.note(instance, now, amount)
-            return QuotaVerdict(True, 0.0, 0.0)
-        return QuotaVerdict(False, self.bucket.promise_s(amount, now), 0.0)
+            self._usage.note(instance, now, amount)
+            return QuotaDecision(True, 0.0, 0.0)
+        return QuotaDecision(False, self.bucket.reserve_retry_s(amount, now), 0.0)
 
-    def report(self, instance: str, share: ToldShare) -> None:
-        self._reported[instance] = share.rate
-        self._told[instance] = share
+    def report(self, instance: str, share: GrantedShare) -> None:
+        self._reported_rates[instance] = share.rate
+        self._shares[instance] = share
 
     def leave(self, instance: str, now: float) -> None:
-        share = self._told.get(instance)
+        share = self._shares.get(instance)
         if share is not None:
-            self.bucket.lend(instance, share, now)
+            self.bucket.deduct_share(instance, share, now)
 
     def share(self, instance: str, instances: int, now: float) -> float:
         """Return a share; those that hold at a moment never add up to more than the rate.
@@ -200,18 +202,24 @@
         Where instances are missing that another home may have told shares, not to more than the
         part of the rate that is granted here.
         """
-        self._told = {name: told for name, told in self._told.items() if told.until > now}
-        names = {instance, *self._told}
-        total = sum(self._uses.rate(name, now) for name in names)
-        used = self._uses.rate(instance, now) / total if total else 0.0
-        wanted = BASE_PART / max(1, instances) + (1 - BASE_PART) * used
-        others = sum(told.rate for name, told in self._told.items() if name != instance)
+        self._shares = {
+            name: other_share
+            for name, other_share in self._shares.items()
+            if other_share.until > now
+        }
+        names = {instance, *self._shares}
+        total = sum(self._usage.rate(name, now) for name in names)
+        used = self._usage.rate(instance, now) / total if total else 0.0
+        wanted_fraction = EVEN_SHARE_FRACTION / max(1, instances) + (1 - EVEN_SHARE_FRACTION) * used
+        others = sum(
+            other_share.rate for name, other_share in self._shares.items() if name != instance
+        )
         rate = self.bucket.terms.rate
-        share = max(0.0, min(wanted * rate, self.bucket.scale * rate - others))
-        self._told[instance] = ToldShare(share, now + LENT_S)
+        share = max(0.0, min(wanted_fraction * rate, self.bucket.scale * rate - others))
+        self._shares[instance] = GrantedShare(share, now + SHARE_TTL_S)
         return share
 
-    def known_part(self, joined: float) -> float:
+    def known_fraction(self, joined_count: float) -> float:
         """Return which part of the rate nobody else uses, as far as can be known.
 
         Parameters
@@ -219,9 +227,9 @@
         joined : float
             Part of all instances that ask here.
         """
-        if not self._reported:
-            return joined
-        return min(1.0, sum(self._reported.values()) / self.bucket.terms.rate)
+        if not self._reported_rates:
+            return joined_count
+        return min(1.0, sum(self._reported_rates.values()) / self.bucket.terms.rate)
 
 
 class QuotaHome:
@@ -241,7 +249,7 @@
 
     __slots__ = (
         "_accounts",
-        "_began_at",
+        "_started_at",
         "_expected",
         "_instances",
         "_refusals",
@@ -252,19 +260,19 @@
     def __init__(self, now: float, expected: int = 0, urgent_first: bool = True) -> None:
         self._urgent_first = urgent_first
         self._refusals = Refusals()
-        self._began_at = now
+        self._started_at = now
         self._expected = expected
         self._instances: set[str] = set()
-        self._reports: dict[str, dict[str, ToldShare]] = {}
+        self._reports: dict[str, dict[str, GrantedShare]] = {}
         self._accounts: dict[str, _Account] = {}
 
     def join(self, instance: str, shares: t.Mapping[str, float], now: float) -> None:
         """Note that an instance asks here from now on, and the shares that it has."""
         self._instances.add(instance)
         for account in self._accounts.values():
-            account.bucket.reclaim(instance, now)
+            account.bucket.restore_share(instance, now)
         for organisation, rate in shares.items():
-            share = ToldShare(rate, now + LENT_S)
+            share = GrantedShare(rate, now + SHARE_TTL_S)
             self._reports.setdefault(organisation, {})[instance] = share
             if organisation in self._accounts:
                 self._accounts[organisation].report(instance, share)
@@ -282,8 +290,8 @@
         terms: QuotaTerms,
         amount: float,
         now: float,
-        caller: Caller = ANYBODY,
-    ) -> QuotaVerdict:
+        caller: Caller = UNKNOWN_CALLER,
+    ) -> QuotaDecision:
         """Return whether a request of an organisation may run.
 
         Parameters
@@ -317,8 +325,8 @@
         account = self._accounts.get(organisation)
         if account is None:
             # An organisation that has sent nothing so far has saved up since the home began.
-            contest = Contest(organisation, self._refusals) if self._urgent_first else None
-            account = self._accounts[organisation] = _Account(terms, self._began_at, contest)
+            arbiter = QuotaArbiter(organisation, self._refusals) if self._urgent_first else None
+            account = self._accounts[organisation] = _Account(terms, self._started_at, arbiter)
             for instance, share in self._reports.get(organisation, {}).items():
                 account.report(instance, share)
         if account.bucket.terms != terms:
@@ -328,10 +336,10 @@
         return account
 
     def _scale(self, account: _Account, now: float) -> float:
-        joined = len(self._instances)
-        if now - self._began_at >= LENT_S or joined >= self._expected:
+        joined_count = len(self._instances)
+        if now - self._started_at >= SHARE_TTL_S or joined_count >= self._expected:
             return 1.0
-        return account.known_part(joined / self._expected)
+        return account.known_fraction(joined_count / self._expected)
 
 
 class LocalShares:
@@ -354,16 +362,16 @@
     def note_told(self, organisation: str, rate: float, now: float) -> None:
         """Take over a share that the home tells."""
         self._lost_at = math.inf
-        until = now + LENT_S - TOLD_S
-        self._shares[organisation] = _LocalShare(ToldShare(rate, until), 0.0, now)
+        until = now + SHARE_TTL_S - MAX_ANSWER_DELAY_S
+        self._shares[organisation] = _LocalShare(GrantedShare(rate, until), 0.0, now)
 
     def try_take(self, organisation: str, amount: float, now: float) -> bool:
         """Take tokens if they are there and the share still holds."""
-        saved = self._saved(organisation, now)
+        saved_tokens = self._saved_tokens(organisation, now)
         known = self._shares.get(organisation)
-        if known is None or now > known.share.until or saved < amount:
+        if known is None or now > known.share.until or saved_tokens < amount:
             return False
-        self._shares[organisation] = _LocalShare(known.share, saved - amount, now)
+        self._shares[organisation] = _LocalShare(known.share, saved_tokens - amount, now)
         return True
 
     def holding(self, now: float) -> dict[str, float]:
@@ -374,16 +382,16 @@
             if now <= known.share.until
         }
 
-    def _saved(self, organisation: str, now: float) -> float:
+    def _saved_tokens(self, organisation: str, now: float) -> float:
         known = self._shares.get(organisation)
         if known is None:
             return 0.0
-        since = max(known.at, self._lost_at)
-        earned = known.share.rate * max(0.0, min(now, known.share.until) - since)
-        return min(known.share.rate * LENT_S, known.saved + earned)
+        start = max(known.at, self._lost_at)
+        earned = known.share.rate * max(0.0, min(now, known.share.until) - start)
+        return min(known.share.rate * SHARE_TTL_S, known.saved_tokens + earned)
 
 
 class _LocalShare(t.NamedTuple):
-    share: ToldShare
-    saved: float
+    share: GrantedShare
+    saved_tokens: float
     at: float
--- a/packages/policy/src/gradelug_policy/refusals.py
+++ b/packages/policy/src/gradelug_policy/refusals.py
@@ -10,10 +10,10 @@
 import math
 import typing as t
 
-SAME_S = 0.06
+MATCH_TOLERANCE_S = 0.06
 """Moments until which two tries wait that differ by less, in seconds, are the same: a question may
 be on its way for as long as messages are gathered."""
-MOST_REFUSALS = 8_192
+MAX_REFUSALS = 8_192
 """So many are known of all organisations, 1 MB and a half; the oldest are forgotten."""
 
 
@@ -41,14 +41,14 @@
     mark: int = 0
 
 
-ANYBODY = Caller()
+UNKNOWN_CALLER = Caller()
 
 
-class Refusal(t.NamedTuple):
+class QuotaRefusal(t.NamedTuple):
     """What a refused caller was told, by the runtime's clock."""
 
     waits_until: float
-    told_until: float
+    retry_at: float
 
 
 class Refusals:
@@ -57,28 +57,28 @@
     __slots__ = ("_known",)
 
     def __init__(self) -> None:
-        self._known: dict[tuple[str, int], Refusal] = {}
+        self._known: dict[tuple[str, int], QuotaRefusal] = {}
 
     def __len__(self) -> int:
         return len(self._known)
 
-    def find(self, organisation: str, caller: Caller, now: float) -> Refusal | None:
+    def find(self, organisation: str, caller: Caller, now: float) -> QuotaRefusal | None:
         """Return what a caller was told before, None if it seems to be new."""
         if not caller.mark:
             return None
         known = self._known.get((organisation, caller.mark))
-        if known is None or abs(known.waits_until - now - caller.waits_s) > SAME_S:
+        if known is None or abs(known.waits_until - now - caller.waits_s) > MATCH_TOLERANCE_S:
             return None
         return known
 
-    def note(self, organisation: str, caller: Caller, told_until: float, now: float) -> None:
+    def note(self, organisation: str, caller: Caller, retry_at: float, now: float) -> None:
         """Note what a caller is told."""
         if not caller.mark or math.isinf(caller.waits_s):
             return
         name = organisation, caller.mark
         self._known.pop(name, None)
-        self._known[name] = Refusal(now + caller.waits_s, told_until)
-        if len(self._known) > MOST_REFUSALS:
+        self._known[name] = QuotaRefusal(now + caller.waits_s, retry_at)
+        if len(self._known) > MAX_REFUSALS:
             del self._known[next(iter(self._known))]
 
     def forget(self, organisation: str, caller: Caller) -> None:
--- a/packages/policy/src/gradelug_policy/replica_limits.py
+++ b/packages/policy/src/gradelug_policy/replica_limits.py
@@ -10,7 +10,7 @@
 import math
 import typing as t
 
-OVERTAKEN_S = 0.25
+REORDER_TOLERANCE_S = 0.25
 """An answer that names no limit ends one only if its request was sent so much later than the limit
 was heard, in seconds: an answer made before may arrive after."""
 
@@ -65,26 +65,26 @@
 
     def note(self, fact: LimitFact) -> bool:
         """Take over what an answer told; tell whether the limit is another one now."""
-        before = self.fact.rate
+        previous = self.fact.rate
         if fact.rate is None:
             self._note_none(fact)
-        elif before is None:
+        elif previous is None:
             if fact.heard_at > self.fact.sent_at:
                 self.fact, self.since = fact, fact.heard_at
         else:
-            self._note_rate(fact, before)
-        return self.fact.rate != before
+            self._note_rate(fact, previous)
+        return self.fact.rate != previous
 
     def _note_none(self, fact: LimitFact) -> None:
-        if self.fact.rate is None or fact.sent_at >= self.fact.heard_at + OVERTAKEN_S:
-            self.fact = max(self.fact, fact, key=lambda one: one.sent_at)
+        if self.fact.rate is None or fact.sent_at >= self.fact.heard_at + REORDER_TOLERANCE_S:
+            self.fact = max(self.fact, fact, key=lambda candidate: candidate.sent_at)
 
-    def _note_rate(self, fact: LimitFact, before: float) -> None:
+    def _note_rate(self, fact: LimitFact, previous: float) -> None:
         """Of two answers of which either may be the newer one, the lower limit holds."""
         rate = fact.rate
         if rate is None or fact.heard_at < self.fact.sent_at:
             return
         if fact.sent_at < self.fact.heard_at:
-            rate = min(rate, before)
+            rate = min(rate, previous)
         heard_at = max(fact.heard_at, self.fact.heard_at)
         self.fact = LimitFact(rate, max(fact.sent_at, self.fact.sent_at), heard_at)
--- a/packages/policy/src/gradelug_policy/replica_room.py
+++ b/packages/policy/src/gradelug_policy/replica_room.py
@@ -20,7 +20,7 @@
 """Nobody is told to come back later than this: limits change."""
 OWN_PART = 0.8
 """Part of a limit that instances share while no planner grants room."""
-OWN_S = 1.0
+LOCAL_SLOT_TTL_S = 1.0
 """Seconds until an unused grant expires; saved grants would allow a burst."""
 
 
@@ -79,21 +79,21 @@
         By the runtime's clock. There is no room at first: what was sent before is not known.
     """
 
-    __slots__ = ("_at", "_level", "_line", "_numbers", "_promised", "_rate")
+    __slots__ = ("_at", "_level", "_queue", "_arrivals", "_reserved", "_rate")
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = max(LEAST_RATE, rate)
         self._at = now
         self._level = 0.0
-        self._promised = 0.0
+        self._reserved = 0.0
         """Refused requests that were told to come back and have not had time to."""
-        self._numbers = itertools.count()
-        self._line: list[tuple[tuple[bool, int, float, int], Applicant]] = []
+        self._arrivals = itertools.count()
+        self._queue: list[tuple[tuple[bool, int, float, int], Applicant]] = []
 
     @property
     def waiting(self) -> int:
         """How many requests wait for room."""
-        return len(self._line)
+        return len(self._queue)
 
     def rename(self, rate: float, now: float) -> None:
         """Go on under another limit."""
@@ -104,7 +104,7 @@
     def try_take(self, now: float) -> bool:
         """Take room for one request if there is any and nobody waits for it."""
         self._settle(now)
-        if self._line or self._level < 1:
+        if self._queue or self._level < 1:
             return False
         self._level -= 1
         return True
@@ -112,45 +112,45 @@
     def ready_s(self, now: float) -> float:
         """Return when there is room for one request more, in seconds."""
         self._settle(now)
-        return max(0.0, len(self._line) + 1 - self._level) / self._rate
+        return max(0.0, len(self._queue) + 1 - self._level) / self._rate
 
     def apply(self, applicant: Applicant, now: float) -> list[Ruling]:
         """Let a request wait for room; return what is settled by that."""
-        place = (not applicant.begun, applicant.rank, -applicant.value, next(self._numbers))
-        self._line.append((place, applicant))
-        self._line.sort(key=lambda entry: entry[0])
+        sort_key = (not applicant.begun, applicant.rank, -applicant.value, next(self._arrivals))
+        self._queue.append((sort_key, applicant))
+        self._queue.sort(key=lambda entry: entry[0])
         return self.rule(now)
 
     def withdraw(self, tickets: t.Container[t.Hashable]) -> None:
         """Forget requests that do not wait any more."""
-        self._line = [entry for entry in self._line if entry[1].ticket not in tickets]
+        self._queue = [entry for entry in self._queue if entry[1].ticket not in tickets]
 
     def rule(self, now: float) -> list[Ruling]:
         """Grant what room there is, and refuse whoever there will be none for in time."""
         self._settle(now)
         rulings = []
-        while self._line and self._level >= 1:
+        while self._queue and self._level >= 1:
             self._level -= 1
-            rulings.append(Ruling(self._line.pop(0)[1], True))
+            rulings.append(Ruling(self._queue.pop(0)[1], True))
         kept: list[tuple[tuple[bool, int, float, int], Applicant]] = []
-        for entry in self._line:
+        for entry in self._queue:
             ready_at = now + (len(kept) + 1 - self._level) / self._rate
             if ready_at <= entry[1].until:
                 kept.append(entry)
             else:
                 rulings.append(Ruling(entry[1], False, self._retry_s(entry[1], len(kept), now)))
-        self._line = kept
+        self._queue = kept
         return rulings
 
     def release(self) -> list[Ruling]:
         """Let all that wait go: the replica names no limit any more."""
-        rulings = [Ruling(applicant, True) for _, applicant in self._line]
-        self._line = []
+        rulings = [Ruling(applicant, True) for _, applicant in self._queue]
+        self._queue = []
         return rulings
 
     def next_s(self, now: float) -> float | None:
         """Return when the first of those that wait has room, in seconds; None if nobody waits."""
-        if not self._line:
+        if not self._queue:
             return None
         self._settle(now)
         return max(0.0, 1 - self._level) / self._rate
@@ -160,19 +160,19 @@
         return 1 + BURST_S * self._rate
 
     def _settle(self, now: float) -> None:
-        earned = max(0.0, now - self._at) * self._rate
+        refilled = max(0.0, now - self._at) * self._rate
         self._at = max(self._at, now)
-        self._level = min(self._capacity, self._level + earned)
-        self._promised = max(0.0, self._promised - earned)
+        self._level = min(self._capacity, self._level + refilled)
+        self._reserved = max(0.0, self._reserved - refilled)
 
-    def _retry_s(self, applicant: Applicant, ahead: int, now: float) -> float:
+    def _retry_s(self, applicant: Applicant, queued_before: int, now: float) -> float:
         """Return when a refused request may come back, behind those refused before.
 
         One that did not wait goes elsewhere and does not come back.
         """
-        needed = ahead + self._promised + 1 - self._level
+        needed = queued_before + self._reserved + 1 - self._level
         if applicant.until > now:
-            self._promised += 1
+            self._reserved += 1
         return min(LONGEST_RETRY_S, max(0.0, needed) / self._rate)
 
 
@@ -194,30 +194,30 @@
         Whether a turn is kept until it is used; the replica's limit must be kept by others then.
     """
 
-    __slots__ = ("_keeps", "_next_at", "period_s")
+    __slots__ = ("_keeps_unused", "_next_slot_at", "period_s")
 
     def __init__(self, share: float, phase: float, now: float, keeps: bool = False) -> None:
-        self._keeps = keeps
+        self._keeps_unused = keeps
         self.period_s = 1 / share
         """Time between two turns, in seconds."""
-        self._next_at = now + phase * self.period_s
+        self._next_slot_at = now + phase * self.period_s
 
     def is_due(self, now: float) -> bool:
         """Tell whether there is a turn now."""
-        if not self._keeps and now >= self._next_at + OWN_S:
-            passed = int((now - self._next_at) / self.period_s)
-            self._next_at += passed * self.period_s
-            if now >= self._next_at + OWN_S:
-                self._next_at += self.period_s
-        return now >= self._next_at
+        if not self._keeps_unused and now >= self._next_slot_at + LOCAL_SLOT_TTL_S:
+            passed = int((now - self._next_slot_at) / self.period_s)
+            self._next_slot_at += passed * self.period_s
+            if now >= self._next_slot_at + LOCAL_SLOT_TTL_S:
+                self._next_slot_at += self.period_s
+        return now >= self._next_slot_at
 
     def take(self, now: float) -> bool:
         """Use a turn if there is one."""
         if not self.is_due(now):
             return False
-        self._next_at = max(self._next_at, now - self.period_s) + self.period_s
+        self._next_slot_at = max(self._next_slot_at, now - self.period_s) + self.period_s
         return True
 
     def give_back(self, at: float) -> None:
         """Have a turn that came to nothing again at a moment, if none comes before."""
-        self._next_at = min(self._next_at, at)
+        self._next_slot_at = min(self._next_slot_at, at)
--- a/packages/policy/src/gradelug_policy/rests.py
+++ b/packages/policy/src/gradelug_policy/rests.py
@@ -38,11 +38,11 @@
         Draws when this instance comes back after a rest.
     """
 
-    __slots__ = ("_rng", "_until")
+    __slots__ = ("_rng", "_ends_at")
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._until: dict[t.Hashable, float] = {}
+        self._ends_at: dict[t.Hashable, float] = {}
 
     def note(self, life: t.Hashable, rest_s: float, now: float) -> bool:
         """Note that a life of a replica asks for rest; tell whether it was not resting before.
@@ -50,22 +50,22 @@
         The latest end applies, because each request for rest has to be respected.
         """
         was_resting = self.left_s(life, now) > 0
-        back_s = self._rng.uniform(0.0, min(RETURN_S, rest_s))
-        until = now + rest_s + back_s
-        self._until[life] = max(until, self._until.get(life, -math.inf))
+        jitter_s = self._rng.uniform(0.0, min(RETURN_S, rest_s))
+        ends_at = now + rest_s + jitter_s
+        self._ends_at[life] = max(ends_at, self._ends_at.get(life, -math.inf))
         return not was_resting
 
     def left_s(self, life: t.Hashable, now: float) -> float:
         """Return for how long nothing may be sent to a life of a replica, in seconds."""
-        return max(0.0, self._until.get(life, now) - now)
+        return max(0.0, self._ends_at.get(life, now) - now)
 
     def __len__(self) -> int:
-        return len(self._until)
+        return len(self._ends_at)
 
     def keep(self, now: float) -> None:
         """Drop the rests that are over."""
-        self._until = {life: until for life, until in self._until.items() if until > now}
+        self._ends_at = {life: ends_at for life, ends_at in self._ends_at.items() if ends_at > now}
 
     def count(self, now: float) -> int:
         """Return how many replicas rest."""
-        return sum(until > now for until in self._until.values())
+        return sum(ends_at > now for ends_at in self._ends_at.values())
--- a/packages/policy/src/gradelug_policy/retries.py
+++ b/packages/policy/src/gradelug_policy/retries.py
@@ -5,7 +5,7 @@
 from collections import deque
 from enum import Enum
 
-KEPT_PART = 0.5
+MAX_RESERVED_RETRY_FRACTION = 0.5
 """At most this part of what a window allows is kept for those that end failed without."""
 RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
@@ -69,14 +69,14 @@
         Length of the window, in seconds.
     """
 
-    __slots__ = ("_ratio", "_requests", "_rescues", "_retries", "_window_s", "extra")
+    __slots__ = ("_ratio", "_requests", "_possibly_run_retries", "_retries", "_window_s", "extra")
 
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
         self._ratio = ratio
         self._window_s = window_s
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
-        self._rescues: deque[float] = deque()
+        self._possibly_run_retries: deque[float] = deque()
         """Those of requests that may have run."""
         self.extra = extra
 
@@ -96,8 +96,12 @@
             Whether the request has not run.
         """
         self._forget(now)
-        kept = min(len(self._rescues), KEPT_PART * self._allowed) if unrun else 0
-        return len(self._retries) + 1 + kept <= self._allowed
+        reserved = (
+            min(len(self._possibly_run_retries), MAX_RESERVED_RETRY_FRACTION * self._allowed)
+            if unrun
+            else 0
+        )
+        return len(self._retries) + 1 + reserved <= self._allowed
 
     def try_retry(self, now: float, unrun: bool = False) -> bool:
         """Take a retry from the window if there is one."""
@@ -105,17 +109,17 @@
             return False
         self._retries.append(now)
         if not unrun:
-            self._rescues.append(now)
+            self._possibly_run_retries.append(now)
         return True
 
     def next_s(self, now: float) -> float:
         """Return when there may be a retry again, in seconds, if nobody else asks."""
         self._forget(now)
-        lacking = len(self._retries) + 1 - self._allowed
-        earned_per_s = self._ratio * len(self._requests) / self._window_s
-        earned_s = lacking / earned_per_s if earned_per_s else self._window_s
+        missing = len(self._retries) + 1 - self._allowed
+        allowance_per_s = self._ratio * len(self._requests) / self._window_s
+        allowance_s = missing / allowance_per_s if allowance_per_s else self._window_s
         oldest_s = self._retries[0] + self._window_s - now if self._retries else self._window_s
-        return max(0.0, min(earned_s, oldest_s))
+        return max(0.0, min(allowance_s, oldest_s))
 
     @property
     def _allowed(self) -> float:
@@ -123,7 +127,7 @@
 
     def _forget(self, now: float) -> None:
         since = now - self._window_s
-        for times in (self._requests, self._retries, self._rescues):
+        for times in (self._requests, self._retries, self._possibly_run_retries):
             while times and times[0] <= since:
                 times.popleft()
 
@@ -147,14 +151,14 @@
         How long it stays open, in seconds.
     """
 
-    __slots__ = ("_failures", "_open_s", "_opened_at", "_threshold", "_trying_since")
+    __slots__ = ("_failures", "_open_s", "_opened_at", "_threshold", "_trial_started_at")
 
     def __init__(self, threshold: int = 3, open_s: float = 2.0) -> None:
         self._threshold = threshold
         self._open_s = open_s
         self._failures = 0
         self._opened_at = float("-inf")
-        self._trying_since = float("-inf")
+        self._trial_started_at = float("-inf")
 
     def state(self, now: float) -> CircuitState:
         """Return the state at this moment."""
@@ -168,18 +172,18 @@
         """Tell whether a request may be sent; does not count it."""
         state = self.state(now)
         if state is CircuitState.HALF_OPEN:
-            return now - self._trying_since >= self._open_s
+            return now - self._trial_started_at >= self._open_s
         return state is CircuitState.CLOSED
 
     def note_start(self, now: float) -> None:
         """Note that a request is being sent."""
         if self.state(now) is CircuitState.HALF_OPEN:
-            self._trying_since = now
+            self._trial_started_at = now
 
     def note_success(self) -> None:
         """Note an answer."""
         self._failures = 0
-        self._trying_since = float("-inf")
+        self._trial_started_at = float("-inf")
 
     def note_failure(self, now: float) -> None:
         """Note a failure."""
--- a/packages/policy/src/gradelug_policy/shares.py
+++ b/packages/policy/src/gradelug_policy/shares.py
@@ -16,18 +16,18 @@
 import typing as t
 from dataclasses import dataclass
 
-from .uses import KindUses, Party, Uses
+from .uses import KindUsage, Party, Uses
 
-HEADROOM = 1.5
+DEMAND_HEADROOM_FACTOR = 1.5
 """Who used something is reckoned to want so many times as much: usual use varies so. With none, an
 owner that floods would be within its part as soon as it had pushed the others back."""
-SLACK = 1.5
+OVERUSE_TOLERANCE_FACTOR = 1.5
 """An owner is over its part beyond so many times that: owners of the same right differ by as much
 without a flood, and none is held back then."""
-MOST_PART = 0.5
+DOMINANT_USE_FRACTION = 0.5
 """Who uses more than so much of all makes the others wait and not they it, however little they use,
 unless its weight is as great."""
-LAST_PART = 0.1
+FINAL_WAIT_FRACTION = 0.1
 """In this part of its time a request that goes after others may queue behind one at an engine: in
 a replay (30 engines, one seed) engines then make 2.6% less than without shares, and 3.3% less if it
 never may."""
@@ -101,7 +101,7 @@
         What they are entitled to.
     """
 
-    __slots__ = ("_total", "_used", "_weighed", "_weights", "level")
+    __slots__ = ("_total", "_used", "_total_weight", "_weights", "level")
 
     def __init__(
         self,
@@ -112,13 +112,18 @@
         self._used, self._weights = used, weights
         self._total = math.fsum(used.values())
         names = used.keys() | wanted.keys()
-        wishes = [
-            (weights.weight(name), HEADROOM * used.get(name, 0.0) + wanted.get(name, 0.0))
+        demands = [
+            (
+                weights.weight(name),
+                DEMAND_HEADROOM_FACTOR * used.get(name, 0.0) + wanted.get(name, 0.0),
+            )
             for name in names
         ]
-        self._weighed = math.fsum(weight for weight, _ in wishes) if len(names) > 1 else math.inf
+        self._total_weight = (
+            math.fsum(weight for weight, _ in demands) if len(names) > 1 else math.inf
+        )
         """Weight of all; infinite where there is only one, who shares with nobody."""
-        self.level = _fill(wishes, self._total)
+        self.level = _water_level(demands, self._total)
         """Tokens that one of weight 1 may use; infinite where all get what they want."""
 
     def spent(self, name: str) -> float:
@@ -132,11 +137,13 @@
     def is_over(self, name: str) -> bool:
         """Tell whether somebody used more than its part, or than all the others together."""
         used = self._used.get(name, 0.0)
-        if math.isinf(self._weighed) or not used:
+        if math.isinf(self._total_weight) or not used:
             return False
-        entitled = SLACK * self._total * self._weights.weight(name) / self._weighed
-        is_most = used > max(MOST_PART * self._total, entitled)
-        return is_most or self.spent(name) > SLACK * self.level
+        entitled = (
+            OVERUSE_TOLERANCE_FACTOR * self._total * self._weights.weight(name) / self._total_weight
+        )
+        is_dominant = used > max(DOMINANT_USE_FRACTION * self._total, entitled)
+        return is_dominant or self.spent(name) > OVERUSE_TOLERANCE_FACTOR * self.level
 
     def standing(self, name: str) -> Standing:
         """Return how somebody stands."""
@@ -146,11 +153,11 @@
         return Standing(self._used.get(name, 0.0) / self._total, min(1.0, fair))
 
 
-def _fill(wishes: t.Iterable[tuple[float, float]], total: float) -> float:
+def _water_level(demands: t.Iterable[tuple[float, float]], total: float) -> float:
     """Return up to which level a total serves all wishes, each of a weight and an amount."""
-    rising = sorted(wishes, key=lambda wish: wish[1] / wish[0])
-    weights = math.fsum(weight for weight, _ in rising)
-    for weight, amount in rising:
+    ordered = sorted(demands, key=lambda demand: demand[1] / demand[0])
+    weights = math.fsum(weight for weight, _ in ordered)
+    for weight, amount in ordered:
         if amount * weights > total * weight:
             return total / weights
         total -= amount
@@ -165,7 +172,7 @@
 
     def __init__(self) -> None:
         self.owners = Uses()
-        self._kinds = KindUses()
+        self._kinds = KindUsage()
 
     def note(self, party: Party, cost: float, now: float, is_full: bool = False) -> None:
         """Count what a request uses, in tokens; below 0 if it did not after all.
@@ -203,16 +210,16 @@
         All that wait.
     """
 
-    __slots__ = ("_least", "_over", "_waits", "kinds", "owners")
+    __slots__ = ("_min_urgency", "_over", "_compliant_waits", "kinds", "owners")
 
     def __init__(self, owners: Parts, kinds: frozenset[str], claims: t.Sequence[Claim]) -> None:
         self.owners = owners
         self.kinds = kinds
         waiting = {claim.party.owner for claim in claims}
         self._over = frozenset(owner for owner in waiting if owners.is_over(owner))
-        self._waits = len(self._over) < len(waiting)
+        self._compliant_waits = len(self._over) < len(waiting)
         """Whether a request waits whose owner is within its part."""
-        self._least = min(
+        self._min_urgency = min(
             (
                 claim.urgency
                 for claim in claims
@@ -229,8 +236,8 @@
     def yields(self, party: Party, urgency: int) -> bool:
         """Tell whether a request goes after some that wait: its owner or kind is over its part."""
         if self.is_over(party.owner):
-            return self._waits
-        return self._least <= urgency and party.kind in self.kinds
+            return self._compliant_waits
+        return self._min_urgency <= urgency and party.kind in self.kinds
 
 
 class Order(t.Protocol):
@@ -262,7 +269,7 @@
         )
 
 
-class ByCounters:
+class VirtualCounterOrder:
     """Virtual token counters under urgency: each time the owner of the least counter is next."""
 
     __slots__ = ()
@@ -271,13 +278,13 @@
         """Return all of them, the first to be served first."""
         counters: dict[str, float] = {}
         starts: dict[int, float] = {}
-        rising = sorted(claims, key=lambda claim: (claim.urgency, claim.since, claim.number))
-        for claim in rising:
+        ordered = sorted(claims, key=lambda claim: (claim.urgency, claim.since, claim.number))
+        for claim in ordered:
             # A request starts where those of its owner before it end.
             owner = claim.party.owner
             starts[claim.number] = counters.setdefault(owner, board.owners.spent(owner))
             counters[owner] += claim.cost / board.owners.weight(owner)
-        return sorted(rising, key=lambda claim: (claim.urgency, starts[claim.number]))
+        return sorted(ordered, key=lambda claim: (claim.urgency, starts[claim.number]))
 
 
 def ahead_s(left_part: float, news_s: float, end_s: float, is_claimed: bool) -> float:
@@ -298,7 +305,7 @@
     is_claimed : bool
         Whether somebody that goes before it waits for room on the same engine.
     """
-    return news_s + (end_s if left_part <= LAST_PART or not is_claimed else 0.0)
+    return news_s + (end_s if left_part <= FINAL_WAIT_FRACTION or not is_claimed else 0.0)
 
 
 def out_of_turn(left_s: t.Sequence[float], turns_per_s: float) -> list[int]:
--- a/packages/policy/src/gradelug_policy/standings.py
+++ b/packages/policy/src/gradelug_policy/standings.py
@@ -6,31 +6,31 @@
 import typing as t
 from enum import Enum
 
-from .outcomes import Ended, Evidence, Source
+from .outcomes import Ended, FailureEvidence, Source
 
-OPEN_S = 1.0
+MIN_OPEN_S = 1.0
 """How long nothing is sent after the first ejection, in seconds: connections and processes that
 come back do so within seconds."""
-MOST_OPEN_S = 8.0
+MAX_OPEN_S = 8.0
 """The same after many, each of which doubles it."""
 STRIKE_HALF_LIFE_S = 30.0
 """An earlier ejection counts half after this, in seconds: a replica that comes and goes does so
 several times a minute."""
-PROBE_S = 0.5
+PROBER_PERIOD_S = 0.5
 """How long one gateway is the prober, in seconds; then another one is, which may have requests."""
-PROBES = 4
+REQUIRED_PROBES = 4
 """Answers without a failure that a replica must give to its probers: one that fails 40% of its
 requests gives them once in eight times, and is ejected for longer after that."""
-UNPROBED_S = 15.0
+MAX_PROBING_S = 15.0
 """Nobody had a probe to send in this time, in seconds: so few requests may go there as well."""
-RAMP_S = 2.0
+RAMP_UP_S = 2.0
 """From a replica's return until it gets all of its requests again, in seconds: it is judged anew
 by some requests before many depend on it."""
-RAMP_STEPS = 4
+RAMP_UP_STEPS = 4
 """The part that is held back falls in so many steps, so that news are few."""
 
 
-class Phase(Enum):
+class EjectionPhase(Enum):
     """How much is sent to a replica."""
 
     CLOSED = "closed"
@@ -43,7 +43,7 @@
     """More and more."""
 
 
-class Standing:
+class ReplicaEjection:
     """A replica's standing in the view of one hall, or of all."""
 
     __slots__ = (
@@ -60,9 +60,9 @@
     )
 
     def __init__(self) -> None:
-        self.phase = Phase.CLOSED
+        self.phase = EjectionPhase.CLOSED
         self.probed = 0
-        self.evidence = Evidence(0, 0.0, 0, 0)
+        self.evidence = FailureEvidence(0, 0.0, 0, 0)
         """What it was ejected for last."""
         self._open_s = 0.0
         self._since = -math.inf
@@ -76,50 +76,50 @@
         """Return how often it was ejected, earlier times counting less."""
         return self._strikes * math.exp2(-(now - self._strikes_at) / STRIKE_HALF_LIFE_S)
 
-    def eject(self, evidence: Evidence, now: float) -> None:
+    def eject(self, evidence: FailureEvidence, now: float) -> None:
         """Leave the replica alone, longer if that happened before."""
         strikes = self.strikes(now)
-        self._open_s = min(MOST_OPEN_S, OPEN_S * math.exp2(strikes))
+        self._open_s = min(MAX_OPEN_S, MIN_OPEN_S * math.exp2(strikes))
         self._strikes, self._strikes_at = strikes + 1, now
         self.evidence = evidence
-        self._enter(Phase.OPEN, now)
+        self._enter(EjectionPhase.OPEN, now)
 
     def take(self, source: Source, ended: Ended, now: float) -> None:
         """Take outcomes into account, if they are a prober's."""
-        if self.phase is not Phase.PROBING or source.name not in self._probers:
+        if self.phase is not EjectionPhase.PROBING or source.name not in self._probers:
             return
         if ended.bad:
-            self._enter(Phase.OPEN, now)
+            self._enter(EjectionPhase.OPEN, now)
             return
         self.probed += ended.good
-        if self.probed >= PROBES:
-            self._enter(Phase.RAMP, now)
+        if self.probed >= REQUIRED_PROBES:
+            self._enter(EjectionPhase.RAMP, now)
 
     def step(self, now: float) -> bool:
         """Take the time that has passed into account; tell whether the replica has returned."""
-        rested_s = now - self._since
-        if self.phase is Phase.OPEN and rested_s >= self._open_s:
-            self._enter(Phase.PROBING, now)
-        elif self.phase is Phase.PROBING and rested_s >= UNPROBED_S:
-            self._enter(Phase.RAMP, now)
-        elif self.phase is Phase.RAMP and rested_s >= RAMP_S:
-            self._enter(Phase.CLOSED, now)
+        elapsed_s = now - self._since
+        if self.phase is EjectionPhase.OPEN and elapsed_s >= self._open_s:
+            self._enter(EjectionPhase.PROBING, now)
+        elif self.phase is EjectionPhase.PROBING and elapsed_s >= MAX_PROBING_S:
+            self._enter(EjectionPhase.RAMP, now)
+        elif self.phase is EjectionPhase.RAMP and elapsed_s >= RAMP_UP_S:
+            self._enter(EjectionPhase.CLOSED, now)
             return True
         return False
 
     @property
     def is_ejected(self) -> bool:
         """Whether nothing but probes goes there."""
-        return self.phase in (Phase.OPEN, Phase.PROBING)
+        return self.phase in (EjectionPhase.OPEN, EjectionPhase.PROBING)
 
     def held_back(self, now: float) -> float:
         """Return the part of the requests that are to go elsewhere."""
         if self.is_ejected:
             return 1.0
-        if self.phase is Phase.CLOSED:
+        if self.phase is EjectionPhase.CLOSED:
             return 0.0
-        steps = math.floor((now - self._since) / RAMP_S * RAMP_STEPS)
-        return max(0.0, 1 - (steps + 1) / (RAMP_STEPS + 1))
+        steps = math.floor((now - self._since) / RAMP_UP_S * RAMP_UP_STEPS)
+        return max(0.0, 1 - (steps + 1) / (RAMP_UP_STEPS + 1))
 
     def prober(self, choose: t.Callable[[str], str], now: float) -> str:
         """Return who may probe now.
@@ -129,14 +129,14 @@
         choose : callable
             Returns the next prober after the one whose turn is over, empty if there is none.
         """
-        if self.phase is not Phase.PROBING:
+        if self.phase is not EjectionPhase.PROBING:
             return ""
-        if not self._prober or now - self._prober_since >= PROBE_S:
+        if not self._prober or now - self._prober_since >= PROBER_PERIOD_S:
             self._prober, self._prober_since = choose(self._prober), now
             self._probers.add(self._prober)
         return self._prober
 
-    def _enter(self, phase: Phase, now: float) -> None:
+    def _enter(self, phase: EjectionPhase, now: float) -> None:
         self.phase = phase
         self._since = now
         self.probed = 0
--- a/packages/policy/src/gradelug_policy/uses.py
+++ b/packages/policy/src/gradelug_policy/uses.py
@@ -13,24 +13,24 @@
 HALF_LIFE_S = 4.0
 """After this a token counts half. Callers wait 1 to 5 s: with a shorter time the use of an owner is
 that of a few requests, with a longer one a party is last for longer than its callers wait."""
-USUAL_HALF_LIFE_S = 60.0
+BASELINE_HALF_LIFE_S = 60.0
 """What a kind usually uses is learned over about this time: longer than demand takes to move, and
 than callers come back."""
 KIND_HALF_LIFE_S = 1.0
 """What it uses lately, over about this time: kinds are few and each has many requests."""
-KIND_TIMES = 1.5
+KIND_OVERUSE_FACTOR = 1.5
 """A kind is over its part beyond so many times its usual, next to the other kinds."""
-MOST_KNOWN = 2_048
+MAX_ENTRIES = 2_048
 """So many are known, 0.4 MB; of more, those that used least are forgotten, and count as idle."""
-KEPT = 1_536
+ENTRIES_AFTER_PRUNING = 1_536
 """So many are left then: what looks for the least takes its time."""
-LEAST_USE = 1e-3
+MIN_USAGE_TOKENS = 1e-3
 """Use below a thousandth of a token is none."""
-TURN_HALF_LIFE_S = 1.0
+SEND_RATE_HALF_LIFE_S = 1.0
 """How often a party gets its turn is taken over about this time: refusals follow in a second."""
 FIRST_TURNS_S = 0.5
 """Time that a new planner sees turns before it refuses anybody for want of them."""
-LEAST_TURNS_PER_S = 0.5
+MIN_SENDS_PER_S = 0.5
 """Who had no turn yet is reckoned with so many: its first requests wait for what they get."""
 
 
@@ -59,24 +59,24 @@
         After this, in seconds, a token counts half.
     """
 
-    __slots__ = ("_decay", "_known")
+    __slots__ = ("_decay", "_entries")
 
     def __init__(self, half_life_s: float = HALF_LIFE_S) -> None:
         self._decay = math.log(2) / half_life_s
-        self._known: dict[str, tuple[float, float]] = {}
+        self._entries: dict[str, tuple[float, float]] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._entries)
 
     def note(self, name: str, cost: float, now: float) -> None:
         """Count a use, in tokens; one below 0 takes back what was not used after all."""
-        self._known[name] = (max(0.0, self.used(name, now) + cost), now)
-        if len(self._known) > MOST_KNOWN:
-            self._forget_least(now)
+        self._entries[name] = (max(0.0, self.used(name, now) + cost), now)
+        if len(self._entries) > MAX_ENTRIES:
+            self._prune(now)
 
     def used(self, name: str, now: float) -> float:
         """Return what somebody used, in tokens of now."""
-        amount, at = self._known.get(name, (0.0, now))
+        amount, at = self._entries.get(name, (0.0, now))
         return amount * math.exp(-self._decay * max(0.0, now - at))
 
     def rate(self, name: str, now: float) -> float:
@@ -85,58 +85,58 @@
 
     def all(self, now: float) -> dict[str, float]:
         """Return what each used; those that used next to nothing are forgotten."""
-        found = {name: self.used(name, now) for name in self._known}
-        for name in [name for name, amount in found.items() if amount < LEAST_USE]:
-            del self._known[name], found[name]
-        return found
+        usage = {name: self.used(name, now) for name in self._entries}
+        for name in [name for name, amount in usage.items() if amount < MIN_USAGE_TOKENS]:
+            del self._entries[name], usage[name]
+        return usage
 
-    def _forget_least(self, now: float) -> None:
-        found = self.all(now)
-        kept = heapq.nlargest(KEPT, found, key=found.__getitem__)
-        self._known = {name: (found[name], now) for name in kept}
+    def _prune(self, now: float) -> None:
+        usage = self.all(now)
+        largest = heapq.nlargest(ENTRIES_AFTER_PRUNING, usage, key=usage.__getitem__)
+        self._entries = {name: (usage[name], now) for name in largest}
 
 
 class Turns:
     """How often requests of each party got their turn lately."""
 
-    __slots__ = ("_began", "_uses")
+    __slots__ = ("_started_at", "_uses")
 
     def __init__(self) -> None:
-        self._uses = Uses(TURN_HALF_LIFE_S)
-        self._began = math.inf
+        self._uses = Uses(SEND_RATE_HALF_LIFE_S)
+        self._started_at = math.inf
 
     def note(self, party: Party, requests: int, now: float) -> None:
         """Count requests that were sent to engines; below 0 if they did not run after all."""
-        self._began = min(self._began, now)
+        self._started_at = min(self._started_at, now)
         self._uses.note(_name(party), requests, now)
 
     def rate(self, party: Party, now: float) -> float:
         """Return turns a second; infinite as long as too little was seen to tell."""
-        seen_s = now - self._began
+        seen_s = now - self._started_at
         if seen_s < FIRST_TURNS_S:
             return math.inf
-        whole = 1 - math.exp(-math.log(2) * seen_s / TURN_HALF_LIFE_S)
-        return max(LEAST_TURNS_PER_S, self._uses.rate(_name(party), now) / whole)
+        observed_fraction = 1 - math.exp(-math.log(2) * seen_s / SEND_RATE_HALF_LIFE_S)
+        return max(MIN_SENDS_PER_S, self._uses.rate(_name(party), now) / observed_fraction)
 
 
 def _name(party: Party) -> str:
     return f"{party.owner}\n{party.kind}"
 
 
-class KindUses:
+class KindUsage:
     """What kinds used lately, next to what they usually use: while nobody waits for room."""
 
-    __slots__ = ("_lately", "_usually")
+    __slots__ = ("_recent", "_baseline")
 
     def __init__(self) -> None:
-        self._lately = Uses(KIND_HALF_LIFE_S)
-        self._usually = Uses(USUAL_HALF_LIFE_S)
+        self._recent = Uses(KIND_HALF_LIFE_S)
+        self._baseline = Uses(BASELINE_HALF_LIFE_S)
 
     def note(self, kind: str, cost: float, now: float, is_full: bool) -> None:
         """Count a use, in tokens; below 0 to take it back."""
-        self._lately.note(kind, cost, now)
+        self._recent.note(kind, cost, now)
         if not is_full:
-            self._usually.note(kind, cost, now)
+            self._baseline.note(kind, cost, now)
 
     def over(self, wanted: t.Mapping[str, float], now: float) -> frozenset[str]:
         """Return the kinds that send more than their usual, next to the other kinds.
@@ -152,14 +152,14 @@
         now : float
             By the runtime's clock.
         """
-        lately, usually = self._lately.all(now), self._usually.all(now)
+        recent, baseline = self._recent.all(now), self._baseline.all(now)
         for kind, amount in wanted.items():
-            lately[kind] = lately.get(kind, 0.0) + amount
-        all_lately, all_usually = math.fsum(lately.values()), math.fsum(usually.values())
+            recent[kind] = recent.get(kind, 0.0) + amount
+        all_recent, all_baseline = math.fsum(recent.values()), math.fsum(baseline.values())
         return frozenset(
             kind
-            for kind, amount in lately.items()
-            if kind in usually
-            and amount * (all_usually - usually[kind])
-            > KIND_TIMES * usually[kind] * (all_lately - amount)
+            for kind, amount in recent.items()
+            if kind in baseline
+            and amount * (all_baseline - baseline[kind])
+            > KIND_OVERUSE_FACTOR * baseline[kind] * (all_recent - amount)
         )
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -14,33 +14,33 @@
 from dataclasses import dataclass
 
 from .outcomes import (
-    EVERYWHERE,
-    FEWEST_FAILED,
-    Batch,
+    ALL_HALLS,
+    MIN_FAILURES,
     Ended,
-    Evidence,
-    Outcomes,
+    FailureEvidence,
+    OutcomeBatch,
+    ReplicaOutcomes,
     Source,
-    rate,
+    failure_rate,
 )
-from .standings import Phase, Standing
+from .standings import EjectionPhase, ReplicaEjection
 
-LEAST_SPAN_S = 0.3
+MIN_FAILURE_SPAN_S = 0.3
 """Failures must be spread over this much more than gateways gather what they tell, in seconds:
 what broke at one moment, as when connections are reset, is over when it is heard of."""
-UNTOLD_GATHERS = 1.0
+JUDGEMENT_DELAY_INTERVALS = 1.0
 """Of a replica that nobody doubted nothing is told: failures come first, and answers once all have
 heard of these and told in their turn. It is judged then, so many times the gathering later."""
-FEWEST_COMPARED = 5
+MIN_PEER_OUTCOMES = 5
 """Outcomes of another replica of the service that say what is usual there."""
-MOST_JUDGED = 32
+MAX_JUDGED_PER_STEP = 32
 """Of more suspects in a service those that fail most are judged now, the others a moment later: a
 judgement takes a tenth of a millisecond."""
-MOST_COMPARED = 16
+MAX_COMPARED_PEERS = 16
 """Others that a replica is compared with: their median is within a few in 100 of that of all."""
-MOST_EJECTED = 0.5
+MAX_EJECTED_FRACTION = 0.5
 """Part of a service that may be ejected, in one hall's view as well as in that of all."""
-ACTIVE_S = 5.0
+SOURCE_ACTIVE_S = 5.0
 """A source that told something this lately may be the prober, and its hall is one of those that
 are told apart."""
 
@@ -68,7 +68,7 @@
     """
 
     replica: str
-    hall: str = EVERYWHERE
+    hall: str = ALL_HALLS
     failing: float = 0.0
     held_back: float = 0.0
     sources: int = 0
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _View:
-    """In whose view replicas are judged, and how: see `Outcomes.evidence`.
+    """In whose view replicas are judged, and how: see `ReplicaOutcomes.evidence`.
 
     Parameters
     ----------
@@ -129,24 +129,24 @@
     __slots__ = ("doubted_since", "outcomes", "standings")
 
     def __init__(self) -> None:
-        self.outcomes = Outcomes()
+        self.outcomes = ReplicaOutcomes()
         self.doubted_since = math.inf
         """Since when several sources have seen failures."""
-        self.standings: dict[str, Standing] = {}
-        """By hall; that in the view of all under `EVERYWHERE`."""
+        self.standings: dict[str, ReplicaEjection] = {}
+        """By hall; that in the view of all under `ALL_HALLS`."""
 
     def note(self, source: Source, ended: Ended, now: float) -> None:
         """Take outcomes into account."""
         if ended.took_s or ended.full:
             self.outcomes.times.note(ended, now)
         if self.standings:
-            for hall in (EVERYWHERE, source.hall):
+            for hall in (ALL_HALLS, source.hall):
                 if hall in self.standings:
                     self.standings[hall].take(source, ended, now)
             if self.is_ejected(source.hall):
                 return
         if ended.good or ended.bad:
-            self.outcomes.note(Batch(now, source, ended.good, ended.bad))
+            self.outcomes.note(OutcomeBatch(now, source, ended.good, ended.bad))
 
     @property
     def is_empty(self) -> bool:
@@ -156,7 +156,7 @@
     def step(self, now: float) -> None:
         """Take the time that has passed into account."""
         self.outcomes.trim(now)
-        if not self.outcomes.is_doubted:
+        if not self.outcomes.is_suspected:
             self.doubted_since = math.inf
         elif self.doubted_since == math.inf:
             self.doubted_since = now
@@ -164,8 +164,7 @@
     def is_ejected(self, hall: str) -> bool:
         """Tell whether it is ejected in a hall's view."""
         return any(
-            name in self.standings and self.standings[name].is_ejected
-            for name in (EVERYWHERE, hall)
+            name in self.standings and self.standings[name].is_ejected for name in (ALL_HALLS, hall)
         )
 
 
@@ -231,18 +230,20 @@
         self._records = {
             name: rec for name, rec in self._records.items() if name in names and not rec.is_empty
         }
-        heard = (source.hall for source, at in self._sources.items() if now - at <= ACTIVE_S)
-        halls = sorted(set(heard))
+        active_halls = (
+            source.hall for source, at in self._sources.items() if now - at <= SOURCE_ACTIVE_S
+        )
+        halls = sorted(set(active_halls))
         changes: list[Change] = []
-        span_s, untold_s = gather_s + LEAST_SPAN_S, UNTOLD_GATHERS * gather_s
+        span_s, untold_s = gather_s + MIN_FAILURE_SPAN_S, JUDGEMENT_DELAY_INTERVALS * gather_s
         has_halls = len(halls) > 1
         for replicas in members.values():
             for name in replicas:
-                changes.extend(self._advance(name, now))
-            most = int(MOST_EJECTED * len(replicas))
-            for hall in (EVERYWHERE, *halls) if has_halls else (EVERYWHERE,):
+                changes.extend(self._advance_ejections(name, now))
+            max_ejected = int(MAX_EJECTED_FRACTION * len(replicas))
+            for hall in (ALL_HALLS, *halls) if has_halls else (ALL_HALLS,):
                 view = _View(hall, span_s, untold_s, has_halls)
-                changes.extend(self._judge(view, list(replicas), most, now))
+                changes.extend(self._judge(view, list(replicas), max_ejected, now))
         return changes
 
     def findings(
@@ -251,14 +252,14 @@
         """Yield what is found of each replica of which anything is known."""
         for replicas in members.values():
             known = [name for name in replicas if name in self._records]
-            mean_s = self._mean_time(known, now)
+            mean_s = self._mean_time_s(known, now)
             for name in known:
                 record = self._records[name]
                 if mean_s or record.standings or record.outcomes.counts()[1]:
-                    yield self._overall(name, mean_s, now)
-                    yield from self._by_hall(name, now)
+                    yield self._health_overall(name, mean_s, now)
+                    yield from self._health_by_hall(name, now)
 
-    def _advance(self, name: str, now: float) -> t.Iterator[Change]:
+    def _advance_ejections(self, name: str, now: float) -> t.Iterator[Change]:
         record = self._records.get(name)
         if record is None:
             return
@@ -267,18 +268,18 @@
                 yield _change(name, hall, standing, False, now)
 
     def _judge(
-        self, view: _View, members: t.Sequence[str], most: int, now: float
+        self, view: _View, members: t.Sequence[str], max_ejected: int, now: float
     ) -> t.Iterator[Change]:
         hall = view.hall
         known = [name for name in members if name in self._records]
         counts = {name: self._records[name].outcomes.counts(hall) for name in known}
-        suspects = [name for name in known if counts[name][1] >= FEWEST_FAILED]
+        suspects = [name for name in known if counts[name][1] >= MIN_FAILURES]
         if not suspects:
             return
         ejected = sum(self._records[name].is_ejected(hall) for name in known)
-        suspects.sort(key=lambda name: rate(*counts[name]), reverse=True)
-        for name in suspects[:MOST_JUDGED]:
-            if ejected >= most:
+        suspects.sort(key=lambda name: failure_rate(*counts[name]), reverse=True)
+        for name in suspects[:MAX_JUDGED_PER_STEP]:
+            if ejected >= max_ejected:
                 return
             record = self._records[name]
             if record.is_ejected(hall) or now - record.doubted_since < view.untold_s:
@@ -287,31 +288,38 @@
             if evidence is None:
                 continue
             ejected += 1
-            standing = record.standings.setdefault(hall, Standing())
+            standing = record.standings.setdefault(hall, ReplicaEjection())
             standing.eject(evidence, now)
             # After its return it is judged by what comes then.
             record.outcomes.drop(hall)
             yield _change(name, hall, standing, True, now)
 
-    def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> Evidence | None:
+    def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> FailureEvidence | None:
         """Return evidence that a replica fails, beside the others then and in the same moments.
 
         Callers whose requests fail wherever they are sent come in waves: what was usual some
         seconds ago is not by what a replica can be judged in one.
         """
         outcomes = self._records[name].outcomes
-        others = self._compared(name, members)
-        usual = max(self._usual(others, view.hall), self._usual(others, EVERYWHERE))
-        evidence = outcomes.evidence(view.hall, view.span_s, view.has_halls, usual)
+        others = self._peers(name, members)
+        base_rate = max(
+            self._peer_failure_rate(others, view.hall), self._peer_failure_rate(others, ALL_HALLS)
+        )
+        evidence = outcomes.evidence(view.hall, view.span_s, view.has_halls, base_rate)
         if evidence is None:
             return None
         since = evidence.since
-        lately = max(self._usual(others, view.hall, since), self._usual(others, EVERYWHERE, since))
-        if lately <= usual:
+        recent_rate = max(
+            self._peer_failure_rate(others, view.hall, since),
+            self._peer_failure_rate(others, ALL_HALLS, since),
+        )
+        if recent_rate <= base_rate:
             return evidence
-        return outcomes.evidence(view.hall, view.span_s, view.has_halls, lately)
+        return outcomes.evidence(view.hall, view.span_s, view.has_halls, recent_rate)
 
-    def _usual(self, others: t.Iterable[str], hall: str, since: float = -math.inf) -> float:
+    def _peer_failure_rate(
+        self, others: t.Iterable[str], hall: str, since: float = -math.inf
+    ) -> float:
         """Return which part of the requests fails at some replicas.
 
         The lower median: where half of them fail that is not usual. Of one that is used and that
@@ -320,58 +328,58 @@
         rates = []
         for name in others:
             record = self._records.get(name)
-            if self._is_used(name) and (record is None or not record.outcomes.is_doubted):
+            if self._is_used(name) and (record is None or not record.outcomes.is_suspected):
                 rates.append(0.0)
                 continue
             if record is None:
                 continue
             good, bad = record.outcomes.counts_since(since, hall)
-            if good + bad >= FEWEST_COMPARED:
-                rates.append(rate(good, bad))
+            if good + bad >= MIN_PEER_OUTCOMES:
+                rates.append(failure_rate(good, bad))
         return statistics.median_low(rates) if rates else 0.0
 
     @staticmethod
-    def _compared(name: str, members: t.Sequence[str]) -> t.Sequence[str]:
+    def _peers(name: str, members: t.Sequence[str]) -> t.Sequence[str]:
         """Return the next others of a service, in its order and from its beginning again."""
         at = members.index(name)
-        return (*members[at + 1 :], *members[:at])[:MOST_COMPARED]
+        return (*members[at + 1 :], *members[:at])[:MAX_COMPARED_PEERS]
 
-    def _mean_time(self, known: t.Iterable[str], now: float) -> float:
-        all_times = (self._records[name].outcomes.times for name in known)
-        times = [each for each in all_times if each.number]
-        for each in times:
-            each.settle(now)
-        number = sum(each.number for each in times)
-        return sum(each.total_s for each in times) / number if number >= 1 else 0.0
+    def _mean_time_s(self, known: t.Iterable[str], now: float) -> float:
+        known_times = (self._records[name].outcomes.times for name in known)
+        times = [item for item in known_times if item.number]
+        for item in times:
+            item.settle(now)
+        number = sum(item.number for item in times)
+        return sum(item.total_s for item in times) / number if number >= 1 else 0.0
 
-    def _overall(self, name: str, mean_s: float, now: float) -> Finding:
+    def _health_overall(self, name: str, mean_s: float, now: float) -> Finding:
         record = self._records[name]
         outcomes = record.outcomes
         took_s = outcomes.times.mean_s(mean_s) if mean_s else 0.0
         # One source's failures say nothing to the others.
-        failing = rate(*outcomes.counts()) if outcomes.is_doubted else 0.0
-        standing = record.standings.get(EVERYWHERE)
-        if standing is None or standing.phase is Phase.CLOSED:
-            return Finding(name, EVERYWHERE, failing, 0.0, outcomes.sources(), "", took_s)
+        failing = failure_rate(*outcomes.counts()) if outcomes.is_suspected else 0.0
+        standing = record.standings.get(ALL_HALLS)
+        if standing is None or standing.phase is EjectionPhase.CLOSED:
+            return Finding(name, ALL_HALLS, failing, 0.0, outcomes.sources(), "", took_s)
         return Finding(
             name,
-            EVERYWHERE,
+            ALL_HALLS,
             failing,
             standing.held_back(now),
             standing.evidence.sources,
-            standing.prober(lambda last: self._next_prober(EVERYWHERE, last, now), now),
+            standing.prober(lambda last: self._next_prober(ALL_HALLS, last, now), now),
             took_s,
         )
 
-    def _by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
+    def _health_by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
         for hall, standing in self._records[name].standings.items():
-            if hall == EVERYWHERE or standing.phase is Phase.CLOSED:
+            if hall == ALL_HALLS or standing.phase is EjectionPhase.CLOSED:
                 continue
             choose = lambda last, hall=hall: self._next_prober(hall, last, now)  # noqa: E731
             yield Finding(
                 name,
                 hall,
-                rate(*self._records[name].outcomes.counts(hall)),
+                failure_rate(*self._records[name].outcomes.counts(hall)),
                 standing.held_back(now),
                 standing.evidence.sources,
                 standing.prober(choose, now),
@@ -382,7 +390,9 @@
         active = [
             source.name
             for source, at in self._sources.items()
-            if now - at <= ACTIVE_S and hall in (EVERYWHERE, source.hall) and source.name != last
+            if now - at <= SOURCE_ACTIVE_S
+            and hall in (ALL_HALLS, source.hall)
+            and source.name != last
         ]
         if not active:
             return last
@@ -391,7 +401,7 @@
         return chosen
 
 
-def _change(name: str, hall: str, standing: Standing, ejected: bool, now: float) -> Change:
+def _change(name: str, hall: str, standing: ReplicaEjection, ejected: bool, now: float) -> Change:
     seen = standing.evidence
     strikes = standing.strikes(now)
     return Change(name, hall, ejected, seen.sources, seen.good, seen.bad, strikes)
--- a/tests/quota_load.py
+++ b/tests/quota_load.py
@@ -128,7 +128,7 @@
         kept = []
         for item in self.waiting:
             if now - item[2] >= QUEUE_S:
-                refused.append((item[3], self.bucket.promise_s(item[3].tokens, now)))
+                refused.append((item[3], self.bucket.reserve_retry_s(item[3].tokens, now)))
             else:
                 kept.append(item)
         heapq.heapify(kept)
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -10,15 +10,15 @@
 from gradelug_gateway.quota_desk import QuotaDesk
 from gradelug_http import ServerLimits
 from gradelug_policy.contention import (
-    CLUMP,
-    EARLY_S,
-    HOLD_S,
-    MOST_KINDS,
-    Contest,
-    Standing,
+    MAX_KINDS,
+    MIN_EARLY_RETRY_S,
+    RESERVE_LARGEST_REQUESTS,
+    RESERVE_WINDOW_S,
+    QuotaArbiter,
+    RetryState,
 )
 from gradelug_policy.quotas import QuotaHome, QuotaTerms
-from gradelug_policy.refusals import MOST_REFUSALS, Caller, Refusals
+from gradelug_policy.refusals import MAX_REFUSALS, Caller, Refusals
 from gradelug_wire import placement_pb2 as pb
 from quota_load import KINDS, play
 
@@ -108,7 +108,7 @@
 
 def contest(urgent_per_s=0.0, others_per_s=20_000.0, until=5.0):
     """Return a contest after some seconds of a load."""
-    found = Contest()
+    found = QuotaArbiter()
     for step in range(1, int(until * 10) + 1):
         for rank, load in ((0, urgent_per_s), (1, others_per_s)):
             if load:
@@ -126,16 +126,18 @@
         found = contest(4_000.0, 20_000.0)
         urgent = found.enter(400.0, CALLERS[0], RATE, 10 * CAPACITY, 5.0)
         other = found.enter(400.0, CALLERS[1], RATE, 10 * CAPACITY, 5.0)
-        clump = CLUMP * 0.4 * 2_000.0
+        clump = RESERVE_LARGEST_REQUESTS * 0.4 * 2_000.0
         kept = other.needed - urgent.needed
-        assert kept == pytest.approx(HOLD_S * 4_000.0 + clump, rel=0.2)
+        assert kept == pytest.approx(RESERVE_WINDOW_S * 4_000.0 + clump, rel=0.2)
 
     def test_nothing_is_kept_once_the_urgent_have_fallen_silent(self):
         found = contest(8_000.0, 20_000.0)
         for step in range(1, 61):
             other = found.enter(2_000.0, CALLERS[1], RATE, CAPACITY, 5.0 + step / 10)
         urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 11.0)
-        assert other.needed - urgent.needed <= 0.02 * (HOLD_S * 8_000.0 + CLUMP * 2_000.0)
+        assert other.needed - urgent.needed <= 0.02 * (
+            RESERVE_WINDOW_S * 8_000.0 + RESERVE_LARGEST_REQUESTS * 2_000.0
+        )
 
     def test_all_sizes_need_the_same_level(self):
         found = contest()
@@ -149,7 +151,7 @@
         for step in range(100):
             at = 5.0 + step / 100
             claim = found.enter(600.0, CALLERS[0], RATE, CAPACITY, at)
-            found.note_granted(claim, CALLERS[0], at)
+            found.record_grant(claim, CALLERS[0], at)
         other = found.enter(400.0, CALLERS[1], RATE, CAPACITY, 6.0)
         urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 6.0)
         assert other.needed == urgent.needed
@@ -164,7 +166,7 @@
         assert cheap.needed < urgent.needed < other.needed
 
     def test_within_a_service_urgency_goes_before_worth(self):
-        found = Contest()
+        found = QuotaArbiter()
         for step in range(100):
             for rank, value in ((0, 0.1), (1, 9.0)):
                 caller = Caller(rank, value=value)
@@ -192,14 +194,14 @@
         claim = found.enter(500.0, first, RATE, CAPACITY, 5.0)
         told_s = found.refuse(claim, first, RATE, 0.0, 5.0)
         early = found.enter(500.0, Caller(1, 59.9, mark=7), RATE, CAPACITY, 5.1)
-        assert early.standing is Standing.EARLY
+        assert early.standing is RetryState.EARLY
         at = 5.0 + told_s * 1.1
         for _ in range(20):
             again = Caller(1, 65.0 - at, mark=7)
             back = found.enter(500.0, again, RATE, CAPACITY, at)
         anew = found.enter(500.0, Caller(1, 60.0, mark=8), RATE, CAPACITY, at)
-        assert back.standing is Standing.BACK
-        assert anew.standing is Standing.FIRST
+        assert back.standing is RetryState.BACK
+        assert anew.standing is RetryState.FIRST
         assert back.needed < anew.needed < early.needed + 1.0
 
     def test_another_caller_that_asks_the_same_is_new(self):
@@ -207,7 +209,7 @@
         first = Caller(1, 60.0, mark=7)
         found.refuse(found.enter(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0)
         other = found.enter(500.0, Caller(1, 60.0, mark=7), RATE, CAPACITY, 5.5)
-        assert other.standing is Standing.FIRST
+        assert other.standing is RetryState.FIRST
 
     def test_who_comes_too_early_is_told_the_rest_of_its_time(self):
         found = contest(0.0, 40_000.0)
@@ -218,24 +220,24 @@
         claim = found.enter(500.0, again, RATE, CAPACITY, 5.05)
         told = [found.refuse(claim, again, RATE, 0.0, 5.05) for _ in range(3)]
         assert told == pytest.approx([told_s - 0.05] * 3)
-        assert told[0] >= EARLY_S
+        assert told[0] >= MIN_EARLY_RETRY_S
 
     def test_what_is_known_is_bounded(self):
         refusals = Refusals()
-        found = Contest("o", refusals)
+        found = QuotaArbiter("o", refusals)
         for step in range(20_000):
             caller = Caller(step % 40, 8.0, f"s{step % 7}", 1.0, step + 1)
             claim = found.enter(5_000.0, caller, RATE, CAPACITY, step / 50)
             found.refuse(claim, caller, RATE, 0.0, step / 50)
-        assert len(refusals) <= MOST_REFUSALS
-        assert len(found._kinds) <= MOST_KINDS
+        assert len(refusals) <= MAX_REFUSALS
+        assert len(found._kind_numbers) <= MAX_KINDS
 
     def test_kinds_of_services_that_are_gone_make_room(self):
-        found = Contest()
+        found = QuotaArbiter()
         for number in range(40):
             caller = Caller(0, 8.0, f"s{number}")
             found.enter(100.0, caller, RATE, CAPACITY, 200.0 * number)
-        assert ("s39", 0) in found._kinds
+        assert ("s39", 0) in found._kind_numbers
 
 
 class TestSwitchedOff:
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -6,13 +6,13 @@
 
 import pytest
 from gradelug_policy.pace import (
-    CACHED_FACTOR,
-    FEW,
-    FIRST_AT_ONCE,
+    CACHED_LOAD_SPEEDUP,
     FIRST_LOAD_S,
-    LEAST_AT_ONCE,
-    MARGIN,
-    MOST_RAISE,
+    INITIAL_PARALLEL_LOADS,
+    LATE_LOAD_MARGIN,
+    MAX_LOAD_TIME_INCREASE_FACTOR,
+    MIN_PARALLEL_LOADS,
+    UNLOADED_MAX_LOADS,
     StorePace,
 )
 
@@ -107,9 +107,11 @@
         run.go(found_s + max(4.0, 8 * store.alone_s))
         best = store.full / store.alone_s
         assert run.throughput(found_s) >= (0.75 if store.full <= 240 else 0.5) * best
-        assert run.pace.at_once <= 2 * store.full + 2 * FEW
+        assert run.pace.at_once <= 2 * store.full + 2 * UNLOADED_MAX_LOADS
 
-    @pytest.mark.parametrize("store", [s for s in STORES if FEW <= s.full <= 240], ids=named)
+    @pytest.mark.parametrize(
+        "store", [s for s in STORES if UNLOADED_MAX_LOADS <= s.full <= 240], ids=named
+    )
     def test_few_loads_are_late_once_it_is_found(self, store):
         run = Run(store, noise=0.03)
         found_s = max(4.0, 30 * store.alone_s)
@@ -148,11 +150,11 @@
         pace = StorePace(0.0)
         for _ in range(50):
             pace.note_late(8, 0.35, 0.0)
-        assert pace.load_s == pytest.approx(0.35 * MARGIN)
+        assert pace.load_s == pytest.approx(0.35 * LATE_LOAD_MARGIN)
 
     def test_what_the_store_is_known_to_bear_is_begun_with(self):
         assert StorePace(0.0, 80.0).at_once == 80
-        assert StorePace(0.0, 2.0).at_once == FIRST_AT_ONCE
+        assert StorePace(0.0, 2.0).at_once == INITIAL_PARALLEL_LOADS
 
     def test_a_store_that_is_faster_is_known_soon(self):
         pace = StorePace(0.0)
@@ -162,23 +164,23 @@
     def test_one_report_that_comes_late_itself_does_not_count_whole(self):
         pace = StorePace(0.0)
         pace.note_late(8, 5.0, 0.0)
-        assert pace.load_s == FIRST_LOAD_S * MOST_RAISE
+        assert pace.load_s == FIRST_LOAD_S * MAX_LOAD_TIME_INCREASE_FACTOR
 
     def test_loads_that_take_longer_beside_many_lower_their_number_and_never_to_none(self):
         pace = StorePace(0.0)
         for step in range(1, 200):
             pace.note_late(11, 3.0, step * 0.1)
             pace.note_in_time(11, True, step * 0.1)
-        assert pace.at_once == LEAST_AT_ONCE
+        assert pace.at_once == MIN_PARALLEL_LOADS
 
     def test_a_number_that_is_not_used_up_stays(self):
         pace = StorePace(0.0)
         for step in range(50):
             pace.note_in_time(8, False, step * 0.1)
-        assert pace.at_once == FIRST_AT_ONCE
+        assert pace.at_once == INITIAL_PARALLEL_LOADS
 
     def test_a_load_from_host_memory_takes_its_part(self):
         pace = StorePace(0.0)
-        assert pace.cached_s == pytest.approx(FIRST_LOAD_S / CACHED_FACTOR)
+        assert pace.cached_s == pytest.approx(FIRST_LOAD_S / CACHED_LOAD_SPEEDUP)
         pace.note_late(1, 0.35, 0.0)
-        assert pace.cached_s == pytest.approx(0.35 * MARGIN / CACHED_FACTOR)
+        assert pace.cached_s == pytest.approx(0.35 * LATE_LOAD_MARGIN / CACHED_LOAD_SPEEDUP)
--- a/tests/test_poison_policy.py
+++ b/tests/test_poison_policy.py
@@ -5,14 +5,14 @@
 import pytest
 from gradelug_policy.poison import (
     BEGUN,
-    CERTAIN,
-    ENOUGH,
+    BLOCK_SCORE,
+    BLOCK_TTL_S,
+    CERTAIN_BLOCK_SCORE,
     GATHER_S,
-    HOLDS_S,
-    MOST_BLOCKED,
-    MOST_ENDS,
-    MOST_MARKS,
-    MOST_SUSPECTS,
+    MAX_BLOCKED,
+    MAX_ENDS,
+    MAX_REQUESTS_PER_END,
+    MAX_SUSPECTS,
     REMEMBERED_S,
     RUNNING,
     WAITING,
@@ -86,7 +86,7 @@
         assert ledger.score(B) == 0.0
 
     def test_who_cannot_be_told_apart_is_blocked_when_it_is_certain(self):
-        ends = [{A: BEGUN, B: BEGUN}] * round(CERTAIN)
+        ends = [{A: BEGUN, B: BEGUN}] * round(CERTAIN_BLOCK_SCORE)
         assert sorted(found(ledger_of(*ends))) == [A, B]
 
     def test_further_ends_of_a_blocked_request_speak_against_nobody_else(self):
@@ -188,35 +188,35 @@
 class TestBounds:
     def test_what_is_kept_is_bounded_and_the_oldest_goes_first(self):
         ledger = EndLedger()
-        for number in range(3 * MOST_ENDS):
-            for other in range(MOST_MARKS + 20):
+        for number in range(3 * MAX_ENDS):
+            for other in range(MAX_REQUESTS_PER_END + 20):
                 ledger.note_end(f"e{number}", b"%d %d" % (number, other), WAITING, 1.0)
-        assert len(ledger._ends) == MOST_ENDS
-        assert all(len(end.weights) == MOST_MARKS for end in ledger._ends.values())
-        for number in range(MOST_BLOCKED + 5):
+        assert len(ledger._ends) == MAX_ENDS
+        assert all(len(end.weights) == MAX_REQUESTS_PER_END for end in ledger._ends.values())
+        for number in range(MAX_BLOCKED + 5):
             ledger.block(b"%d" % number, BEGUN, 1.0)
-        assert len(ledger.blocked) == MOST_BLOCKED
+        assert len(ledger.blocked) == MAX_BLOCKED
         assert b"4" not in ledger.blocked
 
     def test_of_a_crowded_engine_those_of_most_weight_are_kept(self):
         ledger = EndLedger()
         ledger.note_end("e", A, BEGUN, 1.0)
-        for number in range(2 * MOST_MARKS):
+        for number in range(2 * MAX_REQUESTS_PER_END):
             ledger.note_end("e", b"%d" % number, WAITING, 1.0)
         assert ledger.score(A) == BEGUN
 
     def test_suspects_are_bounded(self):
-        ledger = ledger_of(*[{b"%d" % number: BEGUN for number in range(MOST_MARKS)}] * 2)
-        assert len(ledger.suspects()) == MOST_SUSPECTS
+        ledger = ledger_of(*[{b"%d" % number: BEGUN for number in range(MAX_REQUESTS_PER_END)}] * 2)
+        assert len(ledger.suspects()) == MAX_SUSPECTS
 
     def test_ends_and_what_is_blocked_are_forgotten_after_their_time(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         found(ledger)
         ledger.judge(100.0 + REMEMBERED_S)
         assert not ledger._ends
-        ledger.judge(100.0 + HOLDS_S)
+        ledger.judge(100.0 + BLOCK_TTL_S)
         assert A in ledger.blocked
-        ledger.judge(101.0 + HOLDS_S)
+        ledger.judge(101.0 + BLOCK_TTL_S)
         assert not ledger.blocked
 
 
@@ -235,7 +235,7 @@
     ledger = ledger_of(*ends)
     blocked = found(ledger)
     for mark in blocked:
-        assert sum(end.get(mark, 0.0) for end in ends) >= ENOUGH
+        assert sum(end.get(mark, 0.0) for end in ends) >= BLOCK_SCORE
     backwards = EndLedger()
     for number, weights in reversed(list(enumerate(ends))):
         for mark, weight in reversed(list(weights.items())):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -8,14 +8,14 @@
 from gradelug_gateway.organisations import Organisation, Quota
 from gradelug_gateway.quotas import ANSWER_S, QuotaQuestions, Quotas
 from gradelug_policy.quotas import (
-    LEAST_BURST_S,
-    LENT_S,
+    MIN_BURST_S,
+    SHARE_TTL_S,
     LocalShares,
     QuotaBucket,
     QuotaHome,
     QuotaTerms,
 )
-from gradelug_policy.refusals import ANYBODY, Caller
+from gradelug_policy.refusals import UNKNOWN_CALLER, Caller
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -53,16 +53,16 @@
     def test_without_a_burst_it_bears_two_requests_that_come_together(self):
         bucket = QuotaBucket(QuotaTerms(1_000.0, 0.0), 0.0)
         bucket.settle(10.0)
-        assert bucket.capacity == 1_000.0 * LEAST_BURST_S
+        assert bucket.capacity == 1_000.0 * MIN_BURST_S
         assert bucket.try_take(250.0, 10.0)
         assert bucket.try_take(250.0, 10.0)
 
     def test_those_that_are_refused_are_told_to_come_back_one_after_the_other(self):
         bucket = QuotaBucket(TERMS, 0.0)
-        waits = [bucket.promise_s(500.0, 0.0) for _ in range(4)]
+        waits = [bucket.reserve_retry_s(500.0, 0.0) for _ in range(4)]
         assert waits == [0.5, 1.0, 1.5, 2.0]
         # Half of a second has passed: the first has had its turn.
-        assert bucket.promise_s(500.0, 0.5) == pytest.approx(1.5)
+        assert bucket.reserve_retry_s(500.0, 0.5) == pytest.approx(1.5)
 
     def test_what_is_given_back_can_be_granted_again_and_no_more_than_it_holds(self):
         bucket = QuotaBucket(TERMS, 0.0)
@@ -113,7 +113,7 @@
         later = sum(
             100.0
             for step in range(1, 201)
-            if home.ask("g0", "o", TERMS, 100.0, LENT_S + step / 20).granted
+            if home.ask("g0", "o", TERMS, 100.0, SHARE_TTL_S + step / 20).granted
         )
         assert later >= 0.95 * TERMS.rate * 10.0
 
@@ -155,8 +155,8 @@
         shares.note_told("o", 100.0, 0.0)
         shares.note_lost(0.0)
         assert shares.holding(5.0) == {"o": 100.0}
-        assert not shares.try_take("o", 1.0, LENT_S)
-        assert not shares.holding(LENT_S)
+        assert not shares.try_take("o", 1.0, SHARE_TTL_S)
+        assert not shares.holding(SHARE_TTL_S)
 
 
 class Fleet(RuleBasedStateMachine):
@@ -180,7 +180,7 @@
         self.now = 0.0
         self.terms = self.TERMS
         self.limits = [(0.0, self.TERMS)]
-        self.mix = ((ANYBODY, self.SIZE),)
+        self.mix = ((UNKNOWN_CALLER, self.SIZE),)
         self.asked = 0
         self.spent = []
         self.shares = {name: LocalShares() for name in self.names()}
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -7,7 +7,7 @@
 from gradelug_gateway.limits import ReplicaLimits
 from gradelug_http import ResponseHead
 from gradelug_platform.dialect import PlatformDialect
-from gradelug_policy.replica_limits import OVERTAKEN_S, LimitFact, LimitRecord, LimitWord
+from gradelug_policy.replica_limits import REORDER_TOLERANCE_S, LimitFact, LimitRecord, LimitWord
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -75,7 +75,7 @@
         record = LimitRecord()
         record.note(LimitFact(1.4, 1.0, 2.0))
         assert not record.note(LimitFact(None, 1.9, 2.5))
-        assert not record.note(LimitFact(None, 2.0 + OVERTAKEN_S / 2, 2.5))
+        assert not record.note(LimitFact(None, 2.0 + REORDER_TOLERANCE_S / 2, 2.5))
         assert record.rate == 1.4
 
     def test_an_older_answer_does_not_bring_an_ended_limit_back(self):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,15 +5,15 @@
 import pytest
 from gradelug_policy.shares import (
     ByBound,
-    ByCounters,
     Claim,
     EqualWeights,
     Parts,
     Shares,
+    VirtualCounterOrder,
     ahead_s,
     out_of_turn,
 )
-from gradelug_policy.uses import HALF_LIFE_S, KEPT, MOST_KNOWN, Party, Uses
+from gradelug_policy.uses import ENTRIES_AFTER_PRUNING, HALF_LIFE_S, MAX_ENTRIES, Party, Uses
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from share_load import Flood, SharedRun
@@ -76,21 +76,21 @@
 
     def test_who_used_least_is_forgotten(self):
         uses = Uses()
-        for at in range(MOST_KNOWN + 1):
+        for at in range(MAX_ENTRIES + 1):
             uses.note(f"a{at}", 1.0 + at, 0.0)
-        assert len(uses) == KEPT
+        assert len(uses) == ENTRIES_AFTER_PRUNING
         assert uses.used("a0", 0.0) == 0.0
-        assert uses.used(f"a{MOST_KNOWN}", 0.0) == 1.0 + MOST_KNOWN
+        assert uses.used(f"a{MAX_ENTRIES}", 0.0) == 1.0 + MAX_ENTRIES
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.floats(-10, 1e6)), max_size=200))
     @settings(deadline=None)
     def test_state_is_bounded_and_never_below_nothing(self, notes):
         uses = Uses()
-        for at in range(MOST_KNOWN - 20):
+        for at in range(MAX_ENTRIES - 20):
             uses.note(f"x{at}", 1.0, 0.0)
         for at, (name, cost) in enumerate(notes):
             uses.note(f"a{name}", cost, at / 10)
-            assert len(uses) <= MOST_KNOWN
+            assert len(uses) <= MAX_ENTRIES
             assert uses.used(f"a{name}", at / 10) >= 0.0
 
 
@@ -131,7 +131,7 @@
     @given(CLAIMS, st.dictionaries(NAMES, AMOUNTS))
     def test_nobody_is_left_out(self, claims, used):
         board = shares_of(**used).board(claims, EQUAL, 0.0)
-        for order in (ByBound(), ByCounters()):
+        for order in (ByBound(), VirtualCounterOrder()):
             arranged = order.arrange(claims, board)
             assert sorted(claim.number for claim in arranged) == list(range(len(claims)))
 
@@ -147,13 +147,13 @@
         claims = [Claim(Party("a"), 1.0, 0, 0.0, 0), Claim(Party("b"), 1.0, 2, 1.0, 1)]
         board = shares_of(a=900.0, b=10.0, c=10.0, d=10.0).board(claims, EQUAL, 0.0)
         assert [claim.number for claim in ByBound().arrange(claims, board)] == [1, 0]
-        assert [claim.number for claim in ByCounters().arrange(claims, board)] == [0, 1]
+        assert [claim.number for claim in VirtualCounterOrder().arrange(claims, board)] == [0, 1]
 
     def test_counters_of_one_urgency_take_turns(self):
         claims = [Claim(Party("a"), 10.0, 0, at / 10, at) for at in range(4)]
         claims += [Claim(Party("b"), 10.0, 0, 1.0 + at / 10, 4 + at) for at in range(4)]
         board = shares_of(a=1.0, b=1.0).board(claims, EQUAL, 0.0)
-        owners = [claim.party.owner for claim in ByCounters().arrange(claims, board)]
+        owners = [claim.party.owner for claim in VirtualCounterOrder().arrange(claims, board)]
         assert owners == ["a", "b"] * 4
 
     @given(st.floats(1.0, 1e6), st.integers(0, 9))
@@ -220,7 +220,7 @@
 
     def test_counters_under_urgency_do_not_protect_the_less_urgent(self):
         """The way that was not kept: urgent requests of who floods go before all others."""
-        assert pooled(ORGANISATION, ByCounters()).others_p99() > 2.0
+        assert pooled(ORGANISATION, VirtualCounterOrder()).others_p99() > 2.0
 
     def test_without_a_flood_nothing_changes(self):
         assert (
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -6,10 +6,10 @@
 import pytest
 from gradelug_gateway.fleet import FAILURE_COST_REQUESTS
 from gradelug_gateway.health import Health
-from gradelug_policy.doubts import DOUBTED_S, KEPT_S, Doubts, Telling
-from gradelug_policy.outcomes import Ended, Evidence, Source, rate
-from gradelug_policy.standings import MOST_OPEN_S, OPEN_S, Phase, Standing
-from gradelug_policy.verdicts import MOST_EJECTED, VerdictPool
+from gradelug_policy.doubts import OUTCOME_HOLD_S, SUSPICION_TTL_S, Doubts, Telling
+from gradelug_policy.outcomes import Ended, FailureEvidence, Source, failure_rate
+from gradelug_policy.standings import MAX_OPEN_S, MIN_OPEN_S, EjectionPhase, ReplicaEjection
+from gradelug_policy.verdicts import MAX_EJECTED_FRACTION, VerdictPool
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -321,18 +321,18 @@
         assert strikes == sorted(strikes)
 
     def test_each_ejection_lasts_longer_until_long_after(self):
-        standing, evidence = Standing(), Evidence(3, 0.0, 0, 6)
+        standing, evidence = ReplicaEjection(), FailureEvidence(3, 0.0, 0, 6)
         rests = []
         for at in (0.0, 20.0, 40.0, 400.0):
             standing.eject(evidence, at)
             rest_s = 0.0
-            while standing.phase is Phase.OPEN:
+            while standing.phase is EjectionPhase.OPEN:
                 rest_s += 0.05
                 standing.step(at + rest_s)
             rests.append(rest_s)
-        assert rests[0] == pytest.approx(OPEN_S, abs=0.1)
-        assert rests[0] * 1.3 < rests[1] < rests[2] <= MOST_OPEN_S
-        assert rests[3] < 1.1 * OPEN_S
+        assert rests[0] == pytest.approx(MIN_OPEN_S, abs=0.1)
+        assert rests[0] * 1.3 < rests[1] < rests[2] <= MAX_OPEN_S
+        assert rests[3] < 1.1 * MIN_OPEN_S
 
     def test_a_replica_that_nobody_probes_comes_back(self):
         pool = VerdictPool()
@@ -371,7 +371,7 @@
             findings = list(pool.findings(members, now))
             for hall in HALLS:
                 out = {f.replica for f in findings if f.hall in ("", hall) and f.held_back == 1.0}
-                assert len(out) <= MOST_EJECTED * size
+                assert len(out) <= MAX_EJECTED_FRACTION * size
             assert all(0.0 <= finding.failing <= 1.0 for finding in findings)
 
 
@@ -386,30 +386,30 @@
     def test_answers_are_told_with_the_failures_beside_them(self):
         doubts = Doubts()
         assert doubts.decide("e0", 1.0) is Telling.KEEP
-        assert doubts.decide("e0", 1.0 + KEPT_S - 0.1) is Telling.KEEP
-        doubts.doubt("e0", 1.0 + KEPT_S)
-        assert doubts.decide("e0", 1.0 + KEPT_S) is Telling.TELL
-        assert doubts.decide("e1", 1.0 + KEPT_S) is Telling.KEEP
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S - 0.1) is Telling.KEEP
+        doubts.doubt("e0", 1.0 + OUTCOME_HOLD_S)
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S) is Telling.TELL
+        assert doubts.decide("e1", 1.0 + OUTCOME_HOLD_S) is Telling.KEEP
 
     def test_old_answers_are_dropped_and_newer_ones_kept(self):
         doubts = Doubts()
-        told = [doubts.decide("e0", at) for at in (0.0, 1.0, KEPT_S, KEPT_S + 0.1)]
+        told = [doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)]
         assert told == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
 
     def test_a_replica_is_told_of_until_its_last_failure_no_longer_counts(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         doubts.doubt("e0", 5.0)
-        assert doubts.decide("e0", 5.0 + DOUBTED_S - 0.1) is Telling.TELL
-        assert doubts.decide("e0", 5.0 + DOUBTED_S) is Telling.KEEP
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S - 0.1) is Telling.TELL
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S) is Telling.KEEP
 
     def test_another_planner_is_told_nothing_of_what_was_doubted_before(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         assert doubts.decide("e1", 0.0) is Telling.KEEP
         doubts.begin()
-        assert doubts.decide("e0", KEPT_S) is Telling.KEEP
-        assert doubts.decide("e1", KEPT_S) is Telling.KEEP
+        assert doubts.decide("e0", OUTCOME_HOLD_S) is Telling.KEEP
+        assert doubts.decide("e1", OUTCOME_HOLD_S) is Telling.KEEP
 
     @pytest.mark.parametrize("is_used", [True, False])
     def test_replicas_that_nobody_doubts_say_what_is_usual(self, is_used):
@@ -462,5 +462,5 @@
 
 
 def test_a_rate_from_few_outcomes_is_cautious():
-    assert rate(0, 1) == 0.2
-    assert rate(60, 40) > 0.38
+    assert failure_rate(0, 1) == 0.2
+    assert failure_rate(60, 40) > 0.38
