--- a/packages/policy/src/gradelug_policy/admission.py
+++ b/packages/policy/src/gradelug_policy/admission.py
@@ -1,4 +1,4 @@
-"""What is refused at once: deadlines that cannot be met, and queues that are full."""
+"""Decides whether a request is refused on arrival: past or unreachable deadline, or full queue."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """A request that is not taken, and when to come back.
+    """Refusal of a request, with the time after which to retry.
 
     Parameters
     ----------
     reason : str
-        For the caller.
+        Reason, reported to the caller.
     retry_after_s : float
-        Seconds.
+        Time until the caller should retry, in seconds.
     """
 
     reason: str
@@ -24,16 +24,16 @@
 def judge(
     expected_wait_s: float, remaining_s: float, queued: int, queue_limit: int
 ) -> Refusal | None:
-    """Return a refusal if taking the request would be in vain, None to take it.
+    """Return a refusal if the request could not be served in time, None to accept it.
 
     Parameters
     ----------
     expected_wait_s : float
-        Until it could start.
+        Expected time until the request starts, in seconds.
     remaining_s : float
-        Until its deadline.
+        Time until the request's deadline, in seconds.
     queued, queue_limit : int
-        Requests waiting, and how many may.
+        Number of queued requests and its maximum.
     """
     if remaining_s <= 0:
         return Refusal("its deadline has passed", 0.0)
--- a/packages/policy/src/gradelug_policy/connections.py
+++ b/packages/policy/src/gradelug_policy/connections.py
@@ -1,27 +1,28 @@
-"""How many connections an instance keeps to a replica that takes so many from all of them.
+"""Limits the idle connections of an instance to a replica that accepts a limited total of them.
 
-Load pattern: hundreds of instances, of which each sends a replica a request now and then, and keeps
-the connection; the replica resets the next one that is opened when all that it takes are taken.
+Load pattern: hundreds of instances each send a replica an occasional request and keep the
+connection open; once the replica has reached its maximum number of connections it resets each new
+one.
 """
 
 from __future__ import annotations
 
 IDLE_CONNECTION_FRACTION = 0.5
-"""Part of the connections that may rest; the others are for requests, orders and reports."""
+"""Fraction of the connections that may be idle; the rest serves requests, orders and reports."""
 
 
 def idle_share(most: int, instances: int, draw: float) -> int:
-    """Return how many idle connections one instance keeps to a replica.
+    """Return the number of idle connections that one instance keeps to a replica.
 
     Parameters
     ----------
     most : int
-        Connections that the replica takes from all instances together.
+        Maximum number of connections that the replica accepts from all instances together.
     instances : int
-        How many there are.
+        Number of instances.
     draw : float
-        Of this instance and the replica, spread evenly from 0 to 1: where there is less than one
-        connection for each instance, some keep one and the others none.
+        Random value of this pair of instance and replica, uniform from 0 to 1. With less than
+        one connection per instance, some instances keep one and the others none.
     """
     whole, fraction = divmod(IDLE_CONNECTION_FRACTION * most / max(1, instances), 1.0)
     return int(whole) + (draw < fraction)
--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -1,16 +1,17 @@
-"""Who may use what is left of a quota that more is asked of than it holds.
-
-Load pattern: one organisation sends 6 to 8 times its usual over some 85 instances; its kinds differ
-in urgency, their requests in size (500 to 6,000 tokens), a third of its callers repeat at once.
-First come, first served gives each kind the same part of the quota, and the largest requests
-nothing, since small ones use whatever has come in before there is enough for a large one.
-
-The levels of a bucket are reserved: the urgent may use all of it, the others leave as much as the
-urgent ask for within a moment. How much that is, is learned from what was asked lately, so that
-nothing is kept for who does not ask. All requests of a kind need the same level, whatever their
-size. Kinds of one service go by their urgency; those of different services by what a token is
-worth, since urgencies of different services say nothing of each other (a plain request counts 200
-tokens where a generation counts 1,600).
+"""Decides who may use the rest of a quota when more tokens are requested than it provides.
+
+Load pattern: one organisation sends 6 to 8 times its usual load over some 85 instances. Its kinds
+of requests differ in urgency, the requests in size (500 to 6,000 tokens), and a third of its
+callers retry at once. First come, first served gives each kind the same fraction of the quota and
+the largest requests nothing, since small ones consume the refill before it suffices for a large
+one.
+
+The levels of a token bucket are reserved: the most urgent requests may use all of it, the others
+leave as much as the more urgent ones request within a short time. That amount follows recent
+demand, so that nothing is reserved for kinds without requests. All requests of a kind need the same
+level, regardless of their size. Kinds of one service are ordered by urgency, those of different
+services by the value of a token, since urgencies of different services are not comparable (a plain
+request counts 200 tokens, a generation 1,600).
 """
 
 from __future__ import annotations
@@ -22,57 +23,59 @@
 from .refusals import Caller, Refusals
 
 URGENCIES = 8
-"""Urgencies that are told apart; those of still less urgency count as the last of these."""
+"""Number of distinguished urgencies; less urgent requests count as the last of these."""
 MAX_KINDS = 16
-"""Kinds of an organisation that are told apart; further ones count as the last of these."""
+"""Maximum number of distinguished kinds of an organisation; further ones share the last number."""
 OFFERED_LOAD_HALF_LIFE_S = 1.0
-"""What is asked is learned within about this, in seconds: an organisation's load jumps at once, and
-what was kept for the urgent is free again as soon after they fall silent."""
+"""Half-life of the requested token rates, in seconds. An organisation's load rises within moments,
+and the reserve for urgent requests must be released as soon after they stop."""
 GRANT_HALF_LIFE_S = 5.0
-"""Time over which is looked whether a kind gets its least part, in seconds: several requests of a
-kind that comes once a second."""
+"""Half-life of the rates by which a kind's minimum of grants is checked, in seconds: several
+requests of a kind that arrives once per second."""
 CONTENTION_THRESHOLD_FRACTION = 0.9
-"""A quota is contended once more than this part of its rate is asked for: below, nobody needs to
-leave anything to others."""
+"""A quota is contended when more than this fraction of its rate is requested; below it, nothing is
+reserved."""
 RESERVE_WINDOW_S = 0.1
-"""The others leave what the urgent ask for in this time, in seconds: messages are gathered for half
-of it, so that several come at once."""
+"""Less urgent requests leave what more urgent ones request within this time, in seconds. Messages
+are batched for half of it, so that several requests arrive together."""
 RESERVE_LARGEST_REQUESTS = 5.0
-"""And so many large requests, or the part of them that the urgent ask for of the rate: of an urgent
-kind that takes six tenths of a quota of ten requests a second 0.98 are served, with none 0.74, with
-three 0.93, with eight 0.99 and 1% of the quota unused."""
+"""Additional reserve, in requests of the largest size, scaled by the fraction of the rate that more
+urgent kinds request. For an urgent kind that requests 60% of a quota of ten requests per second,
+98% are served; with 0 it is 74%, with 3 it is 93%, with 8 it is 99% with 1% of the quota unused."""
 MAX_RESERVE_FRACTION = 0.75
-"""Part of what a bucket holds that may be kept from the least urgent: as it never needs to be
-full, nothing that comes in is lost."""
+"""Maximum fraction of a bucket's capacity that is reserved against the least urgent requests. The
+bucket never needs to be full, so no refill is lost."""
 MAX_COMMON_NEED_FRACTION = 0.5
-"""Part of what a bucket holds up to which all requests need the same level: one that counts more
-needs as much as it counts, since otherwise small buckets would be in debt for long."""
+"""Fraction of a bucket's capacity up to which all requests need the same level. A larger request
+needs its own size, since otherwise small buckets would stay in debt for long."""
 LARGEST_REQUEST_HALF_LIFE_S = 10.0
-"""The largest request of late counts half after this time, in seconds."""
+"""Half-life of the size of the largest recent request, in seconds."""
 MIN_RELATIVE_GRANT_RATIO = 0.23
-"""Requests of a kind are granted at least this part as often as all, besides those that come back:
-a quarter as often in all, below which callers are as good as shut out. Where the urgent alone ask
-for nearly all of a quota each hundredth more costs them two, and beyond four times the quota worth
-is less than with 0.1 by a sixth (`tests/quota_load.py`)."""
+"""First tries of a kind are granted at least this fraction as often as those of all kinds together;
+with its retries, a kind is then granted a quarter as often, below which its callers are
+practically locked out. Where urgent requests alone request nearly all of a quota, each
+additional 0.01 costs them 2%. Beyond four times the quota the total value is a sixth lower than
+with 0.1 (`tests/quota_load.py`)."""
 MIN_RETRY_RATE_FRACTION = 0.1
-"""Part of the rate that is promised to those who come back while more is asked than there is: what
-they get is late, and what new requests get is in time. At 0.25 a load of half as much again earned
-4% less, at 0.5 12% less (`tests/quota_load.py`, worth of what was served)."""
+"""Minimum fraction of the available rate that is reserved for retries under contention. Tokens for
+retries are spent late, those for new requests in time: at 0.25, half as much excess load again
+yields 4% less value, at 0.5 12% less (`tests/quota_load.py`)."""
 MIN_RATE_FRACTION = 0.02
-"""Part of the rate by which is reckoned when the least urgent may come back."""
+"""Minimum fraction of the rate that is assumed when the retry time of the least urgent is computed."""
 KIND_ORDER_INTERVAL_S = 0.2
-"""What a token of a kind is worth is learned over seconds: kinds are ordered anew so often."""
+"""Interval at which kinds are reordered, in seconds. The value of their tokens changes over
+seconds."""
 IDLE_TOKENS_PER_S = 0.001
-"""A kind that asks more rarely than this a second may be forgotten for another one."""
+"""A kind with a lower rate than this, in tokens per second, may be replaced by a new kind."""
 MAX_RETRY_WAIT_FRACTION = 1 / 3
-"""Callers wait as told for a third of the time that they have left: who is told a longer time comes
-back before it, and is promised nothing."""
+"""Callers observe a retry time up to this fraction of their remaining time. With a longer one they
+retry earlier, so no tokens are reserved for them."""
 MIN_EARLY_RETRY_S = 0.05
-"""Shortest time to tell a caller that comes back too early, in seconds."""
+"""Minimum retry time for a caller that retries too early, in seconds."""
 
 
 class RetryState(Enum):
-    """How a caller comes, those first that go first among equally urgent ones."""
+    """Whether a request is a retry, in order of precedence among equally urgent requests."""
 
     BACK = "back as told"
     FIRST = "first try"
@@ -81,20 +84,20 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaClaim:
-    """What a request needs of a bucket.
+    """Tokens that a request needs of a bucket.
 
     Parameters
     ----------
     kind : int
-        Number of its kind.
-    standing : Standing
-        How its caller comes.
+        Number of the request's kind.
+    standing : RetryState
+        Whether the request is a first try, a retry that is due or an early retry.
     amount : float
-        Tokens that it counts.
+        Tokens that the request consumes.
     needed : float
-        Tokens that the bucket must hold for it.
+        Tokens that the bucket must hold for the request to be granted.
     contended : bool
-        Whether more is asked for than there is.
+        Whether more tokens are requested than the quota provides.
     """
 
     kind: int
@@ -105,7 +108,7 @@
 
 
 class _Rates:
-    """Decayed rates by kind."""
+    """Exponentially decayed rates by number of kind."""
 
     __slots__ = ("_updated_at", "_decay", "rates")
 
@@ -126,14 +129,14 @@
 
 
 class QuotaArbiter:
-    """Those who compete for one organisation's quota.
+    """Decides between the requests that compete for the quota of one organisation.
 
     Parameters
     ----------
     organisation : str
-        Whose quota.
+        Organisation that owns the quota.
     refusals : Refusals
-        Who was refused lately, of all organisations.
+        Recently refused requests of all organisations.
     """
 
     __slots__ = (
@@ -159,16 +162,16 @@
         self._refusals = refusals or Refusals()
         self._kind_numbers: dict[tuple[str, int], int] = {}
         self._first_tries = _Rates(OFFERED_LOAD_HALF_LIFE_S)
-        """Tokens that first tries ask for."""
+        """Requested tokens per second, first tries only."""
         self._due_retries = _Rates(OFFERED_LOAD_HALF_LIFE_S)
-        """Tokens that those ask for who come back as told."""
+        """Requested tokens per second of retries at or after their retry time."""
         self._recent_first_tries = _Rates(GRANT_HALF_LIFE_S)
-        """The same over a longer time."""
+        """Requested tokens per second of first tries, with the longer half-life."""
         self._request_rates = _Rates(GRANT_HALF_LIFE_S)
-        """Requests, first tries alone."""
+        """Requests per second, first tries only."""
         self._grant_rates = _Rates(GRANT_HALF_LIFE_S)
         self._value_rates = _Rates(GRANT_HALF_LIFE_S)
-        """Value of first tries: with their tokens, what a token is worth."""
+        """Value per second of first tries; divided by their tokens, the value of a token."""
         self._all_rates = (
             self._first_tries,
             self._due_retries,
@@ -180,26 +183,26 @@
         self._largest = 0.0
         self._updated_at = -math.inf
         self._preceding: dict[int, list[int]] = {}
-        """The kinds that go before each."""
+        """Numbers of the kinds that take precedence over each kind."""
         self._kinds_ordered_at = -math.inf
         self._reserved = [0.0] * MAX_KINDS
-        """Tokens of refused requests that were told when to come back and are not due yet."""
+        """Tokens of refused requests whose retry time has not come yet, by number of kind."""
 
     def enter(
         self, amount: float, caller: Caller, rate: float, capacity: float, now: float
     ) -> QuotaClaim:
-        """Take a request into account and return what it needs.
+        """Register a request and return what it needs.
 
         Parameters
         ----------
         amount : float
-            Tokens that it counts.
+            Tokens that the request consumes.
         caller : Caller
-            Who asks.
+            Origin of the request.
         rate, capacity : float
-            Tokens that come in a second, and that are saved up at the most.
+            Refill rate of the bucket in tokens per second, and its maximum level in tokens.
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock.
         """
         kind = self._kind_number(caller)
         standing = self._retry_state(caller, now)
@@ -218,16 +221,16 @@
         return QuotaClaim(kind, standing, amount, needed, True)
 
     def record_grant(self, claim: QuotaClaim, caller: Caller, now: float) -> None:
-        """Note that a request may run."""
+        """Record that a request was granted."""
         self._grant_rates.note(claim.kind, 1.0, now)
         self._refusals.forget(self._organisation, caller)
 
     def refuse(
         self, claim: QuotaClaim, caller: Caller, rate: float, level: float, now: float
     ) -> float:
-        """Return when a refused request may come back, in seconds.
+        """Return the time until a refused request should be retried, in seconds.
 
-        It is promised its part only if its caller waits that long.
+        Tokens are reserved for the retry only if its caller can wait that long.
         """
         previous = self._refusals.find(self._organisation, caller, now)
         if previous is not None and claim.standing is RetryState.EARLY:
@@ -292,7 +295,9 @@
                 self._reserved[kind] = max(0.0, promised - due)
 
     def _preceding_kinds(self, kind: int) -> list[int]:
-        """Return the kinds that go before one: the more urgent of its service, the worthier."""
+        """Return the kinds that precede one: more urgent ones of its service, and more valuable
+        ones.
+        """
         if (
             kind not in self._preceding
             or self._updated_at >= self._kinds_ordered_at + KIND_ORDER_INTERVAL_S
@@ -306,7 +311,7 @@
         return self._preceding.get(kind, [])
 
     def _sort_keys(self) -> dict[int, tuple[float, int]]:
-        """Return what kinds are ordered by; no kind goes before a more urgent of its service."""
+        """Return the sort key of each kind; none precedes a more urgent kind of its service."""
         least: dict[str, float] = {}
         sort_keys: dict[int, tuple[float, int]] = {}
         for (service, rank), kind in sorted(
@@ -320,7 +325,7 @@
         return sort_keys
 
     def _tokens_to_leave(self, kind: int, standing: RetryState, rate: float) -> float:
-        """Return what a request leaves to those that go before it."""
+        """Return the tokens that a request must leave for those that precede it."""
         if standing is RetryState.EARLY:
             return math.inf
         if self._is_underserved(kind):
@@ -335,19 +340,19 @@
         return RESERVE_WINDOW_S * ahead + RESERVE_LARGEST_REQUESTS * part * self._largest
 
     def _min_grant_ratio(self) -> float:
-        """Return which part of the requests of each kind is granted at least."""
+        """Return the minimum fraction of the requests of each kind that is granted."""
         tries = sum(self._request_rates.rates)
         return MIN_RELATIVE_GRANT_RATIO * sum(self._grant_rates.rates) / tries if tries else 0.0
 
     def _is_underserved(self, kind: int) -> bool:
-        """Tell whether a kind has had less than its least part."""
+        """Return whether a kind has received less than its minimum of grants."""
         return (
             self._grant_rates.rates[kind]
             < self._min_grant_ratio() * self._request_rates.rates[kind]
         )
 
     def _retry_rate(self, kind: int, rate: float) -> float:
-        """Return how much of the rate those get who come back, in tokens a second."""
+        """Return the rate that is available to retries of a kind, in tokens per second."""
         preceding = self._preceding_kinds(kind)
         least = self._min_grant_ratio()
         others = sum(
--- a/packages/policy/src/gradelug_policy/credits.py
+++ b/packages/policy/src/gradelug_policy/credits.py
@@ -1,46 +1,46 @@
-"""How many credits an owner hands out, and for how long."""
+"""Decides how many credits the owner of an engine grants to a gateway, and for how long."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 VALID_S = 2.0
-"""Longest validity of a grant: a shorter one means more messages, a longer one a longer wait
-before an adapter may be dropped after its holder has died."""
+"""Maximum validity of a grant, in seconds. A shorter one costs more messages, a longer one delays
+the eviction of an adapter whose holder has died."""
 SPARE_CREDIT_FRACTION = 0.25
-"""Share of the engine's free room that goes to spare credits."""
+"""Fraction of the engine's free batch capacity that may be granted as spare credits."""
 
 
 @dataclass(slots=True, frozen=True)
 class CreditOffer:
-    """What to grant.
+    """Credits to grant.
 
     Parameters
     ----------
     credits : int
-        Requests that may start, 0 for none.
+        Number of requests that may start; 0 for none.
     """
 
     credits: int
 
 
 def offer_credits(want: int, free: int, rate: float, holders: int, contended: bool) -> CreditOffer:
-    """Decide how many credits to hand to a holder.
+    """Return the credits to grant to a holder.
 
-    Beyond what is waiting, the holder of a hot adapter gets spare credits for the requests
-    expected while the grant is valid, so that they need not ask; unless others wait for the
-    same room.
+    In addition to its waiting requests, the holder of a frequently requested adapter receives spare
+    credits for the requests expected while the grant is valid, which then start without a round
+    trip. None are granted while other requests wait for the same capacity.
 
     Parameters
     ----------
     want : int
-        Requests waiting at the holder.
+        Number of requests that wait at the holder.
     free : int
-        Room in the engine's batch.
+        Number of free places in the engine's batch.
     rate : float
         Requests per second for the adapter on this engine.
     holders : int
-        How many share that rate.
+        Number of holders that share that rate.
     contended : bool
         Whether other requests wait for this engine.
     """
--- a/packages/policy/src/gradelug_policy/departures.py
+++ b/packages/policy/src/gradelug_policy/departures.py
@@ -1,20 +1,20 @@
-"""Replicas that leave, as reported by their answers or by the platform's store.
+"""Keeps track of draining replicas, reported by their responses or by the platform's store.
 
-Load pattern: replicas are emptied and replaced one after the other, while the platform's store may
-be away, show an older state, or be read by each instance at another moment.
+Load pattern: replicas are drained and replaced one after the other, while the platform's store may
+be unavailable, return stale data, or be read by each instance at a different time.
 """
 
 from __future__ import annotations
 
 MOST_LIVES = 4096
-"""Upper bound of remembered lives: several rollouts of 600 replicas."""
+"""Maximum number of stored incarnations: several rollouts of 600 replicas."""
 
 
 class Departures:
-    """Remembers the lives of replicas that leave.
+    """Stores the incarnations of replicas that are draining.
 
-    A life is a replica's name and its start. One that leaves never takes new work again, so
-    no later report reverts it. The next life under its name is not affected.
+    An incarnation is a replica's name and start time. A draining one never accepts requests again,
+    so later reports do not revert it. The next incarnation under the same name is not affected.
     """
 
     __slots__ = ("_incarnations",)
@@ -23,7 +23,7 @@
         self._incarnations: dict[tuple[str, int], None] = {}
 
     def note(self, replica: str, born: int) -> bool:
-        """Note that a life leaves; tell whether that is new."""
+        """Record that an incarnation is draining; return whether that is new."""
         if self.has(replica, born):
             return False
         self._incarnations[replica, born] = None
@@ -32,5 +32,5 @@
         return True
 
     def has(self, replica: str, born: int) -> bool:
-        """Tell whether a life is known to leave."""
+        """Return whether an incarnation is known to be draining."""
         return (replica, born) in self._incarnations
--- a/packages/policy/src/gradelug_policy/doubts.py
+++ b/packages/policy/src/gradelug_policy/doubts.py
@@ -1,7 +1,7 @@
-"""Of which replicas a gateway tells how its requests ended there: those that anybody doubts.
+"""Selects the replicas whose request outcomes a gateway reports: those suspected of failing.
 
-Load pattern: 370 gateways before 600 engines end 10,000 requests a second, of which nearly all are
-answered. That a replica does well is of no use to anybody, as long as nobody thinks otherwise.
+Load pattern: 370 gateways complete 10,000 requests per second at 600 engines, nearly all of them
+successfully. Successes at a replica carry no information unless some gateway saw failures there.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 from .outcomes import WINDOW_S
 
 SUSPICION_TTL_S = WINDOW_S
-"""A replica is doubted for so long after it failed a request, in seconds: as long as that counts
-at the planner, what was answered beside it has to count there too."""
+"""Time for which a replica is suspected after a failed request, in seconds. It equals the time for
+which the planner counts the failure, so that the successes of that time are counted as well."""
 OUTCOME_HOLD_S = 2.0
-"""What ended well is kept for so long before it is dropped untold, in seconds: until others have
-told of failures, which takes two messages of at most 0.9 s. Then it is told with them, and failures
-do not stand alone: without that a wave of requests that failed wherever they were sent (40% for
-6 s) ejected a replica in one of ten plays."""
+"""Time for which successes are held before they are dropped unreported, in seconds. Reports of
+failures by other gateways arrive within it: two messages of at most 0.9 s. The held successes
+are then reported too and put the failures into proportion; without that, a wave of requests that
+failed at every replica (40% for 6 s) ejected a replica in one of ten simulations."""
 
 
 class Telling(Enum):
-    """What becomes of how requests ended at a replica."""
+    """What to do with the outcomes of requests at a replica."""
 
     TELL = "tell"
     KEEP = "keep"
-    """It is told with the next message, should the replica be doubted by then."""
+    """Reported with the next message if the replica is suspected by then."""
     DROP = "drop"
 
 
 class Doubts:
-    """Decides for one gateway of which replicas it tells.
+    """Decides for one gateway which replicas it reports outcomes of.
 
-    A replica is doubted after a failure here, and while the planner says that several gateways saw
-    failures there, and until both are past.
+    A replica is suspected after a failure at this gateway, and while the planner reports that
+    several gateways saw failures there; suspicion ends when neither applies.
     """
 
     __slots__ = ("_suspected_until", "_held_since")
@@ -43,16 +43,16 @@
         self._held_since: dict[str, float] = {}
 
     def begin(self) -> None:
-        """Forget all: another planner is told."""
+        """Reset all state because reports go to another planner from now on."""
         self._suspected_until.clear()
         self._held_since.clear()
 
     def doubt(self, replica: str, now: float) -> None:
-        """Note that the replica failed a request, here or as the planner says."""
+        """Record that the replica failed a request, here or according to the planner."""
         self._suspected_until[replica] = now + SUSPICION_TTL_S
 
     def decide(self, replica: str, now: float) -> Telling:
-        """Return what becomes of what has ended at a replica and has not been told."""
+        """Return what to do with the unreported outcomes of requests at a replica."""
         if now < self._suspected_until.get(replica, now):
             self._held_since.pop(replica, None)
             return Telling.TELL
--- a/packages/policy/src/gradelug_policy/outcomes.py
+++ b/packages/policy/src/gradelug_policy/outcomes.py
@@ -293,7 +293,7 @@
             self.failing.add(batch.source)
 
     def holds(self, has_halls: bool) -> bool:
-        """Tell whether the score holds without the worst source, and without the worst hall."""
+        """Return whether the score holds without the worst source, and without the worst hall."""
         if len(self.failing) < MIN_SOURCES:
             return False
         if self.total - max(self._scores.values()) < EJECT_SCORE:
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -162,7 +162,7 @@
                 self.block(mark, max(weights), now)
 
     def is_gathering(self, now: float, gather_s: float) -> bool:
-        """Tell whether there are ends that do not count yet."""
+        """Return whether there are ends that do not count yet."""
         return any(end.at > now - gather_s for end in self._ends.values())
 
     def score(self, mark: bytes) -> float:
@@ -223,7 +223,7 @@
         return scores
 
     def _is_explained(self, end: _End) -> bool:
-        """Tell whether a blocked request was there, as far as it gets before it ends a replica."""
+        """Return whether a blocked request was there, as far as it gets before it ends a replica."""
         return any(
             end.weights.get(mark, 0.0) >= blocked.weight for mark, blocked in self._blocked.items()
         )
--- a/packages/policy/src/gradelug_policy/replica_room.py
+++ b/packages/policy/src/gradelug_policy/replica_room.py
@@ -203,7 +203,7 @@
         self._next_slot_at = now + phase * self.period_s
 
     def is_due(self, now: float) -> bool:
-        """Tell whether there is a turn now."""
+        """Return whether there is a turn now."""
         if not self._keeps_unused and now >= self._next_slot_at + LOCAL_SLOT_TTL_S:
             passed = int((now - self._next_slot_at) / self.period_s)
             self._next_slot_at += passed * self.period_s
--- a/packages/policy/src/gradelug_policy/retries.py
+++ b/packages/policy/src/gradelug_policy/retries.py
@@ -86,7 +86,7 @@
         self._forget(now)
 
     def has_retry(self, now: float, unrun: bool = False) -> bool:
-        """Tell whether there is a retry in the window.
+        """Return whether there is a retry in the window.
 
         Parameters
         ----------
@@ -169,7 +169,7 @@
         return CircuitState.HALF_OPEN
 
     def allows(self, now: float) -> bool:
-        """Tell whether a request may be sent; does not count it."""
+        """Return whether a request may be sent; does not count it."""
         state = self.state(now)
         if state is CircuitState.HALF_OPEN:
             return now - self._trial_started_at >= self._open_s
--- a/packages/policy/src/gradelug_policy/shares.py
+++ b/packages/policy/src/gradelug_policy/shares.py
@@ -135,7 +135,7 @@
         return self._weights.weight(name)
 
     def is_over(self, name: str) -> bool:
-        """Tell whether somebody used more than its part, or than all the others together."""
+        """Return whether somebody used more than its part, or than all the others together."""
         used = self._used.get(name, 0.0)
         if math.isinf(self._total_weight) or not used:
             return False
@@ -230,11 +230,11 @@
         """Urgency of the most urgent such one whose kind is within its part as well."""
 
     def is_over(self, owner: str) -> bool:
-        """Tell whether an owner is over its part; it wins nothing by not waiting."""
+        """Return whether an owner is over its part; it wins nothing by not waiting."""
         return owner in self._over or self.owners.is_over(owner)
 
     def yields(self, party: Party, urgency: int) -> bool:
-        """Tell whether a request goes after some that wait: its owner or kind is over its part."""
+        """Return whether a request goes after some that wait: its owner or kind is over its part."""
         if self.is_over(party.owner):
             return self._compliant_waits
         return self._min_urgency <= urgency and party.kind in self.kinds
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -162,7 +162,7 @@
             self.doubted_since = now
 
     def is_ejected(self, hall: str) -> bool:
-        """Tell whether it is ejected in a hall's view."""
+        """Return whether it is ejected in a hall's view."""
         return any(
             name in self.standings and self.standings[name].is_ejected for name in (ALL_HALLS, hall)
         )
