--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -58,10 +58,10 @@
 with 0.1 (`tests/quota_load.py`)."""
 MIN_RETRY_RATE_FRACTION = 0.1
 """Minimum fraction of the available rate that is reserved for retries under contention. Tokens for
-retries are spent late, those for new requests in time: at 0.25, half as much excess load again
-yields 4% less value, at 0.5 12% less (`tests/quota_load.py`)."""
+retries are spent late, those for new requests in time: with a load of 1.5 times the quota, 0.25
+yields 4% less value and 0.5 yields 12% less (`tests/quota_load.py`)."""
 MIN_RATE_FRACTION = 0.02
-"""Minimum fraction of the rate that is assumed when the retry time of the least urgent is computed."""
+"""Minimum fraction of the rate that is assumed for the retry time of the least urgent requests."""
 KIND_ORDER_INTERVAL_S = 0.2
 """Interval at which kinds are reordered, in seconds. The value of their tokens changes over
 seconds."""
--- a/packages/policy/src/gradelug_policy/outcomes.py
+++ b/packages/policy/src/gradelug_policy/outcomes.py
@@ -1,8 +1,8 @@
-"""What many gateways saw of one replica's requests, and whether that says that it fails.
+"""Collects the outcomes of requests at one replica from many gateways and detects that it fails.
 
-Load pattern: a replica fails 40% of its requests while its health check is good; beside it stand a
-gateway, a link and a hall that are at fault themselves, and resets of many connections at one
-moment, which say nothing of a replica.
+Load pattern: a replica fails 40% of its requests while its health check succeeds. At the same time
+a gateway, a network link or a hall is faulty itself, or many connections are reset at one moment,
+neither of which is evidence against a replica.
 """
 
 from __future__ import annotations
@@ -13,62 +13,66 @@
 from dataclasses import dataclass
 
 BASE_FAILURE_RATE = 0.1
-"""Part of the requests that may fail at a replica of which nothing is to be said: services under
-load and networks that lose packets come to that."""
+"""Failure rate up to which a replica counts as healthy: services under load and networks with
+packet loss reach it."""
 PEER_FAILURE_FACTOR = 1.3
 PEER_FAILURE_MARGIN = 0.05
-"""Where the others of the service fail, so many times as many and this part more may: where all
-fail alike, some of many estimates are that much above the others."""
+"""A replica's accepted failure rate is `PEER_FAILURE_FACTOR` times that of its peers plus this
+margin. Where all replicas fail alike, some of many estimates lie that far above the others."""
 MIN_EXCESS_FAILURE_RATE = 0.3
-"""A failing replica fails this part of its requests more than that."""
+"""A failing replica's failure rate is assumed to exceed the accepted one by this much."""
 MAX_FAILURE_RATE = 0.95
-"""Nor more than this part: otherwise one answer would outweigh any number of failures."""
+"""Upper bound of the failure rate assumed for a failing replica. Without it, one success would
+outweigh any number of failures."""
 EJECT_SCORE = 5.0
-"""Logarithm of how much likelier the evidence must be from a failing replica (150 times): four
-failures with no answer between them, which 3 failures in 100 bring once in a million requests."""
+"""Minimum log-likelihood ratio, failing to healthy, at which a replica is ejected (a ratio of 150):
+four failures without a success between them, which a failure rate of 3% produces once in a
+million requests."""
 MIN_FAILURES = 5
-"""Without the worst source's, fewer failures than this cannot come to that score: each adds 1.4 at
-most."""
+"""Fewer failures than this cannot reach `EJECT_SCORE` without the source with the highest score,
+since each adds 1.4 at most."""
 MIN_SCORE_WITHOUT_HALL = 2.0
-"""The same of what remains without the hall that says most, where there are several (seven times):
-two failures with no answer between them."""
+"""Minimum log-likelihood ratio without the hall with the highest score, if there are several halls
+(a ratio of seven): two failures without a success between them."""
 MIN_SOURCES = 3
-"""Sources that must have seen failures: of two, one may be at fault and the other unlucky."""
+"""Minimum number of sources with failures: of two, one may be faulty and the other unlucky."""
 WINDOW_OUTCOMES = 96
-"""Outcomes by which a replica is judged: at 40% an estimate is right within 5 in 100."""
+"""Number of most recent outcomes that are evaluated: at a failure rate of 40% the estimate is
+within 5 percentage points."""
 WINDOW_S = 10.0
-"""How old they may be, in seconds: a replica with one request a second is judged as well."""
+"""Maximum age of evaluated outcomes, in seconds; long enough for a replica with one request per
+second."""
 PRIOR_SUCCESSES = 4.0
-"""Answers that are taken as seen before the first one, for a rate from little evidence."""
+"""Successes added to each estimate, so that few outcomes do not yield a high failure rate."""
 RESPONSE_TIME_HALF_LIFE_S = 2.0
-"""Answers' times count half after this, in seconds."""
+"""Half-life of the weight of response times, in seconds."""
 PRIOR_RESPONSE_TIMES = 4.0
-"""Answers of the usual time that are taken as seen at each replica."""
+"""Number of responses of the service's mean time that are added to each replica's estimate."""
 NO_CAPACITY_TIME_FACTOR = 4.0
-"""A request that was not run for want of room counts like an answer that took so many times as long
-as usual: the caller's next try costs about that."""
+"""A request rejected for lack of capacity counts as a response that took this many times the usual
+time, which is about the cost of the caller's retry."""
 ALL_HALLS = ""
-"""Stands for a hall's name where all halls are meant."""
+"""Used in place of a hall's name for all halls together."""
 
 
 class Source(t.NamedTuple):
-    """A gateway that tells how its requests ended, and where it stands."""
+    """A gateway that reports outcomes of its requests, and its hall."""
 
     name: str
     hall: str
 
 
 class Ended(t.NamedTuple):
-    """How requests ended: answered, or failed by the replica or on the way.
+    """Numbers of requests that ended, by outcome: success, or failure at the replica or on the way.
 
     Parameters
     ----------
     good, bad : int
-        How many were answered and how many failed.
+        Number of successes and of failures.
     took_s : float
-        Time that the answered ones took together, in seconds; 0 if it is not told.
+        Total response time of the successes, in seconds; 0 if not reported.
     full : int
-        How many were not run for want of room.
+        Number of requests rejected for lack of capacity.
     """
 
     good: int
@@ -78,7 +82,7 @@
 
 
 class OutcomeBatch(t.NamedTuple):
-    """What a source told at a moment."""
+    """Outcomes that a source reported at one time."""
 
     at: float
     source: Source
@@ -88,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureEvidence:
-    """That a replica fails: seen by how many sources, since when, and in how many requests."""
+    """Evidence that a replica fails: number of sources with failures, start time and outcomes."""
 
     sources: int
     since: float
@@ -97,12 +101,12 @@
 
 
 def failure_rate(good: int, bad: int) -> float:
-    """Return the part of requests that fail, cautiously from few of them."""
+    """Return the estimated failure rate, biased towards 0 while there are few outcomes."""
     return bad / (good + bad + PRIOR_SUCCESSES)
 
 
 class ResponseTimes:
-    """How long answers of a replica took lately, and how many requests it had no room for."""
+    """Recent response times of a replica, and its rejections for lack of capacity."""
 
     __slots__ = ("_at", "full", "number", "total_s")
 
@@ -113,7 +117,7 @@
         self._at = 0.0
 
     def note(self, ended: Ended, now: float) -> None:
-        """Take answers into account whose time is known."""
+        """Add successes with a known time, and rejections."""
         self.settle(now)
         self.full += ended.full
         if ended.took_s:
@@ -121,7 +125,7 @@
             self.number += ended.good
 
     def settle(self, now: float) -> None:
-        """Let what is older count less."""
+        """Decay the weight of earlier values."""
         part = math.exp2(-(now - self._at) / RESPONSE_TIME_HALF_LIFE_S)
         self.total_s *= part
         self.number *= part
@@ -129,9 +133,9 @@
         self._at = now
 
     def mean_s(self, usual_s: float) -> float:
-        """Return the mean time of an answer beside what is usual in its service, in seconds.
+        """Return the mean response time in seconds, weighted with the usual one of the service.
 
-        That there was no room counts like an answer that took very long.
+        A rejection for lack of capacity counts as a response that took very long.
         """
         total_s = (
             self.total_s + (PRIOR_RESPONSE_TIMES + NO_CAPACITY_TIME_FACTOR * self.full) * usual_s
@@ -140,20 +144,20 @@
 
 
 class ReplicaOutcomes:
-    """What sources told of one replica lately."""
+    """Recently reported outcomes of requests at one replica."""
 
     __slots__ = ("_batches", "_counts", "_failing", "times")
 
     def __init__(self) -> None:
         self._batches: deque[OutcomeBatch] = deque()
         self._counts: dict[str, list[int]] = {ALL_HALLS: [0, 0]}
-        """Answered and failed, by hall and in all."""
+        """Number of successes and failures, by hall and under `ALL_HALLS`."""
         self._failing: Counter[Source] = Counter()
-        """Sources that told of failures, and how many."""
+        """Number of failures by source, for sources that reported any."""
         self.times = ResponseTimes()
 
     def note(self, batch: OutcomeBatch) -> None:
-        """Take outcomes into account."""
+        """Add a batch of outcomes."""
         self._batches.append(batch)
         self._count(batch, 1)
 
@@ -175,7 +179,7 @@
         hall_counts[1] += sign * batch.bad
 
     def trim(self, now: float) -> None:
-        """Forget outcomes that are too old or too many."""
+        """Remove outcomes that are too old or exceed the window."""
         while self._batches:
             oldest = self._batches[0]
             others = sum(self._counts[ALL_HALLS]) - oldest.good - oldest.bad
@@ -184,7 +188,7 @@
             self._count(self._batches.popleft(), -1)
 
     def drop(self, hall: str) -> None:
-        """Forget what sources of a hall, or all, told."""
+        """Remove the outcomes reported by sources of a hall, or of all halls."""
         previous, self._batches = self._batches, deque()
         self._counts = {ALL_HALLS: [0, 0]}
         self._failing.clear()
@@ -193,12 +197,12 @@
                 self.note(batch)
 
     def counts(self, hall: str = ALL_HALLS) -> tuple[int, int]:
-        """Return how many requests were answered and failed, in a hall's view or in all."""
+        """Return the number of successes and failures, reported by one hall or by all."""
         good, bad = self._counts.get(hall, (0, 0))
         return good, bad
 
     def counts_since(self, since: float, hall: str = ALL_HALLS) -> tuple[int, int]:
-        """Return the same of those that were told of since a moment."""
+        """Return the number of successes and failures reported at or after a time."""
         if since == -math.inf:
             return self.counts(hall)
         good = bad = 0
@@ -212,20 +216,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was told lately."""
+        """Whether there are no recent outcomes."""
         return not self._batches
 
     @property
     def is_suspected(self) -> bool:
-        """Whether several sources saw failures: those of one say nothing to the others."""
+        """Whether several sources reported failures; those of one source may be its own fault."""
         return len(self._failing) > 1
 
     def sources(self) -> int:
-        """Return how many sources told something."""
+        """Return the number of sources with recent outcomes."""
         return len({batch.source for batch in self._batches})
 
     def failing_sources(self) -> int:
-        """Return how many sources saw failures."""
+        """Return the number of sources that reported failures."""
         return len(self._failing)
 
     def evidence(
@@ -233,21 +237,21 @@
     ) -> FailureEvidence | None:
         """Return evidence that the replica fails, None if there is not enough.
 
-        The newest outcomes are looked at, as many of them as say most. They must do without the
-        worst source, and where gateways of several halls tell something those of the others must
-        agree with the worst hall: one gateway, link or hall that is at fault itself convinces
-        nobody.
+        The most recent outcomes are evaluated, as many of them as give the strongest evidence. The
+        evidence must hold without the source with the highest score and, where gateways of several
+        halls report outcomes, without the hall with the highest score. So a single faulty gateway,
+        network link or hall does not suffice.
 
         Parameters
         ----------
         hall : str
-            In whose view.
+            Hall whose sources are evaluated, or `ALL_HALLS`.
         span_s : float
-            Failures must be spread over this, in seconds.
+            Minimum time between the first and the last failure, in seconds.
         has_halls : bool
-            Whether gateways of several halls tell something.
+            Whether gateways of several halls report outcomes.
         usual : float
-            Part of the requests that fail at the others of its service, 0 to 1.
+            Failure rate of the other replicas of the service, 0 to 1.
         """
         score = _FailureScore(
             max(BASE_FAILURE_RATE, PEER_FAILURE_FACTOR * base_rate + PEER_FAILURE_MARGIN)
@@ -268,7 +272,7 @@
 
 
 class _FailureScore:
-    """Scores by source, beside a replica that fails a part of its requests as is usual."""
+    """Log-likelihood ratios of a failing to a healthy replica, by source."""
 
     __slots__ = ("_bad_score", "_good_score", "_scores", "bad", "failing", "good", "total")
 
@@ -293,7 +297,9 @@
             self.failing.add(batch.source)
 
     def holds(self, has_halls: bool) -> bool:
-        """Return whether the score holds without the worst source, and without the worst hall."""
+        """Return whether the score suffices without the highest source, and without the highest
+        hall.
+        """
         if len(self.failing) < MIN_SOURCES:
             return False
         if self.total - max(self._scores.values()) < EJECT_SCORE:
--- a/packages/policy/src/gradelug_policy/pace.py
+++ b/packages/policy/src/gradelug_policy/pace.py
@@ -1,11 +1,11 @@
-"""How fast the weight store serves, learned from loads that were or were not through in time.
+"""Adapts the number of concurrent loads from the weight store, by which loads complete in time.
 
-Load pattern: many adapters are asked for at once, of a store of which nothing is known: it may
-bear two loads at full speed or six hundred, and one may take a tenth of a second or three. Too few
-at once leave places empty while requests are refused; too many make every load late.
+Load pattern: many adapters are requested at once from a store of unknown speed. It may serve two
+loads at full speed or six hundred, and one load may take a tenth of a second or three. With too few
+concurrent loads slots stay empty while requests are refused; with too many every load is late.
 
-The number of loads at once follows the ratio of the time that a load takes when few are under way
-to the time that it takes now, as gradient limits of concurrency do.
+The number of concurrent loads follows the ratio of the time of a load when few are in progress to
+the current time of a load, as in gradient concurrency limits.
 """
 
 from __future__ import annotations
@@ -16,53 +16,54 @@
 """Where the search for the time begins: rather too long, since a load that is late costs its
 requests a repetition, and one that is in time brings the expected time down fast."""
 INITIAL_PARALLEL_LOADS = 8.0
-"""Where the search for the number begins unless more is known; 75 times as many are found within
-seconds (see the tests' simulated stores)."""
+"""Initial number of concurrent loads if the store's capacity is unknown; the search reaches 75
+times as many within seconds."""
 MIN_PARALLEL_LOADS = 4.0
 UNLOADED_MAX_LOADS = 8
-"""With so few under way the time that a load takes is taken for the store's own. Of a store that
-bears fewer a time is learned that is too long, and as many loads a second all the same."""
+"""With at most this many loads in progress, a load's time counts as the store's unloaded time. For
+a store with less capacity that time is overestimated, at the same throughput."""
 MAX_PARALLEL_LOADS = 2_400.0
-"""Four loads for each of 600 engines."""
+"""Maximum number of concurrent loads: four for each of 600 engines."""
 MIN_LOAD_TIME_S = 0.02
 MAX_LOAD_TIME_S = 10.0
-"""Bounds of the search, as far from what was seen so far (0.25 to 0.29 s) as one can think of."""
+"""Maximum of the time estimate, in seconds. Both bounds are far from usual times of 0.25 to 0.29 s."""
 LOAD_TIME_TOLERANCE = 1.2
-"""Loads may take so many times as long as on their own: it shows that the store is fully used."""
+"""Loads may take this many times the unloaded time, which shows that the store is fully used."""
 SEARCH_GROWTH_LOADS = 1.0
-"""Each load at the limit adds so many until loads take longer for the first time: the number
-doubles in a load's time."""
+"""Increase per load at the limit until load times rise for the first time: the limit doubles within
+the time of a load."""
 SQRT_GROWTH_FACTOR = 0.5
-"""After that it grows by this part of its root in a load's time."""
+"""Afterwards the limit grows by this multiple of its square root within the time of a load."""
 MIN_GRADIENT = 0.5
 LATE_LOAD_MARGIN = 1.1
-"""A load that was late is expected to take so many times as long as it was seen to take at least:
-each load that is late costs its requests a repetition."""
+"""After a late load the estimate is this multiple of the elapsed time. Each late load costs its
+requests a retry."""
 MAX_LOAD_TIME_INCREASE_FACTOR = 1.5
-"""One late report raises the expected time by this factor at most: it may itself have come late."""
+"""Maximum factor by which one late report raises the estimate, since the report may be delayed
+itself."""
 LOAD_TIME_DECAY = 0.006
-"""Part of the expected time that is taken off in the time of a load. Loads are late for one load's
-time each time the margin is used up, one time in 17."""
+"""Fraction by which the estimate decays within the time of a load. Once the margin is used up,
+loads are late for the time of one load: one time in 17."""
 INITIAL_LOAD_TIME_DECAY = 0.12
-"""The same until a load was late for the first time."""
+"""Fraction by which the estimate decays until the first late load."""
 UNLOADED_TIME_SMOOTHING = 0.3
-"""Part by which a load among few moves what is taken for the store's own time."""
+"""Weight of a new value in the moving average of the unloaded time."""
 UNLOADED_TIME_DECAY_PER_S = 0.003
-"""Nothing shows that the store's own time was taken for too long while many loads are under way; so
-it is lowered until few are, and learned anew then."""
+"""Decay of the unloaded time per second. Under many concurrent loads an overestimate cannot be
+detected, so it decays until few loads are in progress and new values arrive."""
 CACHED_LOAD_SPEEDUP = 10.0
-"""Adapters that an engine had lately load so many times as fast (the platform's contract)."""
+"""Adapters in an engine's host memory load this many times as fast (the platform's contract)."""
 
 
 class StorePace:
-    """Expected time of a load, and how many may be under way.
+    """Expected time of a load from the weight store, and the limit of concurrent loads.
 
     Parameters
     ----------
     now : float
-        By the runtime's clock.
+        Current time by the runtime's clock, in seconds.
     first_at_once : float
-        What the store is known to bear at once, in loads; 0 if nothing is known.
+        Known capacity of the store in concurrent loads; 0 if unknown.
     """
 
     __slots__ = (
@@ -79,18 +80,18 @@
         self._updated_at = now
         self._max_parallel = max(INITIAL_PARALLEL_LOADS, first_at_once)
         self._unloaded_s = FIRST_LOAD_S
-        """Time of a load when few are under way, in seconds."""
+        """Time of a load while few are in progress, in seconds."""
         self._is_searching = True
-        """Whether loads have not taken longer yet for being many."""
+        """Whether load times have not yet risen with the number of loads."""
         self._has_been_late = False
-        """Whether a load was late once: until then nothing is known of its time."""
+        """Whether a load has been late; until then there is no lower bound of its time."""
         self._increased_at = -math.inf
         self.load_s = FIRST_LOAD_S
         """Expected time of a load, in seconds."""
 
     @property
     def at_once(self) -> int:
-        """How many loads may be under way."""
+        """Maximum number of concurrent loads."""
         return int(self._max_parallel)
 
     @property
@@ -100,20 +101,20 @@
 
     @property
     def rate(self) -> float:
-        """Loads a second that the store bears, as far as is known."""
+        """Estimated throughput of the store, in loads per second."""
         return self._max_parallel / self.load_s
 
     def note_in_time(self, under_way: int, at_limit: bool, now: float) -> None:
-        """Note that a load was through.
+        """Record that a load completed in time.
 
         Parameters
         ----------
         under_way : int
-            Loads under way when it began.
+            Number of loads in progress when it started.
         at_limit : bool
-            Whether that was as many as allowed.
+            Whether that number was the limit.
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock, in seconds.
         """
         self._decay(now)
         if under_way <= UNLOADED_MAX_LOADS:
@@ -122,19 +123,19 @@
             self._adjust_limit()
 
     def note_late(self, under_way: int, elapsed_s: float, now: float) -> None:
-        """Note that a load was not through yet.
+        """Record that a load has not completed in time.
 
         Parameters
         ----------
         under_way : int
-            Loads under way when it began.
+            Number of loads in progress when it started.
         elapsed_s : float
-            How long it had been under way, in seconds.
+            Time since it started, in seconds.
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock, in seconds.
         """
         self._decay(now)
-        # Of loads that were begun together all are late: they tell one thing, not many.
+        # Loads that started together are all late together, so they raise the estimate once.
         if now - self._increased_at >= self.load_s:
             new_load_s = min(
                 elapsed_s * LATE_LOAD_MARGIN,
@@ -158,7 +159,7 @@
         )
 
     def _adjust_limit(self) -> None:
-        """Move the number of loads at once by how much longer loads take than among few."""
+        """Adapt the limit by the ratio of the unloaded time to the current time of a load."""
         gradient = max(MIN_GRADIENT, LOAD_TIME_TOLERANCE * self._unloaded_s / self.load_s)
         if gradient >= 1:
             growth = (
@@ -172,6 +173,6 @@
         previous = self._max_parallel
         self._max_parallel = min(MAX_PARALLEL_LOADS, max(MIN_PARALLEL_LOADS, previous + growth))
         if gradient < 1:
-            # Beyond what the store bears the time is in proportion to the number.
+            # Beyond the capacity of the store the time of a load is proportional to the number of loads.
             scaled_s = self.load_s * self._max_parallel / previous
             self.load_s = max(scaled_s, min(self.load_s, LATE_LOAD_MARGIN * self._unloaded_s))
--- a/packages/policy/src/gradelug_policy/permits.py
+++ b/packages/policy/src/gradelug_policy/permits.py
@@ -1,4 +1,6 @@
-"""The weight store's shared limit: a rate and a number of loads at once, most urgent first."""
+"""Limits loads from the weight store across all schedulers: a rate and a number of concurrent
+loads.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +8,19 @@
 from dataclasses import dataclass
 
 PERMIT_TTL_S = 30.0
-"""A permit whose holder has died lapses after this long."""
+"""Time after which a permit expires, in seconds, in case its holder has died."""
 
 
 @dataclass(slots=True, frozen=True)
 class PermitRequest:
-    """A load that waits for the store.
+    """A request for a permit to load from the store.
 
     Parameters
     ----------
     holder, engine, key : str
-        Who asks, for which engine and adapter.
+        Requesting scheduler, and the engine and adapter to load.
     urgency : float
-        Priority; greater goes first.
+        Priority; requests with a greater one are served first.
     """
 
     holder: str
@@ -28,16 +30,16 @@
 
 
 class StorePermits:
-    """Divides the store's limit among all schedulers; kept by the member that owns the store.
+    """Issues permits for loads from the store; runs on the member that owns the store.
 
     Parameters
     ----------
     rate : float
-        Loads that may begin per second.
+        Maximum loads started per second.
     parallel : int
-        Loads at once.
+        Maximum number of concurrent loads.
     now : float
-        The present moment.
+        Current time, in seconds.
     """
 
     __slots__ = (
@@ -60,7 +62,7 @@
         self._next_number = 1
 
     def limit(self, rate: float, parallel: int) -> None:
-        """Change the limits."""
+        """Set the rate and the number of concurrent loads."""
         self._rate, self._parallel = rate, parallel
         self._burst = max(1.0, rate)
 
@@ -76,11 +78,13 @@
         return number
 
     def end(self, number: int) -> None:
-        """Give a permit back."""
+        """Release a permit."""
         self._expiry_by_permit.pop(number, None)
 
     def next_at(self, now: float) -> float:
-        """Return the seconds until a token is there; 0 if only a place is missing."""
+        """Return the time until a token is available, in seconds; 0 if only concurrency is
+        exhausted.
+        """
         self._refill(now)
         return max(0.0, (1 - self._tokens) / self._rate)
 
@@ -92,5 +96,5 @@
 
 
 def most_urgent(requests: t.Iterable[PermitRequest]) -> PermitRequest | None:
-    """Return the request that gets the next permit."""
+    """Return the request that receives the next permit."""
     return max(requests, key=lambda request: (request.urgency, request.key), default=None)
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -1,14 +1,14 @@
-"""Which requests end the replicas that run them, found from what was there when replicas ended.
+"""Detects requests that end the replicas that run them, from the requests present at each end.
 
-Load pattern: one request, or several, end each replica that begins them and come again and again,
-through any gateway. Up to 96 others are at a replica when it ends; they are sent again, many of
-them to where the same request goes next, so that some are at three ends or four as well. Replicas
-also end for reasons of their own, several at once and again and again.
+Load pattern: one or several requests end each replica that starts them, and arrive repeatedly
+through any gateway. Up to 96 other requests are at a replica when it ends. They are retried, many
+of them at the replica that receives the same faulty request next, so that some are present at three
+or four ends. Replicas also end for other reasons, several at once and repeatedly.
 
-A request is blocked that was at three ends, unless another one explains them as well: who was
-there at more of them is blocked first, and an end that it explains speaks against nobody else. Of
-those that are alike the next end tells. A request that was answered whole is never blocked: what
-ends each replica that begins it cannot be.
+A request is blocked after it was present at three ends, unless another request explains them as
+well: the one present at more ends is blocked first, and an end that it explains does not count
+against others. If several are equal, the next end decides. A request that was answered completely
+is never blocked, since it cannot be one that ends every replica that starts it.
 """
 
 from __future__ import annotations
@@ -19,39 +19,41 @@
 from dataclasses import dataclass, field
 
 BEGUN = 1.0
-"""Weight of a request that had begun and had sent nothing yet; of one whose answer comes whole,
-too, of which nothing tells how far it had got."""
+"""Weight of a request that had started and sent no event yet; also of one with an unstreamed
+response, whose progress is unknown."""
 RUNNING = 0.6
-"""Of one whose events came: where beginning it ends a replica, there are few or none. Five ends are
-enough; at 0.75, four, twice as many harmless requests were blocked where engines end by themselves
-every 0.6 s (10 of 21,366 instead of 3, nine engines, drawn at random)."""
+"""Weight of a request that had sent events; one that ends a replica by starting sends few or none.
+Five ends suffice to block it. At 0.75, where four suffice, twice as many harmless requests were
+blocked with engines that end by themselves every 0.6 s (10 of 21,366 instead of 3, nine engines,
+random requests)."""
 WAITING = 0.5
-"""Of one of which nothing had come where a stream's head is sent as it begins: most such wait. Six
-ends are enough."""
+"""Weight of a request without a response head where streams send it on start, as most such requests
+are still queued. Six ends suffice to block it."""
 BLOCK_SCORE = 3.0
-"""A request with this score is blocked: three ends that nothing else explains. Two happen to a
-request of a crowded batch whose engines end for reasons of their own."""
+"""Minimum score of a blocked request: three ends that nothing else explains. Two occur to requests
+of a full batch whose engines end for other reasons."""
 MIN_SCORE_LEAD = 0.5
-"""No other request at the same ends may come as near to its score as this: the difference between
-waiting and having begun, once."""
+"""Minimum lead over the score of all other requests at the same ends: the difference between a
+queued and a started request at one end."""
 CERTAIN_BLOCK_SCORE = 5.0
-"""With this score it is blocked whoever was there beside it."""
+"""Score at which a request is blocked regardless of the other requests at its ends."""
 SUSPECT = 2.0
-"""From this score on all gateways know of it: one further end may be enough."""
+"""Score from which a request is reported to all gateways, since one more end may suffice."""
 GATHER_S = 0.2
-"""What gateways tell of one end comes within this time: they see it within milliseconds, and find
-out by a round trip that it is one."""
+"""Time within which all gateways report the requests of one end, in seconds. They detect it within
+milliseconds and confirm it with a round trip."""
 REMEMBERED_S = 600.0
-"""An end that blocked nobody is forgotten after this: a request that comes again comes within the
-time of a few retries, or of a job that runs each minute or two."""
+"""Time after which an end is forgotten, in seconds. Repeated requests arrive within the time of a
+few retries, or of a job that runs every minute or two."""
 BLOCK_TTL_S = 3600.0
-"""A request stays blocked this long: its caller has had to change it by then, or the engines have
-been repaired, and one that still ends them costs three of them an hour."""
+"""Time for which a request stays blocked, in seconds. By then its caller has changed it or the
+engines have been repaired; otherwise it costs three engines per hour."""
 MAX_ENDS = 128
 MAX_REQUESTS_PER_END = 96
-"""Requests remembered of one end, those of the most weight: the slots of an engine."""
+"""Maximum number of requests stored per end, those of the greatest weight: the slots of an engine."""
 MAX_BLOCKED = 128
-"""Each cost three engines, 384 in an hour: whoever has more to block has no engines left."""
+"""Maximum number of blocked requests. Each costs three engines, together 384 per hour, so that a
+service with more of them has no engines left."""
 MAX_SUSPECTS = 64
 
 
@@ -68,11 +70,11 @@
     Parameters
     ----------
     mark : bytes
-        Its fingerprint.
+        Fingerprint of the request.
     ends : int
-        Ends at which it was.
+        Number of ends at which it was present.
     score : float
-        What speaks against it.
+        Sum of its weights at ends that no other request explains.
     """
 
     mark: bytes
@@ -84,11 +86,11 @@
 class _Blocked:
     since: float
     weight: float
-    """The most that it weighed at an end: how far it gets before it ends one."""
+    """Greatest weight at an end: the progress that it makes before it ends a replica."""
 
 
 class EndLedger:
-    """Keeps what was at replicas when they ended, and finds who ended them."""
+    """Stores the requests present when replicas ended, and detects those that caused the ends."""
 
     __slots__ = ("_blocked", "_ends")
 
@@ -98,22 +100,22 @@
 
     @property
     def blocked(self) -> t.KeysView[bytes]:
-        """The requests that are not to be sent any more."""
+        """Fingerprints of the requests that must not be sent."""
         return self._blocked.keys()
 
     def note_end(self, end: str, mark: bytes, weight: float, now: float) -> None:
-        """Note that a request was at a replica when it ended.
+        """Record that a request was present when a replica ended.
 
         Parameters
         ----------
         end : str
-            Names the life of the replica that ended; told again it counts once.
+            Identifies the incarnation of the replica that ended; repeated reports count once.
         mark : bytes
-            The request.
+            Fingerprint of the request.
         weight : float
-            How much that says: `BEGUN`, `RUNNING` or `WAITING`.
+            Strength of the evidence: one of the weights above.
         now : float
-            When it ended, by the runtime's clock.
+            Time of the end, by the runtime's clock.
         """
         crashing = self._ends.get(end)
         if crashing is None:
@@ -126,25 +128,29 @@
             del weights[min(weights, key=weights.__getitem__)]
 
     def note_served(self, mark: bytes) -> bool:
-        """Note that a request was answered whole; tell whether anything spoke against it."""
+        """Record that a request was answered completely; return whether there was evidence against
+        it.
+        """
         was_known = self._blocked.pop(mark, None) is not None
         for end in self._ends.values():
             was_known |= end.weights.pop(mark, None) is not None
         return was_known
 
     def block(self, mark: bytes, weight: float, now: float) -> None:
-        """Block a request that was found before, by another judge."""
+        """Block a request that another planner detected."""
         self._blocked.setdefault(mark, _Blocked(now, weight))
         while len(self._blocked) > MAX_BLOCKED:
             del self._blocked[next(iter(self._blocked))]
 
     def judge(self, now: float, gather_s: float = 0.0) -> list[BlockedRequest]:
-        """Block those that are found now, and return them.
+        """Block the requests that are detected now, and return them.
 
         Parameters
         ----------
+        now : float
+            Current time, by the runtime's clock.
         gather_s : float
-            Ends of the last so many seconds do not count yet, in seconds.
+            Ends more recent than this are not counted yet, in seconds.
         """
         self._forget(now)
         findings: list[BlockedRequest] = []
@@ -162,29 +168,31 @@
                 self.block(mark, max(weights), now)
 
     def is_gathering(self, now: float, gather_s: float) -> bool:
-        """Return whether there are ends that do not count yet."""
+        """Return whether there are ends that are not counted yet."""
         return any(end.at > now - gather_s for end in self._ends.values())
 
     def score(self, mark: bytes) -> float:
-        """Return what speaks against a request, 0 for one that is blocked."""
+        """Return the score of a request, 0 for a blocked one."""
         return self._scores(math.inf).get(mark, 0.0)
 
     def suspects(self) -> dict[bytes, float]:
-        """Return the requests that one further end may block, the most suspect first."""
+        """Return the scores of the requests that one more end may block, the highest first."""
         scores = self._scores(math.inf)
         marks = sorted(scores, key=lambda mark: -scores[mark])[:MAX_SUSPECTS]
         return {mark: scores[mark] for mark in marks if scores[mark] >= SUSPECT}
 
     def ends_of(self, mark: bytes) -> dict[str, float]:
-        """Return the ends at which a request was, and what it weighed there."""
+        """Return the ends at which a request was present, with its weight at each."""
         return {name: end.weights[mark] for name, end in self._ends.items() if mark in end.weights}
 
     def weight_of(self, mark: bytes) -> float:
-        """Return the most that a blocked request weighed at an end."""
+        """Return the greatest weight of a blocked request at an end."""
         return self._blocked[mark].weight
 
     def _forget(self, now: float) -> None:
-        """Forget what is too old, but no end of a blocked request: it explains others' scores."""
+        """Remove expired ends and blocked requests; ends of blocked requests explain others'
+        scores.
+        """
         for name, end in list(self._ends.items()):
             if now - end.at > REMEMBERED_S:
                 del self._ends[name]
@@ -193,7 +201,7 @@
                 del self._blocked[mark]
 
     def _find_culprit(self, scores: t.Mapping[bytes, float], until: float) -> bytes | None:
-        """Return one with enough against it, if no other explains its ends as well."""
+        """Return a request with a sufficient score, if no other explains its ends as well."""
         candidates = [mark for mark, score in scores.items() if score >= BLOCK_SCORE]
         for mark in sorted(candidates, key=lambda mark: -scores[mark]):
             others = {
@@ -211,7 +219,7 @@
         return None
 
     def _scores(self, until: float) -> dict[bytes, float]:
-        """Return what speaks against each request that is not blocked."""
+        """Return the scores of the requests that are not blocked."""
         scores: defaultdict[bytes, float] = defaultdict(float)
         for end in self._ends.values():
             if end.at > until or self._is_explained(end):
@@ -223,7 +231,9 @@
         return scores
 
     def _is_explained(self, end: _End) -> bool:
-        """Return whether a blocked request was there, as far as it gets before it ends a replica."""
+        """Return whether a blocked request was there and had progressed far enough to end the
+        replica.
+        """
         return any(
             end.weights.get(mark, 0.0) >= blocked.weight for mark, blocked in self._blocked.items()
         )
--- a/packages/policy/src/gradelug_policy/queue.py
+++ b/packages/policy/src/gradelug_policy/queue.py
@@ -1,27 +1,27 @@
-"""The order in which waiting requests are served: weight first, without starving the light."""
+"""Computes the priority of waiting requests: by weight, without starving light ones."""
 
 from __future__ import annotations
 
 import math
 
 AGING_S = 2.0
-"""A wait of this many seconds lifts a request as much as doubling its weight does."""
+"""Waiting time that raises the priority as much as a doubled weight, in seconds."""
 
 
 def priority(weight: float, waited_s: float, ageing_s: float = AGING_S) -> float:
     """Return a request's priority; greater goes first.
 
-    A request twice as weighty is served as if it had come `ageing_s` seconds earlier, so the
-    weighty ones go first, and the wait of a light one behind a stream of weighty ones is
-    bounded by ``ageing_s * log2(ratio of weights)`` beyond first come, first served.
+    A request of twice the weight is served as if it had arrived `ageing_s` seconds earlier. So
+    heavy requests go first, while the wait of a light one behind a stream of heavy ones exceeds
+    first come, first served by at most ``ageing_s * log2(ratio of weights)``.
 
     Parameters
     ----------
     weight : float
-        Above 0.
+        Weight of the request, above 0.
     waited_s : float
-        Seconds since it came.
+        Time since it arrived, in seconds.
     ageing_s : float
-        Seconds of waiting that count like a doubled weight.
+        Waiting time that counts like a doubled weight, in seconds.
     """
     return math.log2(weight) + waited_s / ageing_s
