--- a/packages/policy/src/gradelug_policy/pace.py
+++ b/packages/policy/src/gradelug_policy/pace.py
@@ -13,8 +13,8 @@
 import math
 
 FIRST_LOAD_S = 0.3
-"""Where the search for the time begins: rather too long, since a load that is late costs its
-requests a repetition, and one that is in time brings the expected time down fast."""
+"""Initial estimate of the time of a load, in seconds. It is rather high: a late load costs its
+requests a retry, while loads in time lower the estimate quickly."""
 INITIAL_PARALLEL_LOADS = 8.0
 """Initial number of concurrent loads if the store's capacity is unknown; the search reaches 75
 times as many within seconds."""
@@ -26,7 +26,8 @@
 """Maximum number of concurrent loads: four for each of 600 engines."""
 MIN_LOAD_TIME_S = 0.02
 MAX_LOAD_TIME_S = 10.0
-"""Maximum of the time estimate, in seconds. Both bounds are far from usual times of 0.25 to 0.29 s."""
+"""Maximum of the time estimate, in seconds. Both bounds are far from usual times, 0.25 to 0.29
+s."""
 LOAD_TIME_TOLERANCE = 1.2
 """Loads may take this many times the unloaded time, which shows that the store is fully used."""
 SEARCH_GROWTH_LOADS = 1.0
@@ -173,6 +174,6 @@
         previous = self._max_parallel
         self._max_parallel = min(MAX_PARALLEL_LOADS, max(MIN_PARALLEL_LOADS, previous + growth))
         if gradient < 1:
-            # Beyond the capacity of the store the time of a load is proportional to the number of loads.
+            # Beyond the store's capacity the time of a load is proportional to the number of loads.
             scaled_s = self.load_s * self._max_parallel / previous
             self.load_s = max(scaled_s, min(self.load_s, LATE_LOAD_MARGIN * self._unloaded_s))
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -50,7 +50,7 @@
 engines have been repaired; otherwise it costs three engines per hour."""
 MAX_ENDS = 128
 MAX_REQUESTS_PER_END = 96
-"""Maximum number of requests stored per end, those of the greatest weight: the slots of an engine."""
+"""Maximum number of requests stored per end, those of the greatest weight: an engine's slots."""
 MAX_BLOCKED = 128
 """Maximum number of blocked requests. Each costs three engines, together 384 per hour, so that a
 service with more of them has no engines left."""
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -1,8 +1,9 @@
-"""How much organisations may still use, over all instances: one home grants, shares bridge a loss.
+"""Enforces the quotas of organisations across all instances: one coordinator grants requests, and
+local shares bridge its loss.
 
-Load pattern: an organisation sends several times its usual, over many instances that each see a
-few of its requests, while instances and the home itself are lost. What is granted must stay within
-the quota in every window, and an organisation within its quota must not be refused.
+Load pattern: an organisation sends several times its usual load through many instances that each
+receive a few of its requests, while instances and the coordinator itself fail. Grants must stay
+within the quota in every window, and an organisation within its quota must not be refused.
 """
 
 from __future__ import annotations
@@ -16,45 +17,51 @@
 from .refusals import UNKNOWN_CALLER, Caller, Refusals
 
 MIN_BURST_S = 0.5
-"""A bucket holds at least what its rate brings in this time, in seconds: requests come in clumps,
-and a quota without a burst would refuse one of two that come together."""
+"""Minimum capacity of a bucket as the time in which its rate refills it, in seconds. Requests
+arrive in bursts, and a quota without a burst would refuse one of two simultaneous requests."""
 SHARE_HALF_LIFE_S = 4.0
-"""Shares follow what an instance has used lately; clients stay with an instance for seconds."""
+"""Half-life of an instance's use by which its share is computed, in seconds; clients stay with an
+instance for seconds."""
 EVEN_SHARE_FRACTION = 0.1
-"""Part of the rate that is shared out evenly: an instance that has used little may use some."""
+"""Fraction of the rate that is divided evenly, so that an instance with little recent use has
+some."""
 SHARE_TTL_S = 6.0
-"""How long a share holds that an instance was told, in seconds: a planner is replaced within 2 to
-4 s, and where the platform's service was away as well."""
+"""Validity of an instance's share, in seconds. A planner is replaced within 2 to 4 s, or later if
+the platform's service was unavailable as well."""
 MAX_ANSWER_DELAY_S = 0.5
-"""An instance counts its share from its answer's arrival, which was this much earlier at most."""
+"""Maximum delay of an answer, in seconds. An instance counts the validity of its share from the
+answer's arrival, less this delay."""
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaTerms:
-    """The limit of an organisation: so much a second, and so much at once."""
+    """Quota of an organisation: rate in tokens per second and burst in tokens."""
 
     rate: float
     burst: float
 
 
 class GrantedShare(t.NamedTuple):
-    """What an instance may use while nobody answers it: tokens a second, and until when."""
+    """Tokens per second that an instance may use without the coordinator, and the share's expiry
+    time.
+    """
 
     rate: float
     until: float
 
 
 class QuotaBucket:
-    """A token bucket that may go into debt for a request larger than all that it holds.
+    """A token bucket that may go into debt for a request larger than its capacity.
 
-    Without that the largest requests of an organisation with a small burst would never run.
+    Otherwise the largest requests of an organisation with a small burst would never run.
 
     Parameters
     ----------
     terms : QuotaTerms
-        Rate in tokens a second, and the most that is saved up.
+        Rate in tokens per second, and burst in tokens.
     now : float
-        By the runtime's clock. The bucket starts empty: what was granted before is not known.
+        Current time by the runtime's clock. The bucket starts empty, since earlier grants are
+        unknown.
     """
 
     __slots__ = ("_at", "_level", "_deducted", "_reserved", "scale", "terms")
@@ -62,32 +69,32 @@
     def __init__(self, terms: QuotaTerms, now: float) -> None:
         self.terms = terms
         self.scale = 1.0
-        """Part of the rate that is granted here."""
+        """Fraction of the rate that this coordinator grants."""
         self._at = now
         self._level = 0.0
         self._reserved = 0.0
-        """Tokens of refused requests that were told to come back and have not had time to."""
+        """Tokens of refused requests whose retry time has not come yet."""
         self._deducted: dict[str, GrantedShare] = {}
-        """What instances use without asking."""
+        """Shares of unreachable instances, which use them without asking, by instance."""
 
     @property
     def capacity(self) -> float:
-        """The most tokens that are saved up."""
+        """Maximum number of tokens in the bucket."""
         return max(self.terms.burst, self.terms.rate * MIN_BURST_S)
 
     @property
     def level(self) -> float:
-        """Tokens that are there, less than none in debt."""
+        """Number of available tokens, negative when in debt."""
         return self._level
 
     @property
     def refill_rate(self) -> float:
-        """Tokens that come in a second, without what instances use that do not ask."""
+        """Tokens per second, after deduction of the shares of unreachable instances."""
         deducted = sum(share.rate for share in self._deducted.values())
         return max(0.0, self.terms.rate * self.scale - deducted)
 
     def settle(self, now: float) -> None:
-        """Take the time that has passed into account."""
+        """Refill the bucket for the time since the last call, and remove expired deductions."""
         passed_s = now - self._at
         self._at = now
         earned = self.refill_rate * passed_s
@@ -98,7 +105,9 @@
         self._reserved = max(0.0, self._reserved - earned)
 
     def try_take(self, amount: float, now: float, needed: float | None = None) -> bool:
-        """Take tokens if they are there, or as many as are `needed` for it."""
+        """Take tokens if they are available, or if the level is at least `needed` where that is
+        given.
+        """
         self.settle(now)
         if self._level < (min(amount, self.capacity) if needed is None else needed):
             return False
@@ -106,43 +115,45 @@
         return True
 
     def give_back(self, amount: float, now: float) -> None:
-        """Return tokens that were taken and not used."""
+        """Return unused tokens to the bucket."""
         self.settle(now)
         self._level = min(self.capacity, self._level + amount)
 
     def reserve_retry_s(self, amount: float, now: float) -> float:
-        """Return when a refused request may come back, in seconds, behind those refused before."""
+        """Return the time until a refused request should be retried, in seconds, after earlier
+        ones.
+        """
         self.settle(now)
         self._reserved += amount
         return max(0.0, self._reserved - self._level) / self.terms.rate
 
     def deduct_share(self, instance: str, share: GrantedShare, now: float) -> None:
-        """Grant so much less while an instance that is not heard of may use its share."""
+        """Reduce the refill rate while an unreachable instance may use its share."""
         self.settle(now)
         self._deducted[instance] = share
 
     def restore_share(self, instance: str, now: float) -> None:
-        """Note that an instance asks again."""
+        """Stop the deduction for an instance that sends requests to the coordinator again."""
         self.settle(now)
         self._deducted.pop(instance, None)
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaDecision:
-    """What an instance is told of a request.
+    """Decision on a request, as sent to its instance.
 
     Parameters
     ----------
     granted : bool
         Whether the request may run.
     retry_s : float
-        When it may come back if not, in seconds.
+        Time until a refused request should be retried, in seconds.
     share : float
-        What the instance may use while nobody answers it, in tokens a second.
+        Tokens per second that the instance may use without the coordinator.
     level, needed : float
-        Tokens that were there, and that would have had to be.
-    standing : Standing
-        How the caller came.
+        Tokens that were available, and that were required.
+    standing : RetryState
+        Whether the request was a first try or a retry, and whether that was early.
     """
 
     granted: bool
@@ -154,7 +165,7 @@
 
 
 class _Account:
-    """Grants and shares of one organisation."""
+    """Bucket and shares of one organisation."""
 
     __slots__ = ("_arbiter", "_reported_rates", "_shares", "_usage", "bucket")
 
@@ -166,7 +177,7 @@
         self._reported_rates: dict[str, float] = {}
 
     def ask(self, instance: str, amount: float, caller: Caller, now: float) -> QuotaDecision:
-        """Return a verdict without a share."""
+        """Return a decision without a share."""
         if self._arbiter is None:
             return self._ask_first_come(instance, amount, now)
         bucket = self.bucket
@@ -197,10 +208,10 @@
             self.bucket.deduct_share(instance, share, now)
 
     def share(self, instance: str, instances: int, now: float) -> float:
-        """Return a share; those that hold at a moment never add up to more than the rate.
+        """Return an instance's share; all valid shares together never exceed the rate.
 
-        Where instances are missing that another home may have told shares, not to more than the
-        part of the rate that is granted here.
+        While instances are missing that another coordinator may have granted shares, they do not
+        exceed the fraction of the rate that is granted here.
         """
         self._shares = {
             name: other_share
@@ -220,12 +231,12 @@
         return share
 
     def known_fraction(self, joined_count: float) -> float:
-        """Return which part of the rate nobody else uses, as far as can be known.
+        """Return the fraction of the rate that is certainly not used elsewhere.
 
         Parameters
         ----------
         joined : float
-            Part of all instances that ask here.
+            Fraction of all instances that have joined this coordinator.
         """
         if not self._reported_rates:
             return joined_count
@@ -233,18 +244,19 @@
 
 
 class QuotaHome:
-    """Grants what organisations use, all of it.
+    """Grants requests of organisations within their quotas, for all instances.
 
     Parameters
     ----------
     now : float
-        By the runtime's clock.
+        Current time by the runtime's clock.
     expected : int
-        Instances that its predecessor knew, 0 if none is known. Until an instance asks here it
-        may use its share, so that as much of the rate is kept back for a while: what is left of
-        the rate when the shares of those that ask are counted.
+        Number of instances that its predecessor knew, 0 if unknown. Until an instance has
+        joined, it may still use its share, so the rate is reduced for a while by what the
+        shares of joined instances do not account for.
     urgent_first : bool
-        Whether the urgent go first where more is asked for than there is; else who comes first.
+        Whether urgent requests take precedence under contention; otherwise first come, first
+        served.
     """
 
     __slots__ = (
@@ -267,7 +279,7 @@
         self._accounts: dict[str, _Account] = {}
 
     def join(self, instance: str, shares: t.Mapping[str, float], now: float) -> None:
-        """Note that an instance asks here from now on, and the shares that it has."""
+        """Record that an instance uses this coordinator from now on, with its current shares."""
         self._instances.add(instance)
         for account in self._accounts.values():
             account.bucket.restore_share(instance, now)
@@ -278,7 +290,7 @@
                 self._accounts[organisation].report(instance, share)
 
     def leave(self, instance: str, now: float) -> None:
-        """Note that an instance is not heard of: it may use its shares for a while."""
+        """Record that an instance is unreachable; it may use its shares until they expire."""
         self._instances.discard(instance)
         for account in self._accounts.values():
             account.leave(instance, now)
@@ -297,17 +309,17 @@
         Parameters
         ----------
         instance : str
-            Where the request waits.
+            Instance at which the request waits.
         organisation : str
-            Whose quota it counts to.
+            Organisation whose quota it counts against.
         terms : QuotaTerms
-            The limit in force.
+            Quota in force.
         amount : float
-            What it counts.
+            Tokens that the request consumes.
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock.
         caller : Caller
-            Who asks.
+            Origin of the request.
         """
         account = self._account(organisation, terms, now)
         account.bucket.scale = self._scale(account, now)
@@ -316,7 +328,7 @@
         return replace(verdict, share=account.share(instance, instances, now))
 
     def give_back(self, organisation: str, amount: float, now: float) -> None:
-        """Take back what was granted to a request that was not run."""
+        """Return the tokens of a granted request that was not run."""
         account = self._accounts.get(organisation)
         if account is not None:
             account.bucket.give_back(amount, now)
@@ -324,7 +336,7 @@
     def _account(self, organisation: str, terms: QuotaTerms, now: float) -> _Account:
         account = self._accounts.get(organisation)
         if account is None:
-            # An organisation that has sent nothing so far has saved up since the home began.
+            # The bucket of an organisation without requests so far has filled since the start.
             arbiter = QuotaArbiter(organisation, self._refusals) if self._urgent_first else None
             account = self._accounts[organisation] = _Account(terms, self._started_at, arbiter)
             for instance, share in self._reports.get(organisation, {}).items():
@@ -343,10 +355,10 @@
 
 
 class LocalShares:
-    """What this instance may use while no home answers it.
+    """Shares that this instance may use while no coordinator answers.
 
-    Each share fills a bucket from the moment on at which the home is missed: what the home grants
-    before, here or elsewhere, is not used a second time.
+    Each share fills a bucket from the loss of the coordinator on, so that tokens that the
+    coordinator granted before that, here or elsewhere, are not used twice.
     """
 
     __slots__ = ("_lost_at", "_shares")
@@ -356,17 +368,17 @@
         self._shares: dict[str, _LocalShare] = {}
 
     def note_lost(self, now: float) -> None:
-        """Note that the home does not answer."""
+        """Record that the coordinator does not answer."""
         self._lost_at = min(self._lost_at, now)
 
     def note_told(self, organisation: str, rate: float, now: float) -> None:
-        """Take over a share that the home tells."""
+        """Store a share received from the coordinator."""
         self._lost_at = math.inf
         until = now + SHARE_TTL_S - MAX_ANSWER_DELAY_S
         self._shares[organisation] = _LocalShare(GrantedShare(rate, until), 0.0, now)
 
     def try_take(self, organisation: str, amount: float, now: float) -> bool:
-        """Take tokens if they are there and the share still holds."""
+        """Take tokens if they are available and the share is valid."""
         saved_tokens = self._saved_tokens(organisation, now)
         known = self._shares.get(organisation)
         if known is None or now > known.share.until or saved_tokens < amount:
@@ -375,7 +387,7 @@
         return True
 
     def holding(self, now: float) -> dict[str, float]:
-        """Return the shares that hold, by organisation."""
+        """Return the valid shares in tokens per second, by organisation."""
         return {
             name: known.share.rate
             for name, known in self._shares.items()
--- a/packages/policy/src/gradelug_policy/refusals.py
+++ b/packages/policy/src/gradelug_policy/refusals.py
@@ -1,8 +1,8 @@
-"""Who was refused a part of a quota lately, and comes back.
+"""Stores recent refusals of quota requests, to recognise their retries.
 
-Load pattern: a third of the callers repeat at once and often what was refused, the others wait as
-told for a part of the time that they have left. Tries of one request carry nothing in common but
-what is asked, and the moment until which the caller waits.
+Load pattern: a third of the callers retry a refused request at once and often, the others wait for
+the given time if it is short enough compared with their remaining time. Tries of one request share
+nothing but their content and the time until which the caller waits.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 import typing as t
 
 MATCH_TOLERANCE_S = 0.06
-"""Moments until which two tries wait that differ by less, in seconds, are the same: a question may
-be on its way for as long as messages are gathered."""
+"""Maximum difference between the waiting deadlines of two tries of one request, in seconds;
+messages are batched for up to this time."""
 MAX_REFUSALS = 8_192
-"""So many are known of all organisations, 1 MB and a half; the oldest are forgotten."""
+"""Maximum number of stored refusals of all organisations, 1.5 MB; the oldest are removed."""
 
 
 class Caller(t.NamedTuple):
-    """Who asks for a part of a quota.
+    """Origin of a request for a part of a quota.
 
     Parameters
     ----------
     rank : int
-        Urgency, 0 first.
+        Urgency, 0 for the most urgent.
     waits_s : float
-        How long its caller still waits, in seconds.
+        Time for which the caller still waits, in seconds.
     service : str
-        Whose urgencies can be compared.
+        Service within which urgencies are comparable.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent one.
+        Value of an answer in time, 1 for an ordinary urgent request.
     mark : int
-        The same for all tries of one request; 0 if nothing tells.
+        Fingerprint that all tries of one request share; 0 if unknown.
     """
 
     rank: int = 0
@@ -45,14 +45,14 @@
 
 
 class QuotaRefusal(t.NamedTuple):
-    """What a refused caller was told, by the runtime's clock."""
+    """End of the caller's waiting time and its retry time, by the runtime's clock."""
 
     waits_until: float
     retry_at: float
 
 
 class Refusals:
-    """Callers that were refused and may come back."""
+    """Refused callers that may retry."""
 
     __slots__ = ("_known",)
 
@@ -63,7 +63,7 @@
         return len(self._known)
 
     def find(self, organisation: str, caller: Caller, now: float) -> QuotaRefusal | None:
-        """Return what a caller was told before, None if it seems to be new."""
+        """Return the earlier refusal of a caller, None if there is none."""
         if not caller.mark:
             return None
         known = self._known.get((organisation, caller.mark))
@@ -72,7 +72,7 @@
         return known
 
     def note(self, organisation: str, caller: Caller, retry_at: float, now: float) -> None:
-        """Note what a caller is told."""
+        """Record the retry time given to a caller."""
         if not caller.mark or math.isinf(caller.waits_s):
             return
         name = organisation, caller.mark
@@ -82,5 +82,5 @@
             del self._known[next(iter(self._known))]
 
     def forget(self, organisation: str, caller: Caller) -> None:
-        """Forget a caller that was served."""
+        """Remove the refusal of a caller that was served."""
         self._known.pop((organisation, caller.mark), None)
--- a/packages/policy/src/gradelug_policy/replica_limits.py
+++ b/packages/policy/src/gradelug_policy/replica_limits.py
@@ -1,8 +1,9 @@
-"""How many requests a second a replica takes from all instances together, as its answers say.
+"""Tracks the request rate that a replica accepts from all instances together, as its answers report
+it.
 
-Load pattern: replicas in need name a limit in their answers, of some requests a second or of less
-than one, change it and take it back, while any of hundreds of instances may send to them. Answers
-on different connections overtake one another.
+Load pattern: overloaded replicas report a limit in their answers, of a few requests per second or
+less than one, change it and withdraw it, while hundreds of instances may send to them. Answers on
+different connections arrive out of order.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 import typing as t
 
 REORDER_TOLERANCE_S = 0.25
-"""An answer that names no limit ends one only if its request was sent so much later than the limit
-was heard, in seconds: an answer made before may arrive after."""
+"""An answer without a limit ends a limit only if its request was sent at least this long after the
+limit was received, in seconds, since an earlier answer may arrive later."""
 
 
 class LimitWord(t.NamedTuple):
-    """What an answer says of its replica's limit.
+    """Limit reported by an answer.
 
     Parameters
     ----------
     rate : float or None
-        Requests a second from all instances together; None if the answer names no limit.
+        Requests per second from all instances together; None if the answer reports no limit.
     unreadable : str
-        What stands in the limit's place and is no number; empty if that can be read.
+        Reported value that is not a number; empty if there is none.
     """
 
     rate: float | None = None
@@ -31,15 +32,15 @@
 
 
 class LimitFact(t.NamedTuple):
-    """What an answer told of a limit, and when.
+    """Observation of a limit, or of its absence, in an answer.
 
     Parameters
     ----------
     rate : float or None
-        Requests a second; None if it named none.
+        Requests per second; None if no limit was reported.
     sent_at, heard_at : float
-        When the request was sent and its answer came, by the runtime's clock: the answer was made
-        between the two.
+        Time at which the request was sent and its answer received, by the runtime's clock. The
+        answer was created between the two.
     """
 
     rate: float | None
@@ -48,23 +49,23 @@
 
 
 class LimitRecord:
-    """The limit of a replica, from answers that come in any order."""
+    """Current limit of a replica, from answers in any order."""
 
     __slots__ = ("fact", "since")
 
     def __init__(self) -> None:
         self.fact = LimitFact(None, -math.inf, -math.inf)
-        """The newest that is known."""
+        """Most recent observation."""
         self.since = -math.inf
-        """When the limit in force was heard of first."""
+        """Time at which the limit in force was first received."""
 
     @property
     def rate(self) -> float | None:
-        """Requests a second that the replica takes, None while it names no limit."""
+        """Requests per second that the replica accepts, None while it reports no limit."""
         return self.fact.rate
 
     def note(self, fact: LimitFact) -> bool:
-        """Take over what an answer told; tell whether the limit is another one now."""
+        """Apply an observation; return whether the limit changed."""
         previous = self.fact.rate
         if fact.rate is None:
             self._note_none(fact)
@@ -80,7 +81,7 @@
             self.fact = max(self.fact, fact, key=lambda candidate: candidate.sent_at)
 
     def _note_rate(self, fact: LimitFact, previous: float) -> None:
-        """Of two answers of which either may be the newer one, the lower limit holds."""
+        """Apply a limit; if the order of two answers is unknown, the lower limit holds."""
         rate = fact.rate
         if rate is None or fact.heard_at < self.fact.sent_at:
             return
--- a/packages/policy/src/gradelug_policy/replica_room.py
+++ b/packages/policy/src/gradelug_policy/replica_room.py
@@ -1,8 +1,8 @@
-"""Who may be sent to a replica that takes only so many requests a second from all instances.
+"""Distributes a replica's limited request rate among the requests of all instances.
 
-Load pattern: more requests come for such a replica than it takes, at any of hundreds of instances,
-each of which sees a few of them. What reaches it must keep to its limit in every span, all of the
-limit is to be used, those with most to lose go first, and who cannot be served is told at once.
+Load pattern: more requests arrive for such a replica than it accepts, at hundreds of instances that
+each receive a few of them. The sent requests must stay within the limit in every interval and use
+all of it, the most valuable go first, and requests that cannot be served are refused at once.
 """
 
 from __future__ import annotations
@@ -12,34 +12,35 @@
 from dataclasses import dataclass
 
 BURST_S = 0.5
-"""What a replica takes in this time, in seconds, and one request more, may come at once: requests
-come in clumps, and room that nobody wanted for a moment is not lost."""
+"""Time whose requests, and one more, may be sent at once, in seconds. Requests arrive in bursts,
+and capacity unused for a moment is not lost."""
 LEAST_RATE = 0.1
-"""Keeps one probe every 10 s, because a raised limit is only reported in answers."""
+"""Minimum rate in requests per second. It permits one request every 10 s as a probe, because a
+raised limit is only reported in answers."""
 LONGEST_RETRY_S = 30.0
-"""Nobody is told to come back later than this: limits change."""
+"""Maximum retry time given to a caller, in seconds, since limits change."""
 OWN_PART = 0.8
-"""Part of a limit that instances share while no planner grants room."""
+"""Fraction of a limit that instances divide among themselves while no planner grants capacity."""
 LOCAL_SLOT_TTL_S = 1.0
-"""Seconds until an unused grant expires; saved grants would allow a burst."""
+"""Time until an unused send slot expires, in seconds; accumulated slots would allow a burst."""
 
 
 @dataclass(slots=True, frozen=True)
 class Applicant:
-    """A request that asks for room at a replica.
+    """A request for capacity at a replica.
 
     Parameters
     ----------
     ticket : hashable
-        Names it.
+        Identifies the request.
     until : float
-        How long it waits for room, by the runtime's clock.
+        End of its waiting time, by the runtime's clock.
     rank : int
-        Urgency, 0 first.
+        Urgency, 0 for the most urgent.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent one.
+        Value of an answer in time, 1 for an ordinary urgent request.
     begun : bool
-        Whether its caller has had a part of the answer.
+        Whether its caller has received a part of the answer.
     """
 
     ticket: t.Hashable
@@ -51,16 +52,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Ruling:
-    """What becomes of an applicant.
+    """Decision on a request for capacity.
 
     Parameters
     ----------
     applicant : Applicant
-        Whose request.
+        The request.
     granted : bool
         Whether it may be sent now.
     retry_s : float
-        When there will be room for such a request if not, in seconds.
+        Time until capacity is available for a refused request, in seconds.
     """
 
     applicant: Applicant
@@ -69,14 +70,15 @@
 
 
 class ReplicaRoom:
-    """What a replica with a limit may still be sent, and who waits for it.
+    """Remaining capacity of a replica with a limit, and the queue of requests for it.
 
     Parameters
     ----------
     rate : float
-        Requests a second that the replica takes.
+        Requests per second that the replica accepts.
     now : float
-        By the runtime's clock. There is no room at first: what was sent before is not known.
+        Current time by the runtime's clock. The initial capacity is 0, since earlier requests
+        are unknown.
     """
 
     __slots__ = ("_at", "_level", "_queue", "_arrivals", "_reserved", "_rate")
@@ -86,23 +88,23 @@
         self._at = now
         self._level = 0.0
         self._reserved = 0.0
-        """Refused requests that were told to come back and have not had time to."""
+        """Number of refused requests whose retry time has not come yet."""
         self._arrivals = itertools.count()
         self._queue: list[tuple[tuple[bool, int, float, int], Applicant]] = []
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for room."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def rename(self, rate: float, now: float) -> None:
-        """Go on under another limit."""
+        """Change the rate."""
         self._settle(now)
         self._rate = max(LEAST_RATE, rate)
         self._level = min(self._level, self._capacity)
 
     def try_take(self, now: float) -> bool:
-        """Take room for one request if there is any and nobody waits for it."""
+        """Take capacity for one request if it is available and the queue is empty."""
         self._settle(now)
         if self._queue or self._level < 1:
             return False
@@ -110,23 +112,23 @@
         return True
 
     def ready_s(self, now: float) -> float:
-        """Return when there is room for one request more, in seconds."""
+        """Return the time until capacity for one more request is available, in seconds."""
         self._settle(now)
         return max(0.0, len(self._queue) + 1 - self._level) / self._rate
 
     def apply(self, applicant: Applicant, now: float) -> list[Ruling]:
-        """Let a request wait for room; return what is settled by that."""
+        """Queue a request; return the decisions that are made now."""
         sort_key = (not applicant.begun, applicant.rank, -applicant.value, next(self._arrivals))
         self._queue.append((sort_key, applicant))
         self._queue.sort(key=lambda entry: entry[0])
         return self.rule(now)
 
     def withdraw(self, tickets: t.Container[t.Hashable]) -> None:
-        """Forget requests that do not wait any more."""
+        """Remove requests from the queue."""
         self._queue = [entry for entry in self._queue if entry[1].ticket not in tickets]
 
     def rule(self, now: float) -> list[Ruling]:
-        """Grant what room there is, and refuse whoever there will be none for in time."""
+        """Grant the available capacity, and refuse the requests that cannot be served in time."""
         self._settle(now)
         rulings = []
         while self._queue and self._level >= 1:
@@ -143,13 +145,15 @@
         return rulings
 
     def release(self) -> list[Ruling]:
-        """Let all that wait go: the replica names no limit any more."""
+        """Grant all queued requests, because the replica does not report a limit any more."""
         rulings = [Ruling(applicant, True) for _, applicant in self._queue]
         self._queue = []
         return rulings
 
     def next_s(self, now: float) -> float | None:
-        """Return when the first of those that wait has room, in seconds; None if nobody waits."""
+        """Return the time until the next queued request can be granted, in seconds; None if none is
+        queued.
+        """
         if not self._queue:
             return None
         self._settle(now)
@@ -166,9 +170,9 @@
         self._reserved = max(0.0, self._reserved - refilled)
 
     def _retry_s(self, applicant: Applicant, queued_before: int, now: float) -> float:
-        """Return when a refused request may come back, behind those refused before.
+        """Return the retry time of a refused request, after those refused earlier.
 
-        One that did not wait goes elsewhere and does not come back.
+        A request that did not wait is sent to another replica and not retried here.
         """
         needed = queued_before + self._reserved + 1 - self._level
         if applicant.until > now:
@@ -177,21 +181,22 @@
 
 
 class OwnTurns:
-    """The turns of one instance at a replica: as many as its even share of the limit.
+    """Send slots of one instance at a replica, at an equal share of the limit.
 
-    Instances take them at moments of their own, and a turn that is not used soon is lost: so all
-    of them together keep to the limit in every span, however many they are.
+    Each instance has slots at other times, and an unused slot expires soon. So all instances
+    together stay within the limit in every interval, regardless of their number.
 
     Parameters
     ----------
     share : float
-        Requests a second.
+        Requests per second of this instance.
     phase : float
-        At what part of the time between two turns the first one comes, drawn evenly from 0 to 1.
+        Offset of the first slot as a fraction of the period, uniform from 0 to 1.
     now : float
-        By the runtime's clock.
+        Current time by the runtime's clock.
     keeps : bool
-        Whether a turn is kept until it is used; the replica's limit must be kept by others then.
+        Whether a slot is kept until it is used; the replica's limit must then be enforced
+        elsewhere.
     """
 
     __slots__ = ("_keeps_unused", "_next_slot_at", "period_s")
@@ -199,11 +204,11 @@
     def __init__(self, share: float, phase: float, now: float, keeps: bool = False) -> None:
         self._keeps_unused = keeps
         self.period_s = 1 / share
-        """Time between two turns, in seconds."""
+        """Time between two slots, in seconds."""
         self._next_slot_at = now + phase * self.period_s
 
     def is_due(self, now: float) -> bool:
-        """Return whether there is a turn now."""
+        """Return whether a slot is available now."""
         if not self._keeps_unused and now >= self._next_slot_at + LOCAL_SLOT_TTL_S:
             passed = int((now - self._next_slot_at) / self.period_s)
             self._next_slot_at += passed * self.period_s
@@ -212,12 +217,12 @@
         return now >= self._next_slot_at
 
     def take(self, now: float) -> bool:
-        """Use a turn if there is one."""
+        """Use a slot if one is available."""
         if not self.is_due(now):
             return False
         self._next_slot_at = max(self._next_slot_at, now - self.period_s) + self.period_s
         return True
 
     def give_back(self, at: float) -> None:
-        """Have a turn that came to nothing again at a moment, if none comes before."""
+        """Make an unused slot available again at a given time, unless one is available before."""
         self._next_slot_at = min(self._next_slot_at, at)
--- a/packages/policy/src/gradelug_policy/rests.py
+++ b/packages/policy/src/gradelug_policy/rests.py
@@ -1,7 +1,7 @@
-"""Rest that replicas ask for when they turn a request away.
+"""Tracks the backoff times that replicas request when they reject a request.
 
-Load pattern: replicas with long queues turn requests away and ask each instance for some seconds of
-rest, several of a service at once, while callers come back and other replicas have room.
+Load pattern: replicas with long queues reject requests and ask each instance to back off for some
+seconds, several of a service at once, while callers retry and other replicas have capacity.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 import typing as t
 
 RETURN_S = 0.5
-"""Seconds over which instances return to a replica after its rest, to avoid a burst."""
+"""Seconds over which instances return to a replica after its backoff time, to avoid a burst."""
 
 
 class RestWord(t.NamedTuple):
-    """What an answer says of the rest that its replica wants.
+    """Backoff time reported by an answer.
 
     Parameters
     ----------
     rest_s : float
-        For how long nothing is to be sent there, in seconds; 0 if it asks for no rest.
+        Time for which no request may be sent to the replica, in seconds; 0 if none is
+        requested.
     unreadable : str
-        What stands in its place and is no number; empty if it can be read.
+        Reported value that is not a number; empty if there is none.
     """
 
     rest_s: float = 0.0
@@ -30,12 +31,12 @@
 
 
 class Rests:
-    """Until when replicas want nothing from this instance.
+    """End of the backoff time of each replica, for this instance.
 
     Parameters
     ----------
     rng : random.Random
-        Draws when this instance comes back after a rest.
+        Draws the jitter of this instance's return after a backoff.
     """
 
     __slots__ = ("_rng", "_ends_at")
@@ -45,9 +46,9 @@
         self._ends_at: dict[t.Hashable, float] = {}
 
     def note(self, life: t.Hashable, rest_s: float, now: float) -> bool:
-        """Note that a life of a replica asks for rest; tell whether it was not resting before.
+        """Record a backoff requested by an incarnation; return whether it had none before.
 
-        The latest end applies, because each request for rest has to be respected.
+        The latest end applies, because each requested backoff has to be respected.
         """
         was_resting = self.left_s(life, now) > 0
         jitter_s = self._rng.uniform(0.0, min(RETURN_S, rest_s))
@@ -56,16 +57,16 @@
         return not was_resting
 
     def left_s(self, life: t.Hashable, now: float) -> float:
-        """Return for how long nothing may be sent to a life of a replica, in seconds."""
+        """Return the remaining backoff time of an incarnation of a replica, in seconds."""
         return max(0.0, self._ends_at.get(life, now) - now)
 
     def __len__(self) -> int:
         return len(self._ends_at)
 
     def keep(self, now: float) -> None:
-        """Drop the rests that are over."""
+        """Remove expired backoffs."""
         self._ends_at = {life: ends_at for life, ends_at in self._ends_at.items() if ends_at > now}
 
     def count(self, now: float) -> int:
-        """Return how many replicas rest."""
+        """Return the number of replicas with a backoff."""
         return sum(ends_at > now for ends_at in self._ends_at.values())
--- a/packages/policy/src/gradelug_policy/retries.py
+++ b/packages/policy/src/gradelug_policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries that cannot become a storm, and upstreams that are left alone while they fail."""
+"""Limits retries, so that they cannot overload an upstream, and stops requests to a failing one."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from enum import Enum
 
 MAX_RESERVED_RETRY_FRACTION = 0.5
-"""At most this part of what a window allows is kept for those that end failed without."""
+"""Maximum fraction of a window's retries that is reserved for requests that may have run."""
 RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts.
+    """Allows retries as a fraction of first attempts.
 
     Parameters
     ----------
     ratio : float
         Retries per first attempt in the long run.
     burst : float
-        Retries that may be saved up.
+        Maximum number of accumulated retries.
     """
 
     __slots__ = ("_balance", "_burst", "_ratio")
@@ -30,7 +30,7 @@
         self._balance = burst
 
     def set_burst(self, burst: float) -> None:
-        """Change how many retries may be saved up."""
+        """Change the maximum number of accumulated retries."""
         self._burst = burst
         self._balance = min(self._balance, burst)
 
@@ -39,7 +39,7 @@
         self._balance = min(self._burst, self._balance + self._ratio)
 
     def try_retry(self) -> bool:
-        """Take a retry from the budget if there is one."""
+        """Take a retry from the budget if one is available."""
         if self._balance < 1:
             return False
         self._balance -= 1
@@ -47,24 +47,24 @@
 
 
 class RetryWindow:
-    """Allows retries in each window as a share of the requests in it.
+    """Allows retries in a sliding window as a fraction of the requests in it.
 
-    A `RetryBudget` saves a few retries up and throws the rest of the share away: of many
-    instances with few requests each, one whose upstream breaks off a handful of them at once may
-    repeat two. Here all of the share of the last window may be spent at any moment of it.
+    A `RetryBudget` accumulates a few retries and discards the rest: with many instances of few
+    requests each, an instance whose upstream breaks off several of them at once may retry two. Here
+    all retries of the last window may be used at any moment of it.
 
-    Who has a repetition is decided: a request that may have run ends failed without one, and may
-    use the last; one that has not run can wait or come back, and leaves as many as the others
-    have used in the window. Load pattern: all instances start at once, weights come late, and
-    requests that find them not ready spent in the first second what streams that were broken off
-    in the next would have needed.
+    Requests that may have run take precedence, since they fail without a retry: they may use the
+    last one. A request that has not run can wait or be retried by its caller; it leaves as many
+    retries as the others have used in the window. Load pattern: all instances start at once and
+    weights arrive late. Requests that found them missing used the retries of the first second that
+    streams broken off in the next second would have needed.
 
     Parameters
     ----------
     ratio : float
         Retries per request.
     extra : float
-        Retries beyond that.
+        Additional retries per window.
     window_s : float
         Length of the window, in seconds.
     """
@@ -77,7 +77,7 @@
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
         self._possibly_run_retries: deque[float] = deque()
-        """Those of requests that may have run."""
+        """Times of the retries of requests that may have run."""
         self.extra = extra
 
     def note_request(self, now: float) -> None:
@@ -86,14 +86,14 @@
         self._forget(now)
 
     def has_retry(self, now: float, unrun: bool = False) -> bool:
-        """Return whether there is a retry in the window.
+        """Return whether a retry is available in the window.
 
         Parameters
         ----------
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock.
         unrun : bool
-            Whether the request has not run.
+            Whether the request has certainly not run.
         """
         self._forget(now)
         reserved = (
@@ -104,7 +104,7 @@
         return len(self._retries) + 1 + reserved <= self._allowed
 
     def try_retry(self, now: float, unrun: bool = False) -> bool:
-        """Take a retry from the window if there is one."""
+        """Take a retry from the window if one is available."""
         if not self.has_retry(now, unrun):
             return False
         self._retries.append(now)
@@ -113,7 +113,7 @@
         return True
 
     def next_s(self, now: float) -> float:
-        """Return when there may be a retry again, in seconds, if nobody else asks."""
+        """Return the time until a retry is available, in seconds, if no other request takes it."""
         self._forget(now)
         missing = len(self._retries) + 1 - self._allowed
         allowance_per_s = self._ratio * len(self._requests) / self._window_s
@@ -133,7 +133,7 @@
 
 
 class CircuitState(Enum):
-    """Whether an upstream is tried."""
+    """Whether requests are sent to an upstream."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -141,14 +141,14 @@
 
 
 class Circuit:
-    """Stops trying an upstream after failures in a row, then lets one request try it.
+    """Stops requests to an upstream after consecutive failures, then permits single trial requests.
 
     Parameters
     ----------
     threshold : int
-        Failures in a row that open the circuit.
+        Consecutive failures that open the circuit.
     open_s : float
-        How long it stays open, in seconds.
+        Time for which it stays open, in seconds.
     """
 
     __slots__ = ("_failures", "_open_s", "_opened_at", "_threshold", "_trial_started_at")
@@ -161,7 +161,7 @@
         self._trial_started_at = float("-inf")
 
     def state(self, now: float) -> CircuitState:
-        """Return the state at this moment."""
+        """Return the state at a given time."""
         if self._failures < self._threshold:
             return CircuitState.CLOSED
         if now - self._opened_at < self._open_s:
@@ -176,17 +176,17 @@
         return state is CircuitState.CLOSED
 
     def note_start(self, now: float) -> None:
-        """Note that a request is being sent."""
+        """Record that a request is being sent."""
         if self.state(now) is CircuitState.HALF_OPEN:
             self._trial_started_at = now
 
     def note_success(self) -> None:
-        """Note an answer."""
+        """Record a success."""
         self._failures = 0
         self._trial_started_at = float("-inf")
 
     def note_failure(self, now: float) -> None:
-        """Note a failure."""
+        """Record a failure."""
         self._failures += 1
         if self._failures >= self._threshold:
             self._opened_at = now
