--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -1,5 +1,4 @@
-"""Enforces the quotas of organisations across all instances: one coordinator grants requests, and
-local shares bridge its loss.
+"""Enforces organisations' quotas across all instances by a coordinator, and by shares without it.
 
 Load pattern: an organisation sends several times its usual load through many instances that each
 receive a few of its requests, while instances and the coordinator itself fail. Grants must stay
--- a/packages/policy/src/gradelug_policy/replica_limits.py
+++ b/packages/policy/src/gradelug_policy/replica_limits.py
@@ -1,5 +1,4 @@
-"""Tracks the request rate that a replica accepts from all instances together, as its answers report
-it.
+"""Tracks the request rate that a replica accepts from all instances, as reported by its answers.
 
 Load pattern: overloaded replicas report a limit in their answers, of a few requests per second or
 less than one, change it and withdraw it, while hundreds of instances may send to them. Answers on
--- a/packages/policy/src/gradelug_policy/shares.py
+++ b/packages/policy/src/gradelug_policy/shares.py
@@ -1,13 +1,14 @@
-"""Whose waiting request goes first where engines are full.
+"""Orders waiting requests by fair shares of their owners and kinds when engines are full.
 
-The load that it answers: one organisation or adapter sends 6.6 times its usual, or a kind of
-requests 2.5 times, and a third of its callers repeat thrice. First come, first served, its requests
-then hold nearly all slots and fill the engines' queues, and all others wait as long as it does.
+Load pattern: one organisation or adapter sends 6.6 times its usual load, or a kind of requests 2.5
+times, and a third of its callers retry three times. First come, first served, its requests hold
+nearly all slots and fill the engines' queues, and all others wait as long as they do.
 
-Owners (organisations; without them, adapters) share by weight, what they used counted in tokens and
-aged. An owner that used more than its part (max-min) goes after the others as long as they wait;
-kinds that send more than their usual likewise, but under urgency. Nothing is kept free for anybody:
-who is last gets all that the others leave, and is refused at once what it will not get in time.
+Owners (organisations; without them, adapters) share by weight; their use is counted in tokens and
+decays. While others wait, the requests of an owner that used more than its max-min fair share are
+served after theirs, and so are those of kinds above their usual load, within one urgency. No
+capacity is kept idle: the last in order receive all that is left, and are refused at once if they
+cannot be served in time.
 """
 
 from __future__ import annotations
@@ -19,22 +20,23 @@
 from .uses import KindUsage, Party, Uses
 
 DEMAND_HEADROOM_FACTOR = 1.5
-"""Who used something is reckoned to want so many times as much: usual use varies so. With none, an
-owner that floods would be within its part as soon as it had pushed the others back."""
+"""Demand of an owner as a multiple of its recent use, which varies by as much in normal operation.
+With no headroom, an owner that sends too much would be within its share as soon as it had
+displaced the others."""
 OVERUSE_TOLERANCE_FACTOR = 1.5
-"""An owner is over its part beyond so many times that: owners of the same right differ by as much
-without a flood, and none is held back then."""
+"""An owner is above its share beyond this multiple of it. Owners of equal weight differ by as much
+under normal load, and none is deprioritised then."""
 DOMINANT_USE_FRACTION = 0.5
-"""Who uses more than so much of all makes the others wait and not they it, however little they use,
-unless its weight is as great."""
+"""An owner that uses more than this fraction of all is deprioritised, however little the others
+use, unless its weight is as great."""
 FINAL_WAIT_FRACTION = 0.1
-"""In this part of its time a request that goes after others may queue behind one at an engine: in
-a replay (30 engines, one seed) engines then make 2.6% less than without shares, and 3.3% less if it
-never may."""
+"""In this last fraction of its waiting time, a deprioritised request may queue behind another one
+at an engine. In a replay (30 engines, one seed) engines then complete 2.6% less than without
+shares, and 3.3% less if it may never queue."""
 
 
 class Weights(t.Protocol):
-    """How much owners are entitled to, next to each other."""
+    """Entitlements of owners, relative to each other."""
 
     def weight(self, owner: str) -> float:
         """Return an owner's weight, above 0."""
@@ -42,7 +44,7 @@
 
 
 class EqualWeights:
-    """All owners are entitled to the same."""
+    """Equal weights for all owners."""
 
     __slots__ = ()
 
@@ -53,20 +55,20 @@
 
 @dataclass(slots=True)
 class Claim:
-    """A request that waits for room on an engine.
+    """A request that waits for capacity on an engine.
 
     Parameters
     ----------
     party : Party
-        Whose.
+        Owner and kind of the request.
     cost : float
-        Tokens read, and tokens made by their weight.
+        Prompt tokens, plus generated tokens multiplied by their weight.
     urgency : int
-        0 first.
+        0 for the most urgent.
     since : float
-        When it came, by the runtime's clock.
+        Arrival time, by the runtime's clock.
     number : int
-        Names it among those that wait.
+        Identifies it among the waiting requests.
     """
 
     party: Party
@@ -78,12 +80,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Standing:
-    """What somebody used, and is entitled to while others wait.
+    """Use and entitlement of an owner.
 
     Parameters
     ----------
     part, fair : float
-        Of all that was used, 0 to 1.
+        Used fraction of the total use, and fair fraction of it, 0 to 1.
     """
 
     part: float = 0.0
@@ -91,14 +93,14 @@
 
 
 class Parts:
-    """What each may use at one moment, of what there is.
+    """Fair shares of all owners at one moment.
 
     Parameters
     ----------
     used, wanted : mapping of str to float
-        What each used, and what its requests that wait would use, in tokens.
+        Recent use of each owner, and cost of its waiting requests, in tokens.
     weights : Weights
-        What they are entitled to.
+        Entitlements of the owners.
     """
 
     __slots__ = ("_total", "_used", "_total_weight", "_weights", "level")
@@ -122,20 +124,20 @@
         self._total_weight = (
             math.fsum(weight for weight, _ in demands) if len(names) > 1 else math.inf
         )
-        """Weight of all; infinite where there is only one, who shares with nobody."""
+        """Total weight of all owners; infinite with a single owner, which need not share."""
         self.level = _water_level(demands, self._total)
-        """Tokens that one of weight 1 may use; infinite where all get what they want."""
+        """Fair share of an owner of weight 1, in tokens; infinite if all demands are met."""
 
     def spent(self, name: str) -> float:
-        """Return what somebody used by its weight: its virtual counter."""
+        """Return the use of an owner divided by its weight: its virtual counter."""
         return self._used.get(name, 0.0) / self._weights.weight(name)
 
     def weight(self, name: str) -> float:
-        """Return what somebody is entitled to, next to the others."""
+        """Return the weight of an owner."""
         return self._weights.weight(name)
 
     def is_over(self, name: str) -> bool:
-        """Return whether somebody used more than its part, or than all the others together."""
+        """Return whether an owner used more than its share, or more than all others together."""
         used = self._used.get(name, 0.0)
         if math.isinf(self._total_weight) or not used:
             return False
@@ -146,7 +148,7 @@
         return is_dominant or self.spent(name) > OVERUSE_TOLERANCE_FACTOR * self.level
 
     def standing(self, name: str) -> Standing:
-        """Return how somebody stands."""
+        """Return the use and the entitlement of an owner."""
         if not self._total:
             return Standing()
         fair = self.level * self._weights.weight(name) / self._total
@@ -154,7 +156,9 @@
 
 
 def _water_level(demands: t.Iterable[tuple[float, float]], total: float) -> float:
-    """Return up to which level a total serves all wishes, each of a weight and an amount."""
+    """Return the level at which a total meets demands of a weight and an amount (max-min
+    fairness).
+    """
     ordered = sorted(demands, key=lambda demand: demand[1] / demand[0])
     weights = math.fsum(weight for weight, _ in ordered)
     for weight, amount in ordered:
@@ -166,7 +170,7 @@
 
 
 class Shares:
-    """What owners and kinds used of the engines of a service lately."""
+    """Recent use of a service's engines by owners and kinds."""
 
     __slots__ = ("_kinds", "owners")
 
@@ -175,18 +179,25 @@
         self._kinds = KindUsage()
 
     def note(self, party: Party, cost: float, now: float, is_full: bool = False) -> None:
-        """Count what a request uses, in tokens; below 0 if it did not after all.
+        """Add the use of a request, in tokens; a negative cost takes it back.
 
         Parameters
         ----------
+        party : Party
+            Owner and kind of the request.
+        cost : float
+            Tokens that it uses.
+        now : float
+            Current time, by the runtime's clock.
         is_full : bool
-            Whether requests wait for room: what is sent then is not usual.
+            Whether requests wait for capacity; use at such times does not count towards the
+            usual load.
         """
         self.owners.note(party.owner, cost, now)
         self._kinds.note(party.kind, cost, now, is_full)
 
     def board(self, claims: t.Sequence[Claim], weights: Weights, now: float) -> Board:
-        """Return who stands how while some requests wait."""
+        """Return the fairness state of owners and kinds for a set of waiting requests."""
         owners: dict[str, float] = {}
         kinds: dict[str, float] = {}
         for claim in claims:
@@ -198,16 +209,16 @@
 
 
 class Board:
-    """Who stands how at one moment, and for whom requests are held back.
+    """Fairness state at one moment, which determines the deprioritised requests.
 
     Parameters
     ----------
     owners : Parts
-        What each may use.
+        Fair shares of the owners.
     kinds : frozenset of str
-        Those over their part.
+        Kinds above their usual load.
     claims : sequence of Claim
-        All that wait.
+        All waiting requests.
     """
 
     __slots__ = ("_min_urgency", "_over", "_compliant_waits", "kinds", "owners")
@@ -218,7 +229,7 @@
         waiting = {claim.party.owner for claim in claims}
         self._over = frozenset(owner for owner in waiting if owners.is_over(owner))
         self._compliant_waits = len(self._over) < len(waiting)
-        """Whether a request waits whose owner is within its part."""
+        """Whether a request waits whose owner is within its share."""
         self._min_urgency = min(
             (
                 claim.urgency
@@ -227,34 +238,37 @@
             ),
             default=math.inf,
         )
-        """Urgency of the most urgent such one whose kind is within its part as well."""
+        """Urgency of the most urgent waiting request whose owner and kind are within their
+        shares."""
 
     def is_over(self, owner: str) -> bool:
-        """Return whether an owner is over its part; it wins nothing by not waiting."""
+        """Return whether an owner is above its share, whether or not it has waiting requests."""
         return owner in self._over or self.owners.is_over(owner)
 
     def yields(self, party: Party, urgency: int) -> bool:
-        """Return whether a request goes after some that wait: its owner or kind is over its part."""
+        """Return whether a request is deprioritised: its owner or kind exceeds its share while
+        others wait.
+        """
         if self.is_over(party.owner):
             return self._compliant_waits
         return self._min_urgency <= urgency and party.kind in self.kinds
 
 
 class Order(t.Protocol):
-    """In which order requests that wait get what there is."""
+    """Order in which waiting requests receive capacity."""
 
     def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
-        """Return all of them, the first to be served first."""
+        """Return all requests, the first to be served first."""
         ...
 
 
 class ByBound:
-    """Owners over their part go last; by urgency, kinds over theirs last; then as they came."""
+    """Owners above their share last; then by urgency, kinds above their usual load, and arrival."""
 
     __slots__ = ()
 
     def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
-        """Return all of them, the first to be served first."""
+        """Return all requests, the first to be served first."""
         waiting = list(claims)
         over = {name for name in {claim.party.owner for claim in waiting} if board.is_over(name)}
         return sorted(
@@ -270,17 +284,19 @@
 
 
 class VirtualCounterOrder:
-    """Virtual token counters under urgency: each time the owner of the least counter is next."""
+    """Virtual token counters within each urgency: the owner of the lowest counter is served
+    next.
+    """
 
     __slots__ = ()
 
     def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
-        """Return all of them, the first to be served first."""
+        """Return all requests, the first to be served first."""
         counters: dict[str, float] = {}
         starts: dict[int, float] = {}
         ordered = sorted(claims, key=lambda claim: (claim.urgency, claim.since, claim.number))
         for claim in ordered:
-            # A request starts where those of its owner before it end.
+            # A request starts at the counter that its owner's previous requests reach.
             owner = claim.party.owner
             starts[claim.number] = counters.setdefault(owner, board.owners.spent(owner))
             counters[owner] += claim.cost / board.owners.weight(owner)
@@ -288,35 +304,35 @@
 
 
 def ahead_s(left_part: float, news_s: float, end_s: float, is_claimed: bool) -> float:
-    """Return how long before room is expected a request may be sent, in seconds.
+    """Return how long before capacity is expected a request may be sent, in seconds.
 
-    It is for requests of owners or kinds over their part that have been held for as long as others
-    are. Sent earlier, they would fill the engines' queues, which know no shares; sent only when
-    room is told, slots would stay empty from the end of each run until then.
+    It applies to deprioritised requests, which are held back for as long as other requests are.
+    Sent earlier, they would fill the engines' queues, which do not enforce shares. Sent only after
+    capacity is reported, slots would be empty from the end of each run until then.
 
     Parameters
     ----------
     left_part : float
-        Part of the time until it would be late that is left.
+        Remaining fraction of the request's waiting time.
     news_s : float
-        Age of what is known of engines, in seconds.
+        Age of the known engine state, in seconds.
     end_s : float
         Time between two ends of runs on an engine, in seconds.
     is_claimed : bool
-        Whether somebody that goes before it waits for room on the same engine.
+        Whether a request with precedence waits for the same engine.
     """
     return news_s + (end_s if left_part <= FINAL_WAIT_FRACTION or not is_claimed else 0.0)
 
 
 def out_of_turn(left_s: t.Sequence[float], turns_per_s: float) -> list[int]:
-    """Return which of a party's requests will not have their turn in time; the first always may.
+    """Return the indices of a party's requests that cannot be sent in time; never the first one.
 
     Parameters
     ----------
     left_s : sequence of float
-        Time that each has left, in seconds, in the order of their turns.
+        Remaining time of each request in sending order, in seconds.
     turns_per_s : float
-        How often the party gets its turn.
+        Rate at which the party's requests are sent, per second.
     """
     kept, late = 0, []
     for at, left in enumerate(left_s):
--- a/packages/policy/src/gradelug_policy/standings.py
+++ b/packages/policy/src/gradelug_policy/standings.py
@@ -1,4 +1,4 @@
-"""How much is sent to a replica that was left alone: nothing, probes, more and more."""
+"""Controls the return of an ejected replica: no requests, then probes, then a gradual ramp-up."""
 
 from __future__ import annotations
 
@@ -9,42 +9,44 @@
 from .outcomes import Ended, FailureEvidence, Source
 
 MIN_OPEN_S = 1.0
-"""How long nothing is sent after the first ejection, in seconds: connections and processes that
-come back do so within seconds."""
+"""Time without requests after the first ejection, in seconds; connections and processes recover
+within seconds."""
 MAX_OPEN_S = 8.0
-"""The same after many, each of which doubles it."""
+"""Maximum time without requests, in seconds; each ejection doubles it."""
 STRIKE_HALF_LIFE_S = 30.0
-"""An earlier ejection counts half after this, in seconds: a replica that comes and goes does so
-several times a minute."""
+"""Half-life of the weight of earlier ejections, in seconds: an unstable replica fails several times
+a minute."""
 PROBER_PERIOD_S = 0.5
-"""How long one gateway is the prober, in seconds; then another one is, which may have requests."""
+"""Time for which one gateway is the prober, in seconds; then another is, which may have
+requests."""
 REQUIRED_PROBES = 4
-"""Answers without a failure that a replica must give to its probers: one that fails 40% of its
-requests gives them once in eight times, and is ejected for longer after that."""
+"""Consecutive successes required of a probed replica. One that fails 40% of its requests reaches
+them once in eight times, and is ejected for longer after that."""
 MAX_PROBING_S = 15.0
-"""Nobody had a probe to send in this time, in seconds: so few requests may go there as well."""
+"""Maximum time in probing, in seconds. If no gateway had a probe to send in it, so few requests may
+be sent as usual."""
 RAMP_UP_S = 2.0
-"""From a replica's return until it gets all of its requests again, in seconds: it is judged anew
-by some requests before many depend on it."""
+"""Time from a replica's return until it receives all of its requests again, in seconds. It is
+evaluated again by some requests before many depend on it."""
 RAMP_UP_STEPS = 4
-"""The part that is held back falls in so many steps, so that news are few."""
+"""Number of steps in which the diverted fraction falls, which limits the number of updates."""
 
 
 class EjectionPhase(Enum):
-    """How much is sent to a replica."""
+    """Phase of an ejection, by the requests that are sent to the replica."""
 
     CLOSED = "closed"
-    """As usual."""
+    """All requests."""
     OPEN = "open"
-    """Nothing."""
+    """No requests."""
     PROBING = "probing"
-    """One gateway's probes."""
+    """Probes of one gateway."""
     RAMP = "ramp"
-    """More and more."""
+    """An increasing fraction of the requests."""
 
 
 class ReplicaEjection:
-    """A replica's standing in the view of one hall, or of all."""
+    """Ejection state of a replica, for the gateways of one hall or of all."""
 
     __slots__ = (
         "_open_s",
@@ -63,7 +65,7 @@
         self.phase = EjectionPhase.CLOSED
         self.probed = 0
         self.evidence = FailureEvidence(0, 0.0, 0, 0)
-        """What it was ejected for last."""
+        """Evidence of the most recent ejection."""
         self._open_s = 0.0
         self._since = -math.inf
         self._strikes = 0.0
@@ -73,11 +75,11 @@
         self._probers: set[str] = set()
 
     def strikes(self, now: float) -> float:
-        """Return how often it was ejected, earlier times counting less."""
+        """Return the number of ejections, weighted by age."""
         return self._strikes * math.exp2(-(now - self._strikes_at) / STRIKE_HALF_LIFE_S)
 
     def eject(self, evidence: FailureEvidence, now: float) -> None:
-        """Leave the replica alone, longer if that happened before."""
+        """Eject the replica, for longer if that happened before."""
         strikes = self.strikes(now)
         self._open_s = min(MAX_OPEN_S, MIN_OPEN_S * math.exp2(strikes))
         self._strikes, self._strikes_at = strikes + 1, now
@@ -85,7 +87,7 @@
         self._enter(EjectionPhase.OPEN, now)
 
     def take(self, source: Source, ended: Ended, now: float) -> None:
-        """Take outcomes into account, if they are a prober's."""
+        """Apply outcomes if a prober reported them."""
         if self.phase is not EjectionPhase.PROBING or source.name not in self._probers:
             return
         if ended.bad:
@@ -96,7 +98,7 @@
             self._enter(EjectionPhase.RAMP, now)
 
     def step(self, now: float) -> bool:
-        """Take the time that has passed into account; tell whether the replica has returned."""
+        """Advance to the current time; return whether the replica has fully returned."""
         elapsed_s = now - self._since
         if self.phase is EjectionPhase.OPEN and elapsed_s >= self._open_s:
             self._enter(EjectionPhase.PROBING, now)
@@ -109,11 +111,11 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether nothing but probes goes there."""
+        """Whether nothing but probes is sent to the replica."""
         return self.phase in (EjectionPhase.OPEN, EjectionPhase.PROBING)
 
     def held_back(self, now: float) -> float:
-        """Return the part of the requests that are to go elsewhere."""
+        """Return the fraction of the requests to divert to other replicas."""
         if self.is_ejected:
             return 1.0
         if self.phase is EjectionPhase.CLOSED:
@@ -122,12 +124,14 @@
         return max(0.0, 1 - (steps + 1) / (RAMP_UP_STEPS + 1))
 
     def prober(self, choose: t.Callable[[str], str], now: float) -> str:
-        """Return who may probe now.
+        """Return the gateway that may probe now, empty for none.
 
         Parameters
         ----------
         choose : callable
-            Returns the next prober after the one whose turn is over, empty if there is none.
+            Returns the next prober for the previous one, empty if there is none.
+        now : float
+            Current time, in seconds.
         """
         if self.phase is not EjectionPhase.PROBING:
             return ""
--- a/packages/policy/src/gradelug_policy/uses.py
+++ b/packages/policy/src/gradelug_policy/uses.py
@@ -1,6 +1,6 @@
-"""What owners and kinds of requests used of engines lately, aged and bounded.
+"""Tracks the recent engine use of owners and kinds of requests, decayed and bounded in size.
 
-The load that it answers is that of `shares`, which decides by it: one sends many times its usual.
+The module `shares` makes its decisions by it; see there for the load pattern.
 """
 
 from __future__ import annotations
@@ -11,37 +11,39 @@
 from dataclasses import dataclass
 
 HALF_LIFE_S = 4.0
-"""After this a token counts half. Callers wait 1 to 5 s: with a shorter time the use of an owner is
-that of a few requests, with a longer one a party is last for longer than its callers wait."""
+"""Half-life of used tokens, in seconds. Callers wait 1 to 5 s: with a shorter one an owner's use
+reflects only a few requests, with a longer one a party is deprioritised for longer than its
+callers wait."""
 BASELINE_HALF_LIFE_S = 60.0
-"""What a kind usually uses is learned over about this time: longer than demand takes to move, and
-than callers come back."""
+"""Half-life of a kind's usual use, in seconds: longer than shifts of demand, and than callers
+retry."""
 KIND_HALF_LIFE_S = 1.0
-"""What it uses lately, over about this time: kinds are few and each has many requests."""
+"""Half-life of a kind's recent use, in seconds; kinds are few and each has many requests."""
 KIND_OVERUSE_FACTOR = 1.5
-"""A kind is over its part beyond so many times its usual, next to the other kinds."""
+"""A kind is above its share beyond this multiple of its usual use, relative to the other kinds."""
 MAX_ENTRIES = 2_048
-"""So many are known, 0.4 MB; of more, those that used least are forgotten, and count as idle."""
+"""Maximum number of entries, 0.4 MB. Those of the least use are removed and then count as idle."""
 ENTRIES_AFTER_PRUNING = 1_536
-"""So many are left then: what looks for the least takes its time."""
+"""Number of entries left after pruning, which is expensive and should be rare."""
 MIN_USAGE_TOKENS = 1e-3
-"""Use below a thousandth of a token is none."""
+"""Use below this number of tokens counts as none."""
 SEND_RATE_HALF_LIFE_S = 1.0
-"""How often a party gets its turn is taken over about this time: refusals follow in a second."""
+"""Half-life of send rates, in seconds; refusals follow changes within a second."""
 FIRST_TURNS_S = 0.5
-"""Time that a new planner sees turns before it refuses anybody for want of them."""
+"""Time for which a new planner observes send rates before it refuses requests by them, in
+seconds."""
 MIN_SENDS_PER_S = 0.5
-"""Who had no turn yet is reckoned with so many: its first requests wait for what they get."""
+"""Minimum assumed send rate, per second, so that the first requests of a party are not refused."""
 
 
 @dataclass(slots=True, frozen=True)
 class Party:
-    """Whose request it is, and of which kind.
+    """Owner and kind of a request.
 
     Parameters
     ----------
     owner : str
-        An organisation; where there are none, an adapter.
+        An organisation; without organisations, an adapter.
     kind : str
         Kind of the request.
     """
@@ -51,12 +53,12 @@
 
 
 class Uses:
-    """What was used lately, in tokens, aged, by owner or kind; bounded, and empty after a start.
+    """Decayed use in tokens by owner or kind; bounded in size, and empty after a start.
 
     Parameters
     ----------
     half_life_s : float
-        After this, in seconds, a token counts half.
+        Half-life of a used token, in seconds.
     """
 
     __slots__ = ("_decay", "_entries")
@@ -69,22 +71,22 @@
         return len(self._entries)
 
     def note(self, name: str, cost: float, now: float) -> None:
-        """Count a use, in tokens; one below 0 takes back what was not used after all."""
+        """Add a use, in tokens; a negative one takes back what was not used."""
         self._entries[name] = (max(0.0, self.used(name, now) + cost), now)
         if len(self._entries) > MAX_ENTRIES:
             self._prune(now)
 
     def used(self, name: str, now: float) -> float:
-        """Return what somebody used, in tokens of now."""
+        """Return the decayed use of an owner or kind, in tokens."""
         amount, at = self._entries.get(name, (0.0, now))
         return amount * math.exp(-self._decay * max(0.0, now - at))
 
     def rate(self, name: str, now: float) -> float:
-        """Return what somebody uses, in tokens a second."""
+        """Return the use of an owner or kind, in tokens per second."""
         return self.used(name, now) * self._decay
 
     def all(self, now: float) -> dict[str, float]:
-        """Return what each used; those that used next to nothing are forgotten."""
+        """Return all decayed uses; removes negligible ones."""
         usage = {name: self.used(name, now) for name in self._entries}
         for name in [name for name, amount in usage.items() if amount < MIN_USAGE_TOKENS]:
             del self._entries[name], usage[name]
@@ -97,7 +99,7 @@
 
 
 class Turns:
-    """How often requests of each party got their turn lately."""
+    """Recent rate at which requests of each party were sent to engines."""
 
     __slots__ = ("_started_at", "_uses")
 
@@ -106,12 +108,14 @@
         self._started_at = math.inf
 
     def note(self, party: Party, requests: int, now: float) -> None:
-        """Count requests that were sent to engines; below 0 if they did not run after all."""
+        """Add requests that were sent to engines; a negative number takes back those that did not
+        run.
+        """
         self._started_at = min(self._started_at, now)
         self._uses.note(_name(party), requests, now)
 
     def rate(self, party: Party, now: float) -> float:
-        """Return turns a second; infinite as long as too little was seen to tell."""
+        """Return the sent requests per second; infinite while the observation time is too short."""
         seen_s = now - self._started_at
         if seen_s < FIRST_TURNS_S:
             return math.inf
@@ -124,7 +128,7 @@
 
 
 class KindUsage:
-    """What kinds used lately, next to what they usually use: while nobody waits for room."""
+    """Recent use of kinds, and their usual use while no requests wait for capacity."""
 
     __slots__ = ("_recent", "_baseline")
 
@@ -133,24 +137,23 @@
         self._baseline = Uses(BASELINE_HALF_LIFE_S)
 
     def note(self, kind: str, cost: float, now: float, is_full: bool) -> None:
-        """Count a use, in tokens; below 0 to take it back."""
+        """Add a use, in tokens; a negative one takes it back."""
         self._recent.note(kind, cost, now)
         if not is_full:
             self._baseline.note(kind, cost, now)
 
     def over(self, wanted: t.Mapping[str, float], now: float) -> frozenset[str]:
-        """Return the kinds that send more than their usual, next to the other kinds.
+        """Return the kinds that use more than usual, relative to the other kinds.
 
-        Parts of all are compared by their odds: those of a kind that sends so many times its usual
-        grow by as much, whatever its part was. What is usual for a kind that was not seen before
-        is not known.
+        Fractions of the total are compared by their odds, since these grow in proportion to a
+        kind's load whatever its fraction was. Kinds without a known usual use are never included.
 
         Parameters
         ----------
         wanted : mapping of str to float
-            What requests that wait would use, in tokens.
+            Cost of waiting requests by kind, in tokens.
         now : float
-            By the runtime's clock.
+            Current time, by the runtime's clock.
         """
         recent, baseline = self._recent.all(now), self._baseline.all(now)
         for kind, amount in wanted.items():
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -1,8 +1,9 @@
-"""Which replicas are left alone, judged from what all gateways found of their requests there.
+"""Detects failing replicas by the outcomes that all gateways report, and ejects them.
 
-Load pattern: a replica fails 40% of its requests, or hangs, while its health check is good; it has
-no queue and looks best to 85 gateways, each of which would have to learn it by failures of its
-own. Others come and go several times a minute. In a bad hour all replicas of a service fail alike.
+Load pattern: a replica fails 40% of its requests, or hangs, while its health check succeeds. It has
+no queue, so all 85 gateways prefer it, and each would have to detect the fault by failures of its
+own. Other replicas fail and recover several times a minute. At times all replicas of a service fail
+alike.
 """
 
 from __future__ import annotations
@@ -26,45 +27,45 @@
 from .standings import EjectionPhase, ReplicaEjection
 
 MIN_FAILURE_SPAN_S = 0.3
-"""Failures must be spread over this much more than gateways gather what they tell, in seconds:
-what broke at one moment, as when connections are reset, is over when it is heard of."""
+"""Minimum time span of failures, in seconds, in addition to the reporting interval of gateways.
+Simultaneous failures, as when connections are reset, are over when they are reported."""
 JUDGEMENT_DELAY_INTERVALS = 1.0
-"""Of a replica that nobody doubted nothing is told: failures come first, and answers once all have
-heard of these and told in their turn. It is judged then, so many times the gathering later."""
+"""Delay of a judgement in reporting intervals. Outcomes of an unsuspected replica are not reported:
+failures arrive first, and successes after all gateways have learned that it is suspected."""
 MIN_PEER_OUTCOMES = 5
-"""Outcomes of another replica of the service that say what is usual there."""
+"""Minimum number of outcomes of another replica for its failure rate to be compared."""
 MAX_JUDGED_PER_STEP = 32
-"""Of more suspects in a service those that fail most are judged now, the others a moment later: a
-judgement takes a tenth of a millisecond."""
+"""Maximum number of suspects per service and step, those of the highest failure rate first, since
+one evaluation takes 0.1 ms."""
 MAX_COMPARED_PEERS = 16
-"""Others that a replica is compared with: their median is within a few in 100 of that of all."""
+"""Maximum number of replicas compared with; their median is within a few percent of that of all."""
 MAX_EJECTED_FRACTION = 0.5
-"""Part of a service that may be ejected, in one hall's view as well as in that of all."""
+"""Maximum fraction of a service that may be ejected, both for one hall and for all."""
 SOURCE_ACTIVE_S = 5.0
-"""A source that told something this lately may be the prober, and its hall is one of those that
-are told apart."""
+"""Time since its last report for which a source may be the prober and its hall is evaluated
+separately, in seconds."""
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """What is found of a replica.
+    """Health of a replica as found from reported outcomes.
 
     Parameters
     ----------
     replica : str
-        Which.
+        Name of the replica.
     hall : str
-        For gateways of this hall alone; empty for all.
+        Hall whose gateways it applies to; empty for all.
     failing : float
-        Part of the requests that failed lately, 0 to 1.
+        Recent failure rate, 0 to 1.
     held_back : float
-        Part of the requests that are to go elsewhere: 1 while it is ejected, 0 if all is well.
+        Fraction of the requests to divert: 1 while ejected, 0 for a healthy replica.
     sources : int
-        Gateways that the finding rests on.
+        Number of gateways that reported the outcomes.
     prober : str
-        The gateway that may probe it now, empty for none.
+        Gateway that may probe the replica now, empty for none.
     took_s : float
-        Mean time of its answers, in seconds; 0 if unknown.
+        Mean response time, in seconds; 0 if unknown.
     """
 
     replica: str
@@ -78,18 +79,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A replica was ejected, or has returned; for the log.
+    """Ejection or return of a replica, for the log.
 
     Parameters
     ----------
     replica, hall : str
-        Which, and for gateways of which hall; empty for all.
+        Name of the replica, and hall whose gateways it applies to; empty for all.
     ejected : bool
-        Which of the two.
+        True for an ejection, False for a return.
     sources, good, bad : int
-        What the ejection rests on.
+        Gateways, successes and failures that the ejection is based on.
     strikes : float
-        How often it was ejected, earlier times counting less.
+        Number of ejections, weighted by age.
     """
 
     replica: str
@@ -103,18 +104,18 @@
 
 @dataclass(slots=True, frozen=True)
 class _View:
-    """In whose view replicas are judged, and how: see `ReplicaOutcomes.evidence`.
+    """Sources by which replicas are judged, and parameters; see `ReplicaOutcomes.evidence`.
 
     Parameters
     ----------
     hall : str
-        Of which hall; of all if empty.
+        Hall whose sources are evaluated; empty for all.
     span_s : float
-        Failures must be spread over this, in seconds.
+        Minimum time span of failures, in seconds.
     untold_s : float
-        From the first doubt until answers are told as well as failures, in seconds.
+        Time from the first suspicion until successes are reported like failures, in seconds.
     has_halls : bool
-        Whether gateways of several halls tell something.
+        Whether gateways of several halls report outcomes.
     """
 
     hall: str
@@ -124,19 +125,19 @@
 
 
 class _Record:
-    """All that is known of one replica."""
+    """Outcomes and ejections of one replica."""
 
     __slots__ = ("doubted_since", "outcomes", "standings")
 
     def __init__(self) -> None:
         self.outcomes = ReplicaOutcomes()
         self.doubted_since = math.inf
-        """Since when several sources have seen failures."""
+        """Time since when several sources have reported failures."""
         self.standings: dict[str, ReplicaEjection] = {}
-        """By hall; that in the view of all under `ALL_HALLS`."""
+        """Ejections by hall; under `ALL_HALLS` the one for all gateways."""
 
     def note(self, source: Source, ended: Ended, now: float) -> None:
-        """Take outcomes into account."""
+        """Add outcomes."""
         if ended.took_s or ended.full:
             self.outcomes.times.note(ended, now)
         if self.standings:
@@ -150,11 +151,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of it that counts."""
+        """Whether there is no relevant state."""
         return not self.standings and self.outcomes.is_empty and not self.outcomes.times.number
 
     def step(self, now: float) -> None:
-        """Take the time that has passed into account."""
+        """Advance to the current time."""
         self.outcomes.trim(now)
         if not self.outcomes.is_suspected:
             self.doubted_since = math.inf
@@ -162,19 +163,19 @@
             self.doubted_since = now
 
     def is_ejected(self, hall: str) -> bool:
-        """Return whether it is ejected in a hall's view."""
+        """Return whether the replica is ejected for the gateways of a hall."""
         return any(
             name in self.standings and self.standings[name].is_ejected for name in (ALL_HALLS, hall)
         )
 
 
 class VerdictPool:
-    """Pools what gateways tell of replicas, and finds which of these are to be left alone.
+    """Aggregates the outcomes that gateways report and ejects failing replicas.
 
     Parameters
     ----------
     is_used : callable
-        Whether requests run at a replica. If nothing is told of it then it does well.
+        Returns whether requests run at a replica. A used one without reports counts as healthy.
     """
 
     __slots__ = ("_activity", "_is_used", "_records", "_sources")
@@ -183,17 +184,17 @@
         self._is_used = is_used
         self._records: dict[str, _Record] = {}
         self._sources: dict[Source, float] = {}
-        """When each told something last."""
+        """Time of the last report, by source."""
         self._activity: Counter[str] = Counter()
-        """Requests that each told of since it was the prober last."""
+        """Number of requests that each source reported since it was last the prober."""
 
     def hear(self, source: Source, requests: int, now: float) -> None:
-        """Take over that a source has requests, wherever: it may be the prober."""
+        """Record that a source has requests, at any replica, so that it may be the prober."""
         self._sources[source] = now
         self._activity[source.name] += requests
 
     def note(self, replica: str, source: Source, ended: Ended, now: float) -> None:
-        """Take over what a source tells of its requests at a replica."""
+        """Add the outcomes that a source reports of its requests at a replica."""
         self.hear(source, ended.good + ended.bad, now)
         record = self._records.get(replica)
         if record is None:
@@ -201,11 +202,11 @@
         record.note(source, ended, now)
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone or has begun another life."""
+        """Remove a replica that is gone or has a new incarnation."""
         self._records.pop(replica, None)
 
     def leave(self, name: str) -> None:
-        """Forget a source that is not heard of any more."""
+        """Remove a source that has disconnected."""
         for source in [source for source in self._sources if source.name == name]:
             del self._sources[source]
         self._activity.pop(name, None)
@@ -213,16 +214,16 @@
     def step(
         self, members: t.Mapping[str, t.Collection[str]], gather_s: float, now: float
     ) -> list[Change]:
-        """Judge all replicas anew; return which were ejected and which have returned.
+        """Judge all replicas; return the ejected and the returned ones.
 
         Parameters
         ----------
         members : mapping of str to collection of str
-            The replicas of each service; all others are forgotten.
+            Replicas of each service; all others are removed.
         gather_s : float
-            How long gateways gather what they tell, in seconds.
+            Reporting interval of gateways, in seconds.
         now : float
-            By the runtime's clock.
+            Current time, by the runtime's clock.
         """
         names = {name for replicas in members.values() for name in replicas}
         for record in self._records.values():
@@ -249,7 +250,7 @@
     def findings(
         self, members: t.Mapping[str, t.Collection[str]], now: float
     ) -> t.Iterator[Finding]:
-        """Yield what is found of each replica of which anything is known."""
+        """Yield the health of each replica with relevant state."""
         for replicas in members.values():
             known = [name for name in replicas if name in self._records]
             mean_s = self._mean_time_s(known, now)
@@ -290,15 +291,15 @@
             ejected += 1
             standing = record.standings.setdefault(hall, ReplicaEjection())
             standing.eject(evidence, now)
-            # After its return it is judged by what comes then.
+            # After its return only new outcomes count.
             record.outcomes.drop(hall)
             yield _change(name, hall, standing, True, now)
 
     def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> FailureEvidence | None:
-        """Return evidence that a replica fails, beside the others then and in the same moments.
+        """Return evidence that a replica fails, compared with its peers, also in the same period.
 
-        Callers whose requests fail wherever they are sent come in waves: what was usual some
-        seconds ago is not by what a replica can be judged in one.
+        Requests that fail at every replica arrive in waves, during which the peers' earlier failure
+        rate is no valid reference.
         """
         outcomes = self._records[name].outcomes
         others = self._peers(name, members)
@@ -320,10 +321,11 @@
     def _peer_failure_rate(
         self, others: t.Iterable[str], hall: str, since: float = -math.inf
     ) -> float:
-        """Return which part of the requests fails at some replicas.
+        """Return the median failure rate of some replicas.
 
-        The lower median: where half of them fail that is not usual. Of one that is used and that
-        nobody but one source doubts, nothing but that source's failures is told: it does well.
+        It is the lower median, so that failures of half of them do not count as usual. A used
+        replica that at most one source suspects counts as healthy, since only failures are reported
+        of it.
         """
         rates = []
         for name in others:
@@ -340,7 +342,7 @@
 
     @staticmethod
     def _peers(name: str, members: t.Sequence[str]) -> t.Sequence[str]:
-        """Return the next others of a service, in its order and from its beginning again."""
+        """Return the replicas that follow one in the order of its service, wrapping around."""
         at = members.index(name)
         return (*members[at + 1 :], *members[:at])[:MAX_COMPARED_PEERS]
 
@@ -356,7 +358,7 @@
         record = self._records[name]
         outcomes = record.outcomes
         took_s = outcomes.times.mean_s(mean_s) if mean_s else 0.0
-        # One source's failures say nothing to the others.
+        # Failures that only one source reports may be its own fault.
         failing = failure_rate(*outcomes.counts()) if outcomes.is_suspected else 0.0
         standing = record.standings.get(ALL_HALLS)
         if standing is None or standing.phase is EjectionPhase.CLOSED:
@@ -386,7 +388,7 @@
             )
 
     def _next_prober(self, hall: str, last: str, now: float) -> str:
-        """Return the source that told of most requests since it was the prober."""
+        """Return the source that reported the most requests since it was last the prober."""
         active = [
             source.name
             for source, at in self._sources.items()
