--- a/tests/limit_load.py
+++ b/tests/limit_load.py
@@ -1,6 +1,6 @@
-"""Ways to keep to a replica's limit over many instances, on a load of more than it takes.
+"""Compares methods to keep a replica's limit over many instances, under excess load.
 
-Nothing here runs but the arithmetic: requests come at random instances at random moments.
+Only the arithmetic is simulated: requests arrive at random instances at random times.
 """
 
 import random
@@ -11,29 +11,29 @@
 
 WINDOW_S = 4.0
 ROUND_TRIP_S = 0.008
-"""From an instance to another one and back, with what each gathers."""
+"""Round trip between two instances with the batching time of each, in seconds."""
 LEASE_S = 1.0
 ASK_BYTES, ANSWER_BYTES, GRANT_BYTES = 40, 8, 24
 
 
 @dataclass(slots=True)
 class Figures:
-    """What a way comes to."""
+    """Results of a method."""
 
     sent: list = field(default_factory=list)
-    """When requests were sent."""
+    """Times at which requests were sent."""
     waits_s: list = field(default_factory=list)
-    """How long it took until each was sent or turned away."""
+    """Time until each request was sent or refused, in seconds."""
     messages: int = 0
     moved: int = 0
-    """Bytes."""
+    """Size of the messages, in bytes."""
 
     def used(self, rate, span_s):
-        """Return the part of the limit that was used."""
+        """Return the used fraction of the limit."""
         return len(self.sent) / (rate * span_s)
 
     def most(self):
-        """Return the most that was sent in some window."""
+        """Return the maximum number of requests sent in any window."""
         times, window, most = sorted(self.sent), deque(), 0
         for at in times:
             window.append(at)
@@ -47,7 +47,7 @@
 
 
 def arrivals(instances, demand, span_s, seed):
-    """Return when requests come, and where."""
+    """Return arrival times and instances of requests."""
     rng = random.Random(seed)
     at, found = 0.0, []
     while True:
@@ -58,7 +58,7 @@
 
 
 def parts(instances, rate, load):
-    """Each instance has a bucket of its own for its part of the limit."""
+    """Each instance has its own token bucket for its share of the limit."""
     figures, buckets = Figures(), [(0.0, 1.0)] * instances
     for at, instance in load:
         since, level = buckets[instance]
@@ -72,7 +72,7 @@
 
 
 def turns(instances, rate, load):
-    """Each instance has turns of its own, which pass if they are not used."""
+    """Each instance has its own send slots, which expire unless they are used."""
     figures, rng = Figures(), random.Random(7)
     own = [OwnTurns(OWN_PART * rate / instances, rng.random(), 0.0) for _ in range(instances)]
     for at, instance in load:
@@ -83,7 +83,7 @@
 
 
 def grants(instances, rate, load):
-    """A planner gives what room there is to the instances in turn; it is lost after a second."""
+    """A planner grants capacity to the instances in turn; it expires after a second."""
     figures, level, step_s, now, turn = Figures(), 0.0, 0.1, 0.0, 0
     held = [[] for _ in range(instances)]
     wants = deque(maxlen=200)
@@ -94,7 +94,7 @@
             while level >= 1:
                 level -= 1
                 turn += 1
-                # To those that wanted some lately.
+                # To instances with recent requests.
                 to = wants[turn % len(wants)] if wants else turn % instances
                 held[to].append(now + ROUND_TRIP_S / 2)
                 figures.messages += 1
@@ -109,7 +109,7 @@
 
 
 def asked(instances, rate, load, patience_s=0.0):
-    """A planner is asked for each request."""
+    """Each request is sent to a planner for a grant."""
     figures, room = Figures(), ReplicaRoom(rate, 0.0)
     came = {}
 
@@ -133,7 +133,7 @@
 
 
 def table(instances=(9, 40, 370), rates=(0.2, 1.4, 50.0), span_s=120.0, times=4.0):
-    """Yield a line of figures for each way, fleet and limit."""
+    """Yield a line of results for each method, fleet and limit."""
     for count in instances:
         for rate in rates:
             load = arrivals(count, times * rate, span_s, 1)
--- a/tests/quota_load.py
+++ b/tests/quota_load.py
@@ -1,9 +1,8 @@
-"""A load of one organisation beyond its quota, and ways to grant, without a network.
+"""Simulates one organisation beyond its quota and compares granting methods, without a network.
 
-Kinds, sizes and rates are those of a sheet with four kinds and two services; the organisation's
-quota is a third of what it asks for. A third of its callers repeat three times at once whatever
-they are told; the others wait as told, at most a third of the time that they have left. How long
-they have differs by some per cent.
+Kinds, sizes and rates are those of four kinds and two services; the organisation's quota is a third
+of its load. A third of its callers retry three times at once whatever retry time they receive; the
+others observe it up to a third of their remaining time. That time varies by some per cent.
 """
 
 from __future__ import annotations
@@ -72,7 +71,7 @@
     waits: list = field(default_factory=list)
 
     def part(self, requests, until=math.inf):
-        """Return the part of requests that were served, those later than a moment not counted."""
+        """Return the fraction of served requests, without those later than a given time."""
         served = sum(req.served_at < until for req in requests)
         return served / max(1, len(requests))
 
@@ -89,7 +88,7 @@
 
 
 class Home:
-    """Asks a `QuotaHome`."""
+    """Requests grants from a `QuotaHome`."""
 
     def __init__(self, urgent_first):
         self.home = QuotaHome(0.0, urgent_first=urgent_first)
@@ -102,10 +101,10 @@
 
 
 class Queue:
-    """The other way that was weighed: wait at the home for a moment, grants by worth a token.
+    """Alternative method: requests wait briefly at the coordinator; grants by value per token.
 
-    `even`: worth a token of the kind, and all sizes need the same level; else each request by its
-    own worth and size.
+    `even`: value per token of the kind, and all sizes need the same level; otherwise each request
+    is ordered by its own value and size.
     """
 
     def __init__(self, terms, even):
@@ -120,7 +119,7 @@
         heapq.heappush(self.waiting, (-kind.worth * part / kind.tokens, next(self.order), now, req))
 
     def step(self, now):
-        """Return who is granted and who is refused."""
+        """Return the granted and the refused requests."""
         granted, refused = [], []
         needed = 6_000.0 if self.even else None
         while self.waiting and self.bucket.try_take(self.waiting[0][3].tokens, now, needed):
@@ -137,7 +136,7 @@
 
 
 def arrivals(rng, times, until, abuse, kinds=KINDS):
-    """Return first tries; `times` what each kind usually sends of one organisation's part."""
+    """Return first tries; `times` is the factor for each kind's usual load of the organisation."""
     requests = []
     for kind in kinds:
         at = 0.0
@@ -157,7 +156,7 @@
 def play(
     way, terms, times, until=30.0, abuse=0.33, seed=5, limits=lambda at, terms: terms, kinds=KINDS
 ):
-    """Return what became of the requests."""
+    """Return the results of the requests."""
     rng = random.Random(seed)
     result = Result(arrivals(rng, times, until, abuse, kinds))
     order = itertools.count()
--- a/tests/share_load.py
+++ b/tests/share_load.py
@@ -1,4 +1,4 @@
-"""Engines that are full because one party sends many times its usual, without a network."""
+"""Simulates engines that are full because one party exceeds its usual load, without a network."""
 
 import math
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 from gradelug_policy.uses import Party, Turns
 
 SIZES = (0.2, 0.2, 0.15, 0.15, 0.1, 0.1, 0.1)
-"""Usual parts of organisations; the flooding one is that of `FLOODER`."""
+"""Usual fractions of organisations; the flooding one is that of `FLOODER`."""
 FLOODER = 2
 FLOOD = (4.0, 11.0)
 MEASURED = (5.0, 11.0)
 MOST_TRIES = 4
-"""A third of the callers of what was refused repeat thrice, at once."""
+"""A third of the callers of refused requests retry three times, at once."""
 RATE = 56.0
 SHAPE = FleetParameters(engines=12, rate=RATE, adapters=240, wave=0.0, bursts=(), length_s=11.5)
 
@@ -44,16 +44,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Flood:
-    """What one party sends more, and who holds the requests that wait."""
+    """Additional load of one party, and failures of the holders of the waiting requests."""
 
     times: float = 6.6
     owner: int = FLOODER
     kind: int = -1
-    """A kind of all organisations in place of an organisation, if set."""
+    """Kind that floods, over all organisations; an organisation floods if it is not set."""
     lost_at: float = math.inf
-    """The planner's successor knows nothing of what was used before."""
+    """Time at which the planner is replaced by one without usage data."""
     cut: tuple = (math.inf, math.inf)
-    """From and until: a quarter of the gateways tell nothing of what they used."""
+    """Start and end of a period in which a quarter of the gateways report no usage."""
     token_weight: float = 10.0
 
     def is_of(self, req):
@@ -61,7 +61,7 @@
 
 
 class SharedRun(FleetSimulation):
-    """One run; `order` None is without shares."""
+    """One simulation; without shares if `order` is None."""
 
     def __init__(self, flood, order=None, seed=1, shape=SHAPE, weights=None):
         self.flood, self.order = flood, order
@@ -98,7 +98,7 @@
         return req.prompt + self.flood.token_weight * req.answer
 
     def _in_order(self, due):
-        # The planner looks at all of them with each message.
+        # The planner evaluates all of them with each message.
         due, self.line = due + self.line, []
         self._full.clear()
         for moment in MEASURED:
@@ -142,7 +142,7 @@
             super()._arrive(again, self.now)
 
     def _take_told(self):
-        """Take over what gateways told of what they sent, a news' time ago."""
+        """Apply the sent requests that gateways reported, one reporting interval later."""
         due = [item for item in self.untold if item[0] <= self.now]
         self.untold = [item for item in self.untold if item[0] > self.now]
         for _, req in due:
@@ -186,7 +186,7 @@
             self.untold.append((now + self.rules.news_s, req))
 
     def waits(self, chosen, part=0.99):
-        """Return the wait for a first event that a part of some requests stay below, in seconds."""
+        """Return a percentile of the wait for a first event of some requests, in seconds."""
         waits = sorted(min(req.late_s, CALLER_TIMEOUT_S) for req in self._during() if chosen(req))
         return waits[min(len(waits) - 1, int(part * len(waits)))]
 
@@ -194,12 +194,12 @@
         return self.waits(lambda req: not self.flood.is_of(req), part)
 
     def in_time(self):
-        """Return which part of the others' first events came in time."""
+        """Return the fraction of the others' first events that were in time."""
         others = [req for req in self._during() if not self.flood.is_of(req)]
         return sum(req.late_s <= req.target_s for req in others) / len(others)
 
     def made(self):
-        """Return the tokens that engines made in the time that is measured."""
+        """Return the tokens that engines generated in the evaluated time."""
         begin, end = MEASURED
         return self.made_at[end] - self.made_at[begin]
 
--- a/tests/share_pool.py
+++ b/tests/share_pool.py
@@ -1,4 +1,4 @@
-"""One line in front of many slots: requests of owners and kinds, one of which sends too much."""
+"""Simulates one queue for many slots, with owners and kinds of which one sends too much."""
 
 import heapq
 import itertools
@@ -11,16 +11,16 @@
 SLOTS = 360
 SPEED = 19_200.0
 TOKEN_S = 0.0131
-"""A token of a full batch of 12."""
+"""Time of a token in a full batch of 12, in seconds."""
 KINDS = (("k0", 0, 1.0, 1_460, 172), ("k1", 1, 0.8, 1_460, 172), ("k2", 2, 0.8, 646, 68))
 """Name, urgency, target, mean prompt and mean answer in tokens."""
 MIX = (17, 122, 76)
 OWNERS = (0.2, 0.2, 0.15, 0.15, 0.1, 0.1, 0.1)
-"""Usual parts of organisations."""
+"""Usual fractions of organisations."""
 RATE = 150.0
 FLOOD = (20.0, 30.0)
 TRIES = 4
-"""A third of the callers of what was not served repeat thrice, at once."""
+"""A third of the callers of unserved requests retry three times, at once."""
 PATIENCE_S = 3.0
 STEP_S = 0.01
 
@@ -38,7 +38,7 @@
 
     @property
     def first_s(self):
-        """Time to its first event: its wait and its reading; callers that left count fully."""
+        """Time to its first event: its wait and its prefill; cancelled requests count fully."""
         if self.sent_at < 0:
             return PATIENCE_S
         return self.sent_at - self.at + self.prompt / SPEED
@@ -46,15 +46,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """Who sends so many times its usual, an owner or a kind; and what fails."""
+    """Owner or kind that sends a multiple of its usual load, and simulated failures."""
 
     times: float = 6.6
     owner: str = "o2"
     kind: int = -1
     lost_at: float = 1e9
-    """The planner's successor knows nothing of what was used before."""
+    """Time at which the planner is replaced by one without usage data."""
     cut_from: float = 1e9
-    """From then on a quarter of the gateways tell nothing."""
+    """Time from which a quarter of the gateways report no usage."""
     token_weight: float = 10.0
     has_ranks: bool = True
     """Whether kinds differ in urgency."""
@@ -67,7 +67,7 @@
 
 
 class Pool:
-    """One run; without an order they go by urgency, as they came."""
+    """One simulation; without an order, requests are served by urgency and arrival."""
 
     def __init__(self, load, order=None, seed=1, weights=None):
         self.load, self.order = load, order
@@ -78,7 +78,7 @@
         self.ends = []
         self.tokens = self.refused = 0
         self.was_idle = False
-        """Whether a slot was left free though somebody waited."""
+        """Whether a slot was left free while a request waited."""
         self.numbers = itertools.count()
 
     def go(self):
@@ -161,7 +161,7 @@
             self._item(now, item.owner, item.kind, item.tries + 1)
 
     def others_p99(self):
-        """Return the time to a first event that 99% of the others' stay below, in seconds."""
+        """Return the 99th percentile of the others' time to a first event, in seconds."""
         waits = sorted(
             item.first_s
             for item in self.items
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,8 +1,9 @@
-"""Connections that a replica takes from all instances together.
+"""Connections that a replica accepts from all instances together.
 
-A replica takes so many, as the configuration says, and resets those beyond. Each instance kept
-those that it had used, as many as it liked: of 370 that keep one each, 370 of 490 are taken while
-nothing runs, and 195 before a replica that takes 110 leave none for those that have to open one.
+A replica accepts a configured number of connections and resets further ones. If each instance keeps
+its used connections without a limit, 370 instances with one each occupy 370 of 490 connections
+while nothing runs, and those of 195 instances at a replica that accepts 110 leave none for
+instances that have to open one.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 def world_of(gateways, most):
-    """Return a world whose plain replica takes so many connections."""
+    """Return a simulation whose plain replica accepts a limited number of connections."""
     world = LimitWorld(gateways=gateways, engines=1, plain=1)
     world.config = copy.deepcopy(world.config)
     world.config["Services"][1]["MaxConns"] = most
@@ -24,7 +25,7 @@
 
 class TestIdleConnections:
     @pytest.mark.parametrize(("gateways", "most"), [(12, 10), (40, 20), (3, 20)])
-    def test_instances_that_rest_leave_connections_to_others(self, gateways, most):
+    def test_idle_instances_leave_connections_to_others(self, gateways, most):
         async def scenario():
             async with world_of(gateways, most) as world:
                 for gateway in world.gateways:
@@ -34,7 +35,7 @@
 
         run(scenario)
 
-    def test_few_instances_keep_what_they_use(self):
+    def test_few_instances_keep_their_connections(self):
         async def scenario():
             async with world_of(3, 100) as world:
                 for _ in range(4):
@@ -49,7 +50,7 @@
     @pytest.mark.parametrize(
         ("most", "instances"), [(490, 7), (100, 7), (100, 86), (110, 195), (490, 370), (10, 0)]
     )
-    def test_all_instances_together_leave_half_to_those_that_open_one(self, most, instances):
+    def test_all_instances_together_leave_half_for_new_connections(self, most, instances):
         draws = [(number + 0.5) / max(1, instances) for number in range(max(1, instances))]
         kept = sum(idle_share(most, instances, draw) for draw in draws)
         assert kept <= IDLE_CONNECTION_FRACTION * most + 1
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -1,4 +1,4 @@
-"""One organisation far beyond its quota: who of its callers is served."""
+"""Which requests of an organisation far beyond its quota are served."""
 
 import math
 import random
@@ -38,45 +38,45 @@
 
 
 class TestLoad:
-    """Replays of a load; the figures of the ways weighed are in docs/design/fair-shares.md."""
+    """Replays of a load; docs/design/fair-shares.md has the results of the compared methods."""
 
     @pytest.mark.parametrize("terms", [THIRD, MOST])
     @pytest.mark.parametrize("seed", [5, 6, 7])
-    def test_the_urgent_go_first_and_nobody_is_shut_out(self, terms, seed):
+    def test_urgent_requests_go_first_and_no_kind_is_locked_out(self, terms, seed):
         result = play("levels", terms, steadily, seed=seed)
         question, draft, summary, booking = parts(result, until=UNTIL)
         mean = result.part(result.requests, UNTIL)
-        # At a third, the least parts of the others and all of the urgent are more than the quota.
+        # At a third, the minimum grants of the others and all urgent requests exceed the quota.
         assert question > (0.92 if terms is THIRD else 0.99)
-        # Least urgent by its number, of another service, and worth most a token.
+        # Least urgent by its number, of another service, and of the highest value per token.
         assert booking > 0.97
         assert question + 0.05 >= draft >= summary - 0.05
         assert min(draft, summary) >= 0.25 * mean
         for kind, part in zip(KINDS[:3], (question, draft, summary), strict=True):
             assert result.part(result.largest(kind.name), UNTIL) >= 0.5 * part
 
-    def test_first_come_first_served_shuts_the_largest_out(self):
-        """What the levels are there for."""
+    def test_first_come_first_served_locks_out_the_largest(self):
+        """The purpose of the reserved levels."""
         result = play("first", THIRD, steadily)
         draft = parts(result)[1]
         assert result.part(result.largest("draft")) < 0.1 * draft
         assert parts(result)[0] < 0.85
 
     @pytest.mark.parametrize("terms", [THIRD, MOST])
-    def test_more_worth_is_served_from_as_many_tokens(self, terms):
+    def test_more_value_is_served_from_as_many_tokens(self, terms):
         first = play("first", terms, steadily)
         levels = play("levels", terms, steadily)
         assert levels.granted >= 0.99 * first.granted
         assert levels.worth >= (1.05 if terms is THIRD else 1.01) * first.worth
 
     @pytest.mark.parametrize("terms", [THIRD, MOST])
-    def test_who_repeats_at_once_gains_nothing(self, terms):
+    def test_immediate_retries_gain_nothing(self, terms):
         result = play("levels", terms, steadily)
         abusers = [req for req in result.requests if req.abuses]
         others = [req for req in result.requests if not req.abuses]
         assert result.part(abusers) <= result.part(others) + 0.02
 
-    def test_nothing_is_kept_for_the_urgent_when_none_ask(self):
+    def test_nothing_is_reserved_without_urgent_requests(self):
         result = play("levels", THIRD, steadily, kinds=KINDS[1:2])
         assert result.granted >= 0.99 * THIRD.rate * 30.0
 
@@ -85,18 +85,18 @@
         result = play("levels", terms, steadily, abuse=0.0)
         assert sum(req.refused for req in result.requests) <= 0.001 * len(result.requests)
 
-    def test_a_load_that_jumps_and_a_limit_that_falls_find_the_urgent_first(self):
+    def test_urgent_go_first_after_a_load_jump_and_a_lower_limit(self):
         terms = QuotaTerms(ASKED / 2, ASKED / 2)
 
         def limits(at, terms):
             return terms if at < 12.0 else QuotaTerms(terms.rate / 2, terms.burst / 2)
 
         result = play("levels", terms, lambda at: 0.3 if at < 5.0 else 1.0, limits=limits)
-        # What kinds had under the old limit is forgotten within some seconds.
+        # Grants under the old limit are forgotten within some seconds.
         late = [req for req in result.requests if req.first_at > 18.0]
         urgent = [req for req in late if req.kind.rank == 0]
         mean = result.part(late, UNTIL)
-        # A quarter of what is asked: what plain requests and least parts leave of it.
+        # A quarter of the requests: the part left by plain requests and minimum grants.
         assert result.part(urgent, UNTIL) > 0.5
         for kind in KINDS[1:3]:
             found = [req for req in late if req.kind is kind]
@@ -107,7 +107,7 @@
 
 
 def contest(urgent_per_s=0.0, others_per_s=20_000.0, until=5.0):
-    """Return a contest after some seconds of a load."""
+    """Return an arbiter after some seconds of a load."""
     found = QuotaArbiter()
     for step in range(1, int(until * 10) + 1):
         for rank, load in ((0, urgent_per_s), (1, others_per_s)):
@@ -116,13 +116,13 @@
     return found
 
 
-class TestContest:
-    def test_below_the_quota_everybody_needs_what_it_counts(self):
+class TestQuotaArbiter:
+    def test_below_the_quota_a_request_needs_its_own_size(self):
         claim = contest(1_000.0, 5_000.0).enter(400.0, CALLERS[1], RATE, CAPACITY, 5.0)
         assert not claim.contended
         assert claim.needed == 400.0
 
-    def test_the_others_leave_what_the_urgent_ask_for_in_a_moment(self):
+    def test_others_leave_what_the_urgent_request_in_the_window(self):
         found = contest(4_000.0, 20_000.0)
         urgent = found.enter(400.0, CALLERS[0], RATE, 10 * CAPACITY, 5.0)
         other = found.enter(400.0, CALLERS[1], RATE, 10 * CAPACITY, 5.0)
@@ -130,7 +130,7 @@
         kept = other.needed - urgent.needed
         assert kept == pytest.approx(RESERVE_WINDOW_S * 4_000.0 + clump, rel=0.2)
 
-    def test_nothing_is_kept_once_the_urgent_have_fallen_silent(self):
+    def test_the_reserve_ends_with_the_urgent_requests(self):
         found = contest(8_000.0, 20_000.0)
         for step in range(1, 61):
             other = found.enter(2_000.0, CALLERS[1], RATE, CAPACITY, 5.0 + step / 10)
@@ -146,7 +146,7 @@
         }
         assert len(needed) == 1
 
-    def test_a_kind_that_gets_less_than_its_least_part_leaves_nothing(self):
+    def test_an_underserved_kind_leaves_nothing(self):
         found = contest(12_000.0, 4_000.0)
         for step in range(100):
             at = 5.0 + step / 100
@@ -156,7 +156,7 @@
         urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 6.0)
         assert other.needed == urgent.needed
 
-    def test_kinds_of_other_services_go_by_what_a_token_is_worth(self):
+    def test_kinds_of_other_services_are_ordered_by_token_value(self):
         found = contest(8_000.0, 20_000.0)
         plain = Caller(7, 1.0, "desk", 0.5)
         for step in range(20):
@@ -165,7 +165,7 @@
         other = found.enter(400.0, CALLERS[1], RATE, CAPACITY, 5.2)
         assert cheap.needed < urgent.needed < other.needed
 
-    def test_within_a_service_urgency_goes_before_worth(self):
+    def test_within_a_service_urgency_precedes_value(self):
         found = QuotaArbiter()
         for step in range(100):
             for rank, value in ((0, 0.1), (1, 9.0)):
@@ -175,20 +175,20 @@
                     urgent = claim
         assert urgent.needed < claim.needed
 
-    def test_who_is_told_more_than_it_waits_is_promised_nothing(self):
+    def test_no_tokens_are_reserved_for_callers_that_cannot_wait(self):
         found = contest(0.0, 40_000.0)
         caller = Caller(1, 3.0)
         claim = found.enter(500.0, caller, RATE, CAPACITY, 5.0)
         told = [found.refuse(claim, Caller(1, 0.1), RATE, 0.0, 5.0) for _ in range(3)]
         assert told[0] == told[1] == told[2] > 0.1
 
-    def test_who_waits_is_told_to_come_behind_those_told_before(self):
+    def test_retry_times_follow_those_of_earlier_refusals(self):
         found = contest(0.0, 40_000.0)
         claim = found.enter(500.0, Caller(1, 60.0), RATE, CAPACITY, 5.0)
         told = [found.refuse(claim, Caller(1, 60.0), RATE, 0.0, 5.0) for _ in range(3)]
         assert told[0] < told[1] < told[2]
 
-    def test_who_waits_as_told_goes_before_those_that_come_anew(self):
+    def test_due_retries_precede_first_tries(self):
         found = contest(0.0, 40_000.0)
         first = Caller(1, 60.0, mark=7)
         claim = found.enter(500.0, first, RATE, CAPACITY, 5.0)
@@ -204,14 +204,14 @@
         assert anew.standing is RetryState.FIRST
         assert back.needed < anew.needed < early.needed + 1.0
 
-    def test_another_caller_that_asks_the_same_is_new(self):
+    def test_another_caller_with_the_same_request_is_new(self):
         found = contest(0.0, 40_000.0)
         first = Caller(1, 60.0, mark=7)
         found.refuse(found.enter(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0)
         other = found.enter(500.0, Caller(1, 60.0, mark=7), RATE, CAPACITY, 5.5)
         assert other.standing is RetryState.FIRST
 
-    def test_who_comes_too_early_is_told_the_rest_of_its_time(self):
+    def test_an_early_retry_receives_the_remaining_time(self):
         found = contest(0.0, 40_000.0)
         caller = Caller(1, 60.0, mark=7)
         claim = found.enter(500.0, caller, RATE, CAPACITY, 5.0)
@@ -222,7 +222,7 @@
         assert told == pytest.approx([told_s - 0.05] * 3)
         assert told[0] >= MIN_EARLY_RETRY_S
 
-    def test_what_is_known_is_bounded(self):
+    def test_state_is_bounded(self):
         refusals = Refusals()
         found = QuotaArbiter("o", refusals)
         for step in range(20_000):
@@ -232,7 +232,7 @@
         assert len(refusals) <= MAX_REFUSALS
         assert len(found._kind_numbers) <= MAX_KINDS
 
-    def test_kinds_of_services_that_are_gone_make_room(self):
+    def test_idle_kinds_are_replaced(self):
         found = QuotaArbiter()
         for number in range(40):
             caller = Caller(0, 8.0, f"s{number}")
@@ -241,7 +241,7 @@
 
 
 class TestSwitchedOff:
-    def test_who_comes_first_is_served_first(self):
+    def test_first_come_first_served(self):
         terms = QuotaTerms(1_000.0, 1_000.0)
         home = QuotaHome(0.0, urgent_first=False)
         home.join("g", {}, 0.0)
@@ -278,7 +278,7 @@
 
 class TestQuotaDesk:
     @pytest.mark.parametrize("urgent_first", [True, False])
-    def test_the_last_of_a_quota_is_left_to_the_urgent(self, urgent_first):
+    def test_the_rest_of_a_quota_is_reserved_for_the_urgent(self, urgent_first):
         found, follower = desk(urgent_first)
         rng = random.Random(2)
         asked, granted = Counter(), Counter()
@@ -294,7 +294,7 @@
         else:
             assert parts[0] == pytest.approx(parts[1], abs=0.1)
 
-    def test_a_refusal_tells_by_what_it_was_found(self):
+    def test_a_refusal_contains_the_inputs_of_the_decision(self):
         found, follower = desk(True)
         for step in range(1, 401):
             answer = ask(found, follower, step / 40, rank=1, wait_ms=8_000)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""The pace of loads on simulated stores."""
+"""Limits of concurrent loads on simulated stores."""
 
 import heapq
 import itertools
@@ -17,11 +17,11 @@
 )
 
 AGAIN_S = 0.06
-"""A load that was late is looked at again after this."""
+"""Time after which a late load is checked again, in seconds."""
 
 
 class Store:
-    """Loads take `alone_s`, longer in proportion while more than `full` are under way."""
+    """Loads take `alone_s`, longer in proportion while more than `full` are in progress."""
 
     def __init__(self, alone_s, full):
         self.alone_s = alone_s
@@ -32,7 +32,7 @@
 
 
 class Run:
-    """Loads that wait without end; as many are under way as the pace allows."""
+    """Endless demand; as many loads are in progress as the limit permits."""
 
     def __init__(self, store, noise=0.0, report_s=0.005, share=1.0):
         self.store = store
@@ -40,7 +40,7 @@
         self.rng = random.Random(7)
         self.noise = noise
         self.report_s = report_s
-        """A late load is known so much later."""
+        """Delay of the report of a late load, in seconds."""
         self.others = 0.0 if share == 1.0 else (1 - share) * store.full
         self.now = 0.0
         self.under_way = 0
@@ -99,9 +99,9 @@
 
 class TestStorePace:
     @pytest.mark.parametrize("store", STORES, ids=named)
-    def test_it_finds_what_a_store_bears(self, store):
+    def test_it_finds_the_capacity_of_a_store(self, store):
         run = Run(store)
-        # Three seconds, or thirty loads one after the other where each takes long.
+        # Three seconds, or the time of thirty consecutive loads where each takes long.
         found_s = max(3.0, 30 * store.alone_s)
         run.go(found_s)
         run.go(found_s + max(4.0, 8 * store.alone_s))
@@ -112,7 +112,7 @@
     @pytest.mark.parametrize(
         "store", [s for s in STORES if UNLOADED_MAX_LOADS <= s.full <= 240], ids=named
     )
-    def test_few_loads_are_late_once_it_is_found(self, store):
+    def test_few_loads_are_late_after_the_search(self, store):
         run = Run(store, noise=0.03)
         found_s = max(4.0, 30 * store.alone_s)
         run.go(found_s)
@@ -120,7 +120,7 @@
         run.go(found_s + max(10.0, 20 * store.alone_s))
         assert run.late - late <= 0.25 * (len(run.done) - done)
 
-    def test_reports_that_come_late_do_not_bring_it_to_a_standstill(self):
+    def test_delayed_reports_do_not_stop_loads(self):
         store = Store(0.2875, 80)
         run = Run(store, noise=0.1, report_s=0.2)
         run.go(4.0)
@@ -136,7 +136,7 @@
 
     @pytest.mark.parametrize(("factor", "part"), [(3.0, 0.4), (0.33, 0.3)])
     def test_it_follows_a_store_that_changes(self, factor, part):
-        """One that is faster is followed slowly: nothing shows it but loads that are not late."""
+        """A faster store is followed slowly, since only loads that complete in time indicate it."""
         store = Store(0.3, 40)
         run = Run(store)
         run.go(4.0)
@@ -146,40 +146,40 @@
         run.go(since + 6.0)
         assert run.throughput(since) >= part * store.full / store.alone_s
 
-    def test_loads_that_are_late_together_raise_the_time_once(self):
+    def test_simultaneous_late_loads_raise_the_estimate_once(self):
         pace = StorePace(0.0)
         for _ in range(50):
             pace.note_late(8, 0.35, 0.0)
         assert pace.load_s == pytest.approx(0.35 * LATE_LOAD_MARGIN)
 
-    def test_what_the_store_is_known_to_bear_is_begun_with(self):
+    def test_the_known_capacity_is_the_initial_limit(self):
         assert StorePace(0.0, 80.0).at_once == 80
         assert StorePace(0.0, 2.0).at_once == INITIAL_PARALLEL_LOADS
 
-    def test_a_store_that_is_faster_is_known_soon(self):
+    def test_a_faster_store_is_detected_soon(self):
         pace = StorePace(0.0)
         pace.note_in_time(1, False, 1.0)
         assert pace.load_s < 0.7 * FIRST_LOAD_S
 
-    def test_one_report_that_comes_late_itself_does_not_count_whole(self):
+    def test_one_delayed_report_has_a_bounded_effect(self):
         pace = StorePace(0.0)
         pace.note_late(8, 5.0, 0.0)
         assert pace.load_s == FIRST_LOAD_S * MAX_LOAD_TIME_INCREASE_FACTOR
 
-    def test_loads_that_take_longer_beside_many_lower_their_number_and_never_to_none(self):
+    def test_slower_loads_lower_the_limit_but_not_to_zero(self):
         pace = StorePace(0.0)
         for step in range(1, 200):
             pace.note_late(11, 3.0, step * 0.1)
             pace.note_in_time(11, True, step * 0.1)
         assert pace.at_once == MIN_PARALLEL_LOADS
 
-    def test_a_number_that_is_not_used_up_stays(self):
+    def test_an_unused_limit_stays(self):
         pace = StorePace(0.0)
         for step in range(50):
             pace.note_in_time(8, False, step * 0.1)
         assert pace.at_once == INITIAL_PARALLEL_LOADS
 
-    def test_a_load_from_host_memory_takes_its_part(self):
+    def test_a_load_from_host_memory_is_faster(self):
         pace = StorePace(0.0)
         assert pace.cached_s == pytest.approx(FIRST_LOAD_S / CACHED_LOAD_SPEEDUP)
         pace.note_late(1, 0.35, 0.0)
--- a/tests/test_poison_policy.py
+++ b/tests/test_poison_policy.py
@@ -1,4 +1,4 @@
-"""Who ended the replicas that ended: one request, several, or none."""
+"""Detection of the requests that ended replicas: one request, several, or none."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 
 def ledger_of(*ends):
-    """Return a ledger of ends, each a mapping of requests to weights."""
+    """Return a ledger of ends, each given as a mapping of requests to weights."""
     ledger = EndLedger()
     for number, weights in enumerate(ends):
         for mark, weight in weights.items():
@@ -39,38 +39,38 @@
 
 
 class TestOneRequest:
-    def test_three_ends_that_nothing_else_explains_are_enough_and_two_are_not(self):
+    def test_three_unexplained_ends_block_and_two_do_not(self):
         assert found(ledger_of({A: BEGUN}, {A: BEGUN})) == []
         ledger = ledger_of({A: BEGUN, B: BEGUN}, {A: BEGUN}, {A: BEGUN, C: WAITING})
         assert found(ledger) == [A]
         assert set(ledger.blocked) == {A}
         assert found(ledger) == []
 
-    def test_an_end_that_several_gateways_tell_of_counts_once(self):
+    def test_an_end_reported_by_several_gateways_counts_once(self):
         ledger = ledger_of({A: BEGUN})
         for _ in range(4):
             ledger.note_end("e0", A, WAITING, 0.0)
         assert ledger.score(A) == BEGUN
 
-    def test_one_that_waits_or_runs_on_needs_more_ends(self):
+    def test_queued_and_streaming_requests_need_more_ends(self):
         assert found(ledger_of(*[{A: RUNNING}] * 4)) == []
         assert found(ledger_of(*[{A: RUNNING}] * 5)) == [A]
         assert found(ledger_of(*[{A: WAITING}] * 5)) == []
         assert found(ledger_of(*[{A: WAITING}] * 6)) == [A]
 
-    def test_one_that_was_answered_whole_is_never_blocked(self):
+    def test_a_completely_answered_request_is_never_blocked(self):
         ledger = ledger_of({A: BEGUN}, {A: BEGUN}, {A: BEGUN})
         assert ledger.note_served(A)
         assert found(ledger) == []
         assert not ledger.note_served(A)
 
-    def test_one_that_was_blocked_by_mistake_is_let_go_when_it_is_answered(self):
+    def test_a_blocked_request_is_released_when_it_is_answered(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         found(ledger)
         assert ledger.note_served(A)
         assert not ledger.blocked
 
-    def test_ends_of_the_last_moment_wait_for_what_other_gateways_say(self):
+    def test_recent_ends_wait_for_reports_of_other_gateways(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         assert ledger.judge(2.0 + GATHER_S / 2, GATHER_S) == []
         assert ledger.is_gathering(2.0 + GATHER_S / 2, GATHER_S)
@@ -78,18 +78,18 @@
 
 
 class TestBystanders:
-    def test_who_was_at_the_same_ends_is_told_apart_by_the_next_one(self):
+    def test_the_next_end_separates_requests_with_equal_scores(self):
         ends = [{A: BEGUN, B: BEGUN}] * 3
         assert found(ledger_of(*ends)) == []
         ledger = ledger_of(*ends, {A: BEGUN})
         assert found(ledger) == [A]
         assert ledger.score(B) == 0.0
 
-    def test_who_cannot_be_told_apart_is_blocked_when_it_is_certain(self):
+    def test_inseparable_requests_are_blocked_at_the_certain_score(self):
         ends = [{A: BEGUN, B: BEGUN}] * round(CERTAIN_BLOCK_SCORE)
         assert sorted(found(ledger_of(*ends))) == [A, B]
 
-    def test_further_ends_of_a_blocked_request_speak_against_nobody_else(self):
+    def test_ends_of_a_blocked_request_count_against_no_other(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         found(ledger)
         for number in range(10):
@@ -97,7 +97,7 @@
             ledger.note_end(f"later{number}", B, BEGUN, 50.0)
         assert found(ledger) == []
 
-    def test_a_blocked_request_that_had_not_begun_explains_no_end(self):
+    def test_a_blocked_request_that_had_not_started_explains_no_end(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         found(ledger)
         for number in range(3):
@@ -107,7 +107,7 @@
 
 
 class Load:
-    """Requests at engines that end every 0.6 s; what an end broke off is sent again elsewhere."""
+    """Requests at engines that end every 0.6 s; interrupted ones are retried at another engine."""
 
     STAGES = (BEGUN, *[WAITING] * 9, *[RUNNING] * 10)
 
@@ -120,10 +120,12 @@
         self.ended_by = {b"poison %d" % number: 0 for number in range(poisons)}
         self.turned_away = set()
         self.again = []
-        """Requests that were broken off and are sent again."""
+        """Interrupted requests that are retried."""
 
     def run(self, ends, other_part):
-        """Let poisons end engines as long as they are sent, and a part end by themselves."""
+        """Simulate poison requests that end engines until blocked, and engines that end by
+        themselves.
+        """
         for _ in range(ends):
             sent = [mark for mark in self.ended_by if mark not in self.ledger.blocked]
             if self.rng.random() < other_part:
@@ -145,7 +147,7 @@
         self.again = [mark for mark in batch if mark not in self.ended_by]
 
     def _fill(self):
-        """Return what is at the engine that ends next: some that are sent again, and others."""
+        """Return the requests at the engine that ends next: some retries, and others."""
         batch = {}
         for mark in self.again:
             if self.rng.random() < 1 / self.engines:
@@ -162,21 +164,21 @@
     @pytest.mark.parametrize("poisons", [1, 2, 5])
     @pytest.mark.parametrize("other_part", [0.0, 0.3])
     @pytest.mark.parametrize("engines", [9, 30])
-    def test_each_poison_costs_few_engines_and_hardly_anybody_else_is_turned_away(
+    def test_poison_requests_cost_few_engines_and_few_others_are_refused(
         self, poisons, other_part, engines
     ):
         loads = [Load(seed, engines, poisons) for seed in range(20)]
         for load in loads:
             load.run(60, other_part)
             assert set(load.ended_by) <= set(load.ledger.blocked)
-            # After the third it may reach three more.
+            # After the third end it may reach three more engines.
             assert max(load.ended_by.values()) <= 6
         assert (
             sum(len(load.turned_away) for load in loads) <= sum(load.sent for load in loads) / 1000
         )
 
     @pytest.mark.parametrize("engines", [9, 30])
-    def test_engines_that_end_by_themselves_again_and_again_block_hardly_anybody(self, engines):
+    def test_engines_that_end_by_themselves_block_few_requests(self, engines):
         loads = [Load(seed, engines, 0) for seed in range(20)]
         for load in loads:
             load.run(60, 1.0)
@@ -186,7 +188,7 @@
 
 
 class TestBounds:
-    def test_what_is_kept_is_bounded_and_the_oldest_goes_first(self):
+    def test_state_is_bounded_and_the_oldest_is_removed_first(self):
         ledger = EndLedger()
         for number in range(3 * MAX_ENDS):
             for other in range(MAX_REQUESTS_PER_END + 20):
@@ -198,7 +200,7 @@
         assert len(ledger.blocked) == MAX_BLOCKED
         assert b"4" not in ledger.blocked
 
-    def test_of_a_crowded_engine_those_of_most_weight_are_kept(self):
+    def test_requests_of_greatest_weight_are_kept_per_end(self):
         ledger = EndLedger()
         ledger.note_end("e", A, BEGUN, 1.0)
         for number in range(2 * MAX_REQUESTS_PER_END):
@@ -209,7 +211,7 @@
         ledger = ledger_of(*[{b"%d" % number: BEGUN for number in range(MAX_REQUESTS_PER_END)}] * 2)
         assert len(ledger.suspects()) == MAX_SUSPECTS
 
-    def test_ends_and_what_is_blocked_are_forgotten_after_their_time(self):
+    def test_ends_and_blocks_expire(self):
         ledger = ledger_of(*[{A: BEGUN}] * 3)
         found(ledger)
         ledger.judge(100.0 + REMEMBERED_S)
@@ -231,7 +233,7 @@
         max_size=12,
     )
 )
-def test_whoever_is_blocked_has_enough_against_it_and_order_of_telling_matters_not(ends):
+def test_blocked_requests_have_the_score_in_any_report_order(ends):
     ledger = ledger_of(*ends)
     blocked = found(ledger)
     for mark in blocked:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over many instances, homes that are replaced, instances that are cut off."""
+"""Quotas over many instances with replaced coordinators and unreachable instances."""
 
 import asyncio
 import random
@@ -50,28 +50,28 @@
         assert not bucket.try_take(100.0, 8.0)
         assert bucket.try_take(100.0, 8.2)
 
-    def test_without_a_burst_it_bears_two_requests_that_come_together(self):
+    def test_without_a_burst_two_simultaneous_requests_are_granted(self):
         bucket = QuotaBucket(QuotaTerms(1_000.0, 0.0), 0.0)
         bucket.settle(10.0)
         assert bucket.capacity == 1_000.0 * MIN_BURST_S
         assert bucket.try_take(250.0, 10.0)
         assert bucket.try_take(250.0, 10.0)
 
-    def test_those_that_are_refused_are_told_to_come_back_one_after_the_other(self):
+    def test_retry_times_of_refused_requests_are_consecutive(self):
         bucket = QuotaBucket(TERMS, 0.0)
         waits = [bucket.reserve_retry_s(500.0, 0.0) for _ in range(4)]
         assert waits == [0.5, 1.0, 1.5, 2.0]
-        # Half of a second has passed: the first has had its turn.
+        # Half a second has passed: the retry of the first is due.
         assert bucket.reserve_retry_s(500.0, 0.5) == pytest.approx(1.5)
 
-    def test_what_is_given_back_can_be_granted_again_and_no_more_than_it_holds(self):
+    def test_refunds_are_available_up_to_the_capacity(self):
         bucket = QuotaBucket(TERMS, 0.0)
         assert bucket.try_take(1_000.0, 1.0)
         bucket.give_back(5_000.0, 1.0)
         assert bucket.try_take(1_000.0, 1.0)
         assert not bucket.try_take(1.0, 1.0)
 
-    def test_a_lower_limit_holds_at_once(self):
+    def test_a_lower_limit_applies_at_once(self):
         home = QuotaHome(0.0)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", TERMS, 100.0, 10.0).granted
@@ -83,8 +83,8 @@
 
 
 class TestQuotaHome:
-    def test_the_first_request_of_an_organisation_finds_what_was_saved_up(self):
-        """Every organisation's first requests of a day were refused."""
+    def test_the_bucket_of_an_idle_organisation_is_full(self):
+        """Guards against refusing the first requests of an organisation after an idle period."""
         home = QuotaHome(0.0)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", TERMS, 900.0, 5.0).granted
@@ -101,7 +101,7 @@
         assert shares["g0"] > 0.4 * TERMS.rate
         assert sum(shares.values()) <= TERMS.rate * 1.000001
 
-    def test_a_successor_keeps_back_what_instances_that_are_missing_may_use(self):
+    def test_a_successor_withholds_the_shares_of_missing_instances(self):
         home = QuotaHome(0.0, expected=10)
         for number in range(5):
             home.join(f"g{number}", {}, 0.0)
@@ -136,7 +136,7 @@
 
 
 class TestLocalShares:
-    def test_a_share_fills_from_the_moment_on_at_which_the_home_is_missed(self):
+    def test_a_share_fills_from_the_loss_of_the_coordinator(self):
         shares = LocalShares()
         assert not shares.try_take("o", 1.0, 5.0)
         shares.note_told("o", 100.0, 5.0)
@@ -150,7 +150,7 @@
         shares.note_lost(8.1)
         assert not shares.try_take("o", 20.0, 8.2)
 
-    def test_a_share_holds_for_a_while_only(self):
+    def test_a_share_expires(self):
         shares = LocalShares()
         shares.note_told("o", 100.0, 0.0)
         shares.note_lost(0.0)
@@ -160,18 +160,18 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Instances that send for one organisation as fast as they may; homes come and go.
+    """Instances that send for one organisation as fast as allowed; coordinators start and fail.
 
-    Granted within every window must stay within the quota, its overage and its slack, whichever
-    instances are cut off, for however long, and however often the home is lost; whatever the
-    urgency and the size of what is asked for, whoever comes back, and also when the limit changes:
-    a lower one counts a window after it is told.
+    Grants within every window must stay within the quota, its overage and its slack, whichever
+    instances are unreachable, for however long, and however often the coordinator is lost;
+    regardless of urgency, request size and retries, and also when the limit changes: a lower one
+    counts one window after it is received.
     """
 
     INSTANCES = 6
     SIZE = 10_000.0
     TERMS = QuotaTerms(100_000.0, 100_000.0)
-    """So much that the slack of the rule does not matter."""
+    """So high that the slack of the rule is negligible."""
     LOWER = QuotaTerms(30_000.0, 30_000.0)
     HIGHER = QuotaTerms(200_000.0, 100_000.0)
 
@@ -276,10 +276,12 @@
         self.begin(self.INSTANCES)
 
     def allowed(self, at):
-        """Return what a window that ends at a moment may hold, by the limits that counted in it."""
+        """Return the maximum grants of a window that ends at a time, by the limits that apply to
+        it.
+        """
         began = max((since for since, _ in self.limits if since <= at - 2 * WINDOW_S), default=0.0)
         terms = [terms for since, terms in self.limits if began <= since <= at]
-        # Limits told at the same moment: the last is in force, the others count all the same.
+        # Of limits received at the same time the last is in force, but the others count as well.
         most = max(limit.rate * WINDOW_S + limit.burst for limit in terms)
         return most * (1 + OVERAGE) + SLACK
 
@@ -301,10 +303,10 @@
 )
 
 
-class TestFoundByHand:
-    """Sequences that random runs of the machine above have found, as they were."""
+class TestRecordedSequences:
+    """Sequences that random runs of the machine above have produced, unchanged."""
 
-    def test_an_instance_that_is_refused_saves_nothing_up_for_when_it_is_cut_off(self):
+    def test_a_refused_instance_accumulates_no_share(self):
         fleet = Fleet()
         fleet.send(steps=1, eager={0})
         fleet.send(steps=14, eager={3})
@@ -317,7 +319,7 @@
         fleet.send(steps=22, eager={0, 1})
         fleet.every_window_is_within_the_quota()
 
-    def test_a_share_is_not_saved_up_while_the_home_grants_to_others(self):
+    def test_a_share_does_not_fill_while_the_coordinator_grants(self):
         fleet = Fleet()
         fleet.send(steps=11, eager={0})
         fleet.cut_off({2})
@@ -330,7 +332,7 @@
         fleet.send(steps=19, eager={0, 1, 2, 3, 5})
         fleet.every_window_is_within_the_quota()
 
-    def test_shares_that_were_told_before_a_home_was_lost_are_known_to_its_successor(self):
+    def test_a_successor_knows_earlier_shares(self):
         fleet = Fleet()
         fleet.send(steps=6, eager={0})
         fleet.send(steps=16, eager={0, 1})
@@ -343,8 +345,8 @@
         fleet.every_window_is_within_the_quota()
 
 
-class TestQuotaQuestions:
-    def test_questions_are_answered_by_their_tickets(self):
+class TestQuotaRequests:
+    def test_answers_are_matched_by_ticket(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             questions = QuotaQuestions(clock, lambda: None)
@@ -360,7 +362,7 @@
 
         run(scenario)
 
-    def test_what_is_granted_too_late_is_given_back(self):
+    def test_late_grants_are_refunded(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             questions = QuotaQuestions(clock, lambda: None)
@@ -379,7 +381,7 @@
 
         run(scenario)
 
-    def test_another_home_is_not_given_what_it_has_not_granted(self):
+    def test_refunds_go_to_the_granting_coordinator_only(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             questions = QuotaQuestions(clock, lambda: None)
@@ -393,7 +395,7 @@
 
         run(scenario)
 
-    def test_a_lost_home_ends_the_questions_to_it(self):
+    def test_the_loss_of_a_coordinator_ends_pending_requests(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             questions = QuotaQuestions(clock, lambda: None)
@@ -409,7 +411,7 @@
 
 
 class TestQuotas:
-    def test_without_any_home_nothing_is_granted(self):
+    def test_nothing_is_granted_without_a_coordinator(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
             quotas = Quotas(lambda: None, clock, random.Random(1), LocalShares())
@@ -438,9 +440,9 @@
 
 
 class TestSize:
-    """370 instances, 2,000 organisations, 27 requests a second and instance."""
+    """370 instances, 2,000 organisations, 27 requests per second and instance."""
 
-    def test_messages_of_an_instance_are_small_and_a_home_keeps_what_was_used_lately(self):
+    def test_messages_are_small_and_coordinator_state_is_bounded(self):
         instances, organisations, per_s = 370, 2_000, 27
         home = QuotaHome(0.0)
         for number in range(instances):
@@ -469,5 +471,5 @@
             granted += verdict.granted
         assert granted == 10 * instances
         asks = 10 * instances
-        # 10 KB a second and node are allowed for control as a whole.
+        # The limit of all control traffic is 10 KB per second and node.
         assert (sent + received) / asks * per_s <= 2_000
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -1,4 +1,6 @@
-"""The limits that replicas name: in which order they count, and how much each lets through."""
+"""Limits reported by replicas: the order in which they apply, and the requests that each
+permits.
+"""
 
 import math
 
@@ -16,7 +18,7 @@
     return ResponseHead(200, tuple((b"Server-Limit", value) for value in values))
 
 
-class TestReading:
+class TestParsing:
     @pytest.mark.parametrize(
         ("values", "rate"),
         [
@@ -49,17 +51,17 @@
             b"-0.1",
         ],
     )
-    def test_what_is_no_number_is_told_as_such(self, value):
+    def test_an_invalid_number_is_returned_as_text(self, value):
         word = PlatformDialect().limit(head(value))
         assert word.rate is None
         assert word.unreadable
 
-    def test_one_that_is_no_number_spoils_the_others(self):
+    def test_one_invalid_number_invalidates_the_others(self):
         assert PlatformDialect().limit(head(b"1.5", b"x")).unreadable
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=40))
-    def test_no_bytes_are_read_as_what_is_no_rate(self, value):
+    def test_arbitrary_bytes_never_yield_an_invalid_rate(self, value):
         word = PlatformDialect().limit(head(value))
         assert word.rate is None or 0 <= word.rate < math.inf
 
@@ -71,21 +73,21 @@
         assert record.note(LimitFact(None, 3.0, 3.1))
         assert record.rate is None
 
-    def test_an_answer_that_was_overtaken_does_not_end_it(self):
+    def test_a_reordered_answer_does_not_end_it(self):
         record = LimitRecord()
         record.note(LimitFact(1.4, 1.0, 2.0))
         assert not record.note(LimitFact(None, 1.9, 2.5))
         assert not record.note(LimitFact(None, 2.0 + REORDER_TOLERANCE_S / 2, 2.5))
         assert record.rate == 1.4
 
-    def test_an_older_answer_does_not_bring_an_ended_limit_back(self):
+    def test_an_older_answer_does_not_restore_an_ended_limit(self):
         record = LimitRecord()
         record.note(LimitFact(1.4, 1.0, 2.0))
         record.note(LimitFact(None, 3.0, 3.1))
         assert not record.note(LimitFact(1.4, 1.5, 2.9))
         assert record.note(LimitFact(2.0, 3.2, 3.3))
 
-    def test_of_two_answers_that_may_be_either_the_newer_the_lower_limit_holds(self):
+    def test_the_lower_limit_holds_if_the_order_is_unknown(self):
         record = LimitRecord()
         record.note(LimitFact(1.4, 1.0, 2.0))
         assert record.note(LimitFact(1.1, 1.5, 2.1))
@@ -94,7 +96,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.tuples(st.floats(0.1, 9), st.floats(0, 10), st.floats(0, 2)), min_size=1))
-    def test_the_order_in_which_answers_come_never_lets_more_through_than_the_newest(self, answers):
+    def test_no_order_of_answers_permits_more_than_the_newest(self, answers):
         record = LimitRecord()
         for rate, sent_at, took_s in answers:
             record.note(LimitFact(rate, sent_at, sent_at + took_s))
@@ -104,8 +106,8 @@
             assert record.rate <= newest[0]
 
 
-class TestHearing:
-    def test_what_cannot_be_read_is_logged_once_and_changes_nothing(self):
+class TestReceiving:
+    def test_an_invalid_limit_is_logged_once_and_ignored(self):
         limits = ReplicaLimits(lambda: 1.0)
         limits.hear("e1", LimitWord(1.4), 0.5)
         with logbook.TestHandler() as logs:
@@ -120,19 +122,19 @@
         assert limits.rate("e1") == 0.0
         assert limits.named() == ["e1"]
 
-    def test_replicas_without_a_limit_are_not_kept(self):
+    def test_replicas_without_a_limit_are_not_stored(self):
         limits = ReplicaLimits(lambda: 1.0)
         limits.hear("e1", LimitWord(), 0.5)
         assert limits.rate("e1") is None
         assert not limits.named()
 
-    def test_another_life_begins_without_a_limit(self):
+    def test_another_incarnation_starts_without_a_limit(self):
         limits = ReplicaLimits(lambda: 1.0)
         limits.hear("e1", LimitWord(1.4), 0.5)
         limits.forget("e1")
         assert limits.rate("e1") is None
 
-    def test_a_replica_that_is_gone_is_forgotten(self):
+    def test_a_removed_replica_is_forgotten(self):
         limits = ReplicaLimits(lambda: 1.0)
         limits.hear("e1", LimitWord(1.4), 0.5)
         limits.forget_gone({"e2"})
--- a/tests/test_replica_room.py
+++ b/tests/test_replica_room.py
@@ -1,4 +1,4 @@
-"""Who is let through to a replica with a limit, and how much of the limit each way uses."""
+"""Requests granted to a replica with a limit, and the use of the limit by each method."""
 
 import itertools
 import math
@@ -25,43 +25,43 @@
     return OVERAGE * WINDOW_S * rate + EXTRA
 
 
-class TestWays:
-    """Four times as much as a replica takes comes to 9, 40 and 370 instances."""
+class TestMethods:
+    """Four times the load that a replica accepts arrives at 9, 40 and 370 instances."""
 
     @pytest.mark.parametrize("instances", [9, 40, 370])
     @pytest.mark.parametrize("rate", [0.2, 1.4, 50.0])
-    def test_a_planner_that_is_asked_uses_the_limit_and_keeps_to_it(self, instances, rate):
+    def test_a_planner_per_request_uses_and_keeps_the_limit(self, instances, rate):
         found = asked(instances, rate, arrivals(instances, 4 * rate, 60.0, 1))
         assert found.most() <= most_allowed(rate)
         assert found.used(rate, 60.0) >= 0.75
 
     @pytest.mark.parametrize("instances", [9, 40, 370])
     @pytest.mark.parametrize("rate", [0.2, 1.4, 50.0])
-    def test_turns_of_their_own_keep_to_it_without_a_planner(self, instances, rate):
+    def test_local_send_slots_keep_the_limit_without_a_planner(self, instances, rate):
         for seed in range(3):
             found = turns(instances, rate, arrivals(instances, 20 * rate, 60.0, seed))
             assert found.most() <= most_allowed(rate)
 
-    def test_buckets_of_their_own_break_it_in_a_large_fleet(self):
+    def test_local_buckets_exceed_the_limit_in_a_large_fleet(self):
         load = arrivals(370, 5.6, 120.0, 1)
         assert parts(370, 1.4, load).most() > most_allowed(1.4)
 
-    def test_room_given_out_beforehand_lies_idle_in_a_large_fleet(self):
+    def test_capacity_granted_in_advance_is_unused_in_a_large_fleet(self):
         load = arrivals(370, 5.6, 120.0, 1)
         assert grants(370, 1.4, load).used(1.4, 120.0) < 0.1
 
 
-class TestLine:
+class TestQueue:
     def room(self, rate=1.0):
         return ReplicaRoom(rate, 0.0)
 
-    def test_there_is_no_room_at_first(self):
+    def test_initial_capacity_is_zero(self):
         room = self.room()
         assert not room.try_take(0.0)
         assert room.try_take(1.0)
         assert not room.try_take(1.0)
 
-    def test_those_with_most_to_lose_go_first(self):
+    def test_most_valuable_requests_go_first(self):
         room = self.room()
         assert not room.apply(Applicant("late", 9.0, rank=2), 0.0)
         assert not room.apply(Applicant("dear", 9.0, rank=1, value=3.0), 0.0)
@@ -70,48 +70,48 @@
         order = [room.rule(float(at))[0].applicant.ticket for at in range(1, 5)]
         assert order == ["begun", "dear", "cheap", "late"]
 
-    def test_who_cannot_be_in_time_is_refused_at_once(self):
+    def test_requests_that_would_be_late_are_refused_at_once(self):
         room = self.room()
         room.apply(Applicant(1, 1.2), 0.0)
         (refused,) = room.apply(Applicant(2, 1.2), 0.0)
         assert (refused.applicant.ticket, refused.granted) == (2, False)
         assert refused.retry_s == pytest.approx(2.0)
 
-    def test_who_is_pushed_back_beyond_its_time_is_refused_at_once(self):
+    def test_requests_displaced_beyond_their_time_are_refused_at_once(self):
         room = self.room()
         room.apply(Applicant("slow", 1.5, rank=2), 0.0)
         (refused,) = room.apply(Applicant("urgent", 1.5, rank=0), 0.0)
         assert refused.applicant.ticket == "slow"
 
-    def test_those_who_were_refused_are_told_to_come_one_after_the_other(self):
+    def test_retry_times_of_refused_requests_are_consecutive(self):
         room = self.room()
         told = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(3)]
         assert told == sorted(told)
         assert len(set(told)) == 3
 
-    def test_who_goes_elsewhere_makes_nobody_come_later(self):
+    def test_requests_that_did_not_wait_delay_no_retry(self):
         room = self.room()
         for at in range(5):
             room.apply(Applicant(at, 0.0), 0.0)
         assert room.apply(Applicant("last", 0.5), 0.0)[0].retry_s == pytest.approx(1.0)
 
-    def test_nobody_is_told_to_come_back_much_later(self):
+    def test_retry_times_are_bounded(self):
         room = self.room(0.0)
         told = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(9)]
         assert max(told) == LONGEST_RETRY_S
 
-    def test_a_limit_of_none_lets_one_through_now_and_then(self):
+    def test_a_limit_of_zero_permits_probes(self):
         room = self.room(0.0)
         assert not room.try_take(0.9 / LEAST_RATE)
         assert room.try_take(1.1 / LEAST_RATE)
 
-    def test_all_go_when_the_limit_ends(self):
+    def test_all_are_granted_when_the_limit_ends(self):
         room = self.room()
         room.apply(Applicant(1, 9.0), 0.0)
         assert [ruling.granted for ruling in room.release()] == [True]
         assert room.waiting == 0
 
-    def test_one_that_has_left_takes_no_room(self):
+    def test_a_cancelled_request_takes_no_capacity(self):
         room = self.room()
         room.apply(Applicant(1, 9.0), 0.0)
         room.apply(Applicant(2, 9.0), 0.0)
@@ -119,21 +119,21 @@
         assert [ruling.applicant.ticket for ruling in room.rule(1.0)] == [2]
 
 
-class TestOwnTurns:
-    def test_a_turn_passes_unless_it_is_used(self):
+class TestSendSlots:
+    def test_an_unused_slot_expires(self):
         own = OwnTurns(0.1, 0.0, 0.0)
         assert own.is_due(0.5)
         assert not own.is_due(2.0)
         assert own.take(10.5)
         assert not own.take(10.6)
 
-    def test_a_turn_that_is_kept_waits_for_its_use(self):
+    def test_a_kept_slot_does_not_expire(self):
         own = OwnTurns(0.1, 0.0, 0.0, keeps=True)
         assert own.take(7.0)
         assert not own.take(8.0)
         assert own.take(17.0)
 
-    def test_one_that_came_to_nothing_is_had_again(self):
+    def test_a_returned_slot_is_available_again(self):
         own = OwnTurns(0.01, 0.0, 0.0, keeps=True)
         assert own.take(1.0)
         own.give_back(3.0)
@@ -150,10 +150,10 @@
             taken += own.take(now)
         assert taken <= share * 400.0 + 2
 
-    def test_of_many_instances_no_more_than_the_limit_in_any_span_also_after_a_rest(self):
+    def test_many_instances_keep_the_limit_in_any_interval_after_idling(self):
         rng, rate = random.Random(2), 1.4
         own = [OwnTurns(OWN_PART * rate / 370, rng.random(), 0.0) for _ in range(370)]
-        # All of them want to send again and again after nobody did for long.
+        # All of them have many requests after a long idle time.
         sent = [
             at for at in (600 + step / 20 for step in range(400)) for one in own if one.take(at)
         ]
@@ -162,7 +162,7 @@
 
 
 class Room(RuleBasedStateMachine):
-    """Whatever is asked, the room that is granted keeps to the limits that were in force."""
+    """For any requests, the granted capacity stays within the limits that were in force."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of engines that are full, between owners and kinds of requests."""
+"""Fair shares of full engines between owners and kinds of requests."""
 
 import functools
 
@@ -35,8 +35,8 @@
 ).map(lambda found: [Claim(*claim, number=at) for at, claim in enumerate(found)])
 
 
-class Told:
-    """Weights as a configuration tells them."""
+class ConfiguredWeights:
+    """Weights as set in a configuration."""
 
     def __init__(self, **weights):
         self.weights = weights
@@ -54,19 +54,19 @@
 
 @functools.lru_cache
 def pooled(load, order=None, seed=1, flooded=True):
-    """Return a run of a load, or of the same one without its flood."""
+    """Return the simulation of a load, or of the same load without its flood."""
     if not flooded:
         load = Load(1.0, load.owner, load.kind, has_ranks=load.has_ranks)
     return Pool(load, order, seed).go()
 
 
-class TestUses:
+class TestDecayedUsage:
     def test_a_token_counts_half_after_the_half_life(self):
         uses = Uses()
         uses.note("a", 100.0, 1.0)
         assert uses.used("a", 1.0 + HALF_LIFE_S) == pytest.approx(50.0)
 
-    def test_what_was_not_used_is_taken_back(self):
+    def test_negative_use_is_subtracted(self):
         uses = Uses()
         uses.note("a", 100.0, 1.0)
         uses.note("a", -100.0, 1.0)
@@ -74,7 +74,7 @@
         uses.note("a", -5.0, 1.0)
         assert uses.used("a", 1.0) == 0.0
 
-    def test_who_used_least_is_forgotten(self):
+    def test_entries_of_least_use_are_removed(self):
         uses = Uses()
         for at in range(MAX_ENTRIES + 1):
             uses.note(f"a{at}", 1.0 + at, 0.0)
@@ -84,7 +84,7 @@
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.floats(-10, 1e6)), max_size=200))
     @settings(deadline=None)
-    def test_state_is_bounded_and_never_below_nothing(self, notes):
+    def test_state_is_bounded_and_never_negative(self, notes):
         uses = Uses()
         for at in range(MAX_ENTRIES - 20):
             uses.note(f"x{at}", 1.0, 0.0)
@@ -94,20 +94,20 @@
             assert uses.used(f"a{name}", at / 10) >= 0.0
 
 
-class TestParts:
-    def test_who_floods_is_over_its_part_and_the_others_are_not(self):
+class TestFairShares:
+    def test_only_a_flooding_owner_exceeds_its_share(self):
         parts = Parts({"a": 600.0, "b": 100.0, "c": 100.0, "d": 200.0}, {"b": 10.0}, EQUAL)
         assert [name for name in "abcd" if parts.is_over(name)] == ["a"]
 
-    def test_usual_differences_are_no_flood(self):
+    def test_normal_differences_do_not_exceed_shares(self):
         used = {"a": 200.0, "b": 200.0, "c": 150.0, "d": 150.0, "e": 100.0, "f": 100.0, "g": 100.0}
         parts = Parts(used, {}, EQUAL)
         assert not any(parts.is_over(name) for name in used)
 
-    def test_weights_of_the_configuration_decide(self):
+    def test_configured_weights_are_applied(self):
         used = {"a": 600.0, "b": 100.0, "c": 100.0, "d": 200.0}
-        assert not Parts(used, {"b": 10.0}, Told(a=10.0)).is_over("a")
-        assert Parts(used, {"b": 10.0}, Told(a=0.5)).is_over("a")
+        assert not Parts(used, {"b": 10.0}, ConfiguredWeights(a=10.0)).is_over("a")
+        assert Parts(used, {"b": 10.0}, ConfiguredWeights(a=0.5)).is_over("a")
 
     def test_after_a_start_all_are_equal(self):
         parts = Parts({}, {"a": 100.0, "b": 1.0}, EQUAL)
@@ -115,13 +115,13 @@
         assert not parts.is_over("b")
 
     @given(st.dictionaries(NAMES, AMOUNTS, min_size=1), st.dictionaries(NAMES, AMOUNTS))
-    def test_not_all_are_over(self, used, wanted):
+    def test_not_all_owners_exceed_their_shares(self, used, wanted):
         parts = Parts(used, wanted, EQUAL)
         assert not all(parts.is_over(name) for name in used.keys() | wanted.keys())
 
     @given(st.dictionaries(NAMES, AMOUNTS, min_size=1))
-    def test_parts_take_up_all_that_was_used(self, used):
-        # An idle share is lent: what the small leave is in the level of the others.
+    def test_shares_add_up_to_total_use(self, used):
+        # Unused shares are redistributed: the level of the others includes what small owners leave.
         parts = Parts(used, {}, EQUAL)
         taken = sum(min(1.5 * amount, parts.level) for amount in used.values())
         assert taken == pytest.approx(sum(used.values()))
@@ -129,27 +129,27 @@
 
 class TestOrders:
     @given(CLAIMS, st.dictionaries(NAMES, AMOUNTS))
-    def test_nobody_is_left_out(self, claims, used):
+    def test_orders_contain_all_requests(self, claims, used):
         board = shares_of(**used).board(claims, EQUAL, 0.0)
         for order in (ByBound(), VirtualCounterOrder()):
             arranged = order.arrange(claims, board)
             assert sorted(claim.number for claim in arranged) == list(range(len(claims)))
 
     @given(CLAIMS, st.dictionaries(NAMES, AMOUNTS))
-    def test_somebody_yields_to_nobody(self, claims, used):
+    def test_first_request_is_not_deprioritised(self, claims, used):
         board = shares_of(**used).board(claims, EQUAL, 0.0)
         yields = [board.yields(claim.party, claim.urgency) for claim in claims]
         assert not claims or not all(yields)
         first = ByBound().arrange(claims, board)[:1]
         assert not any(board.yields(claim.party, claim.urgency) for claim in first)
 
-    def test_who_is_over_goes_after_less_urgent_ones_of_others(self):
+    def test_overuse_goes_after_less_urgent_requests_of_others(self):
         claims = [Claim(Party("a"), 1.0, 0, 0.0, 0), Claim(Party("b"), 1.0, 2, 1.0, 1)]
         board = shares_of(a=900.0, b=10.0, c=10.0, d=10.0).board(claims, EQUAL, 0.0)
         assert [claim.number for claim in ByBound().arrange(claims, board)] == [1, 0]
         assert [claim.number for claim in VirtualCounterOrder().arrange(claims, board)] == [0, 1]
 
-    def test_counters_of_one_urgency_take_turns(self):
+    def test_counters_of_one_urgency_alternate(self):
         claims = [Claim(Party("a"), 10.0, 0, at / 10, at) for at in range(4)]
         claims += [Claim(Party("b"), 10.0, 0, 1.0 + at / 10, 4 + at) for at in range(4)]
         board = shares_of(a=1.0, b=1.0).board(claims, EQUAL, 0.0)
@@ -159,7 +159,7 @@
     @given(st.floats(1.0, 1e6), st.integers(0, 9))
     @settings(deadline=None, max_examples=30)
     def test_a_large_request_is_not_starved(self, cost, urgency):
-        """One slot, an owner that floods, and one large request of another that used much."""
+        """One slot, an owner that floods, and one large request of another owner with high use."""
         shares = shares_of(a=1e5, b=2e5, c=10.0)
         large = Claim(Party("b"), cost, urgency, 0.0, 0)
         number, now, line = 1, 0.0, [large]
@@ -175,17 +175,17 @@
         assert large not in line
 
 
-class TestTurns:
-    def test_those_are_told_that_will_not_have_their_turn_in_time(self):
+class TestSendRates:
+    def test_requests_too_late_for_the_send_rate_are_returned(self):
         assert out_of_turn([1.0, 1.0, 1.0, 1.0], 2.0) == [2, 3]
         assert out_of_turn([0.2, 2.0], 1.0) == []
         assert out_of_turn([3.0, 0.5, 2.0], 1.0) == [1]
 
     @given(st.lists(st.floats(-1.0, 10.0), min_size=1), st.floats(0.0, 100.0))
-    def test_the_first_always_may_wait(self, left_s, rate):
+    def test_the_first_request_is_never_too_late(self, left_s, rate):
         assert 0 not in out_of_turn(left_s, rate)
 
-    def test_room_is_used_when_it_is_told_late(self):
+    def test_requests_are_sent_early_by_the_state_age(self):
         assert ahead_s(0.5, 0.1, 0.2, True) == 0.1
         assert ahead_s(0.05, 0.1, 0.2, True) == pytest.approx(0.3)
         assert ahead_s(0.5, 0.1, 0.2, False) == pytest.approx(0.3)
@@ -193,18 +193,18 @@
 
 ORGANISATION = Load()
 KIND = Load(2.5, kind=1, has_ranks=False)
-"""Kinds of the same urgency."""
+"""A load whose kinds have the same urgency."""
 GROWTH = 1.2
 LOST = 0.03
 SEEDS = (1, 2, 3)
 
 
-class TestOneLine:
-    """Requests that any of 360 slots can run; wait is the time until the first event."""
+class TestSingleQueue:
+    """Requests that any of 360 slots can run; the wait is the time until the first event."""
 
     @pytest.mark.parametrize("seed", SEEDS)
     @pytest.mark.parametrize("load", [ORGANISATION, KIND], ids=["organisation", "kind"])
-    def test_others_wait_hardly_longer_and_all_slots_are_used(self, load, seed):
+    def test_others_wait_little_longer_and_all_slots_are_used(self, load, seed):
         usual = pooled(load, ByBound(), seed, False)
         unfair, fair = pooled(load, None, seed), pooled(load, ByBound(), seed)
         assert fair.others_p99() < GROWTH * usual.others_p99()
@@ -213,13 +213,13 @@
         assert not fair.was_idle
 
     @pytest.mark.parametrize("token_weight", [1.0, 50.0])
-    def test_what_a_token_made_counts_does_not_matter(self, token_weight):
+    def test_weight_of_generated_tokens_does_not_matter(self, token_weight):
         load = Load(token_weight=token_weight)
         usual, fair = pooled(load, ByBound(), 1, False), pooled(load, ByBound())
         assert fair.others_p99() < GROWTH * usual.others_p99()
 
     def test_counters_under_urgency_do_not_protect_the_less_urgent(self):
-        """The way that was not kept: urgent requests of who floods go before all others."""
+        """Urgent requests of the flooding owner precede all less urgent ones."""
         assert pooled(ORGANISATION, VirtualCounterOrder()).others_p99() > 2.0
 
     def test_without_a_flood_nothing_changes(self):
@@ -229,7 +229,7 @@
         )
 
     @pytest.mark.parametrize("load", [Load(lost_at=25.0), Load(cut_from=23.0)], ids=["lost", "cut"])
-    def test_a_successor_without_counters_and_gateways_that_are_cut(self, load):
+    def test_planner_loss_and_unreachable_gateways(self, load):
         usual, fair = pooled(load, ByBound(), 1, False), pooled(load, ByBound())
         assert fair.others_p99() < GROWTH * usual.others_p99()
 
@@ -240,13 +240,13 @@
 
 
 class TestEngines:
-    """The same on engines that hold a few adapters each, with news that are 0.12 s old.
+    """The same on engines that hold a few adapters each, with engine state that is 0.12 s old.
 
-    There a request waits for the holders of its adapter alone, and for loads: the others' wait
-    grows by more than on one line, and stays within what callers need.
+    A request waits only for the holders of its adapter, and for loads. The wait of others grows
+    more than with a single queue, and stays within the time that callers wait.
     """
 
-    def test_others_are_in_time_though_one_floods(self):
+    def test_others_are_in_time_during_a_flood(self):
         fair, unfair = engines(Flood(), True), engines(Flood(), False)
         assert fair.in_time() > 0.95
         assert unfair.in_time() < 0.75
@@ -256,5 +256,5 @@
     @pytest.mark.parametrize(
         "flood", [Flood(lost_at=8.0), Flood(cut=(7.0, 10.0))], ids=["lost", "cut"]
     )
-    def test_a_successor_without_counters_and_gateways_that_are_cut(self, flood):
+    def test_planner_loss_and_unreachable_gateways(self, flood):
         assert engines(flood, True).in_time() > 0.93
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Many gateways' findings of replicas that fail, lie, flap, or are wrongly suspected."""
+"""Detection of replicas that fail, flap, or are wrongly suspected, from many gateways' reports."""
 
 import random
 from collections import Counter
@@ -22,7 +22,7 @@
 
 
 class Own:
-    """Each gateway learns by itself, as without shared health."""
+    """Each gateway uses only its own outcomes, as without shared health."""
 
     def __init__(self):
         self.records = {}
@@ -50,7 +50,9 @@
 
 
 class PooledRate(Own):
-    """All gateways' outcomes in one rate; beyond 0.3 of five and more the replica is left alone."""
+    """One failure rate over all gateways; above 0.3 of at least five outcomes, it ejects the
+    replica.
+    """
 
     def __init__(self):
         super().__init__()
@@ -77,7 +79,7 @@
 
 
 class Pooled(Own):
-    """The pool as gateways and planner use it, on top of a gateway's own records."""
+    """The detector as gateways and planner use it, in addition to a gateway's own records."""
 
     def __init__(self):
         super().__init__()
@@ -132,8 +134,8 @@
         return {(change.replica, change.hall) for _, change in self.changes if change.ejected}
 
 
-class Doubted(Pooled):
-    """Gateways tell of doubted replicas alone, and hear a message later what others doubt."""
+class SuspectsOnly(Pooled):
+    """Gateways report suspected replicas only, and learn of others' suspects one message later."""
 
     def __init__(self):
         super().__init__()
@@ -169,16 +171,18 @@
                         self.doubts[source].doubt(finding.replica, now)
 
 
-@pytest.fixture(params=[Pooled, Doubted])
+@pytest.fixture(params=[Pooled, SuspectsOnly])
 def make(request):
-    """Both ways of telling: of all replicas, as of those without engines, and of doubted ones."""
+    """Both ways of reporting: all replicas, as for those without engines, and suspected ones
+    only.
+    """
     return request.param
 
 
 def play(way, fails, until=12.0, per_s=140.0, seed=1):
-    """Return failed requests by replica, and those sent there, by second.
+    """Return failed requests by replica, and sent requests by replica and second.
 
-    `fails(rng, source, replica, now)` tells whether a request fails.
+    `fails(rng, source, replica, now)` returns whether a request fails.
     """
     rng = random.Random(seed)
     sent, failed = Counter(), Counter()
@@ -198,18 +202,18 @@
 
 
 def grey(rng, source, replica, now):
-    """Fail 45% at one replica from the second second on, and 2% everywhere."""
+    """Return whether a request fails: 45% at one replica from the third second on, 2% elsewhere."""
     return rng.random() < (0.45 if replica == "e3" and now > 2.0 else 0.02)
 
 
 class TestPooledVerdicts:
-    def test_a_replica_that_fails_nearly_half_is_left_alone_soon(self):
-        """With 45 of 100 failing, 85 gateways that learn alone go on sending."""
+    def test_a_replica_that_fails_nearly_half_is_ejected_soon(self):
+        """At a failure rate of 45%, 85 gateways that learn individually keep sending requests."""
         counts = {}
-        for make in (Own, PooledRate, Pooled, Doubted):
+        for make in (Own, PooledRate, Pooled, SuspectsOnly):
             seen = [play(make(), grey, seed=seed) for seed in range(5)]
             counts[make] = sum(failed["e3"] for failed, _ in seen) / len(seen)
-        for pooled in (Pooled, Doubted):
+        for pooled in (Pooled, SuspectsOnly):
             assert counts[pooled] < 0.4 * counts[Own]
             assert counts[pooled] < 25
 
@@ -222,13 +226,13 @@
         assert sum(sent["e3", second] for second in range(6, 12)) < 0.3 * 6 * 14
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_what_fails_three_in_a_hundred_is_not_ejected(self, seed, make):
+    def test_a_failure_rate_of_three_percent_ejects_nothing(self, seed, make):
         way = make()
         play(way, lambda rng, *_: rng.random() < 0.03, until=30.0, seed=seed)
         assert not way.ejected()
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_one_bad_gateway_ejects_nothing(self, seed, make):
+    def test_one_faulty_gateway_ejects_nothing(self, seed, make):
         def fails(rng, source, replica, now):
             return source.name == "g7" or rng.random() < 0.02
 
@@ -237,7 +241,7 @@
         assert not way.ejected()
 
     @pytest.mark.parametrize("others_bad", [0, 1])
-    def test_a_bad_gateway_and_chance_at_two_others_eject_nothing(self, others_bad):
+    def test_a_faulty_gateway_and_chance_failures_at_two_others_eject_nothing(self, others_bad):
         pool = VerdictPool()
         sources = [Source(f"g{number}", "a") for number in range(3)]
         changes = []
@@ -263,7 +267,7 @@
         assert not changes
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_hall_that_cannot_reach_a_replica_ejects_it_for_itself_alone(self, seed, make):
+    def test_a_hall_that_cannot_reach_a_replica_ejects_it_only_for_itself(self, seed, make):
         def fails(rng, source, replica, now):
             return source.hall == "b" and replica == "e4" or rng.random() < 0.02
 
@@ -271,7 +275,7 @@
         play(way, fails, until=15.0, seed=seed)
         assert way.ejected() == {("e4", "b")}
 
-    def test_resets_at_one_moment_are_no_evidence(self):
+    def test_simultaneous_resets_are_no_evidence(self):
         pool = VerdictPool()
         for source in SOURCES:
             pool.note("e0", source, Ended(0, 1), 1.0 + 0.2 * random.Random(source.name).random())
@@ -280,14 +284,14 @@
 
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("part", [0.45, 0.9])
-    def test_where_all_fail_nobody_is_ejected(self, part, seed, make):
+    def test_nothing_is_ejected_if_all_replicas_fail(self, part, seed, make):
         way = make()
         play(way, lambda rng, *_: rng.random() < part, until=30.0, seed=seed)
         assert not way.ejected()
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_a_wave_of_requests_that_fail_wherever_they_are_sent_ejects_nobody(self, seed, make):
-        """Of three plain replicas one had 8 of 11 requests failed while all failed a third."""
+    def test_a_wave_of_requests_that_fail_everywhere_ejects_nothing(self, seed, make):
+        """One of three replicas had 8 of 11 requests failed while a third failed at all of them."""
 
         def fails(rng, source, replica, now):
             return rng.random() < (0.4 if 8.0 < now < 14.0 else 0.05)
@@ -296,7 +300,7 @@
         play(way, fails, until=20.0, seed=seed)
         assert not way.ejected()
 
-    def test_a_replica_that_is_well_again_comes_back_by_steps(self, make):
+    def test_a_recovered_replica_returns_in_steps(self, make):
         def fails(rng, source, replica, now):
             return replica == "e3" and 2.0 < now < 6.0 and rng.random() < 0.45
 
@@ -310,7 +314,7 @@
         assert returned[-1] < 15.0
         assert sum(sent["e3", second] for second in range(20, 25)) > 0.7 * 5 * 14
 
-    def test_one_that_flaps_is_left_alone_for_longer_each_time(self, make):
+    def test_a_flapping_replica_is_ejected_longer_each_time(self, make):
         def fails(rng, source, replica, now):
             return replica == "e3" and int(now / 6.0) % 2 == 0
 
@@ -320,7 +324,7 @@
         assert len(strikes) >= 3
         assert strikes == sorted(strikes)
 
-    def test_each_ejection_lasts_longer_until_long_after(self):
+    def test_ejections_lengthen_and_old_ones_expire(self):
         standing, evidence = ReplicaEjection(), FailureEvidence(3, 0.0, 0, 6)
         rests = []
         for at in (0.0, 20.0, 40.0, 400.0):
@@ -334,7 +338,7 @@
         assert rests[0] * 1.3 < rests[1] < rests[2] <= MAX_OPEN_S
         assert rests[3] < 1.1 * MIN_OPEN_S
 
-    def test_a_replica_that_nobody_probes_comes_back(self):
+    def test_a_replica_without_probes_returns(self):
         pool = VerdictPool()
         now = 0.0
         for step in range(20):
@@ -360,7 +364,7 @@
         ),
         st.integers(1, 10),
     )
-    def test_whatever_is_told_half_of_a_service_stays_usable(self, told, size):
+    def test_half_of_a_service_stays_usable_for_any_reports(self, told, size):
         pool = VerdictPool()
         members = {"llm": REPLICAS[:size]}
         now = 0.0
@@ -375,15 +379,15 @@
             assert all(0.0 <= finding.failing <= 1.0 for finding in findings)
 
 
-class TestDoubts:
-    """Of 10,000 requests a second nearly all are answered, which is of use to nobody."""
+class TestSuspects:
+    """Nearly all of 10,000 requests per second succeed, which need not be reported."""
 
-    def test_what_ends_well_is_not_told(self):
-        way = Doubted()
+    def test_successes_are_not_reported(self):
+        way = SuspectsOnly()
         play(way, lambda *_: False)
         assert way.entries == 0
 
-    def test_answers_are_told_with_the_failures_beside_them(self):
+    def test_successes_are_reported_together_with_failures(self):
         doubts = Doubts()
         assert doubts.decide("e0", 1.0) is Telling.KEEP
         assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S - 0.1) is Telling.KEEP
@@ -391,19 +395,19 @@
         assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S) is Telling.TELL
         assert doubts.decide("e1", 1.0 + OUTCOME_HOLD_S) is Telling.KEEP
 
-    def test_old_answers_are_dropped_and_newer_ones_kept(self):
+    def test_old_successes_are_dropped_and_newer_ones_kept(self):
         doubts = Doubts()
         told = [doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)]
         assert told == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
 
-    def test_a_replica_is_told_of_until_its_last_failure_no_longer_counts(self):
+    def test_a_replica_is_reported_until_its_last_failure_expires(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         doubts.doubt("e0", 5.0)
         assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S - 0.1) is Telling.TELL
         assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S) is Telling.KEEP
 
-    def test_another_planner_is_told_nothing_of_what_was_doubted_before(self):
+    def test_a_new_planner_receives_no_earlier_suspects(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         assert doubts.decide("e1", 0.0) is Telling.KEEP
@@ -412,8 +416,8 @@
         assert doubts.decide("e1", OUTCOME_HOLD_S) is Telling.KEEP
 
     @pytest.mark.parametrize("is_used", [True, False])
-    def test_replicas_that_nobody_doubts_say_what_is_usual(self, is_used):
-        """Of six of twenty that fail, all that is told of the others is nothing."""
+    def test_unsuspected_replicas_set_the_usual_failure_rate(self, is_used):
+        """Six of twenty replicas fail; no outcomes of the others are reported."""
         pool = VerdictPool(lambda replica: is_used)
         replicas = [f"e{number}" for number in range(20)]
         rng, changes = random.Random(4), []
@@ -427,8 +431,8 @@
         ejected = {change.replica for change in changes if change.ejected}
         assert ejected == (set(replicas[:6]) if is_used else set())
 
-    def test_failures_that_are_told_before_answers_are_not_judged_alone(self):
-        """One source is at fault; four others had a failure each, and many more answers untold."""
+    def test_failures_reported_before_successes_are_not_judged_alone(self):
+        """One source is faulty; four others had one failure each and many unreported successes."""
         pool, changes = VerdictPool(lambda replica: True), []
         sources = [Source(f"g{number}", "a") for number in range(40)]
         for step in range(10):
@@ -443,7 +447,7 @@
             changes += pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert not changes
 
-    def test_a_gateway_without_doubts_may_be_the_prober(self):
+    def test_a_gateway_without_suspects_may_be_the_prober(self):
         pool = VerdictPool(lambda replica: True)
         for step in range(20):
             now = step * NEWS_S
@@ -461,6 +465,6 @@
     return found["e0"]
 
 
-def test_a_rate_from_few_outcomes_is_cautious():
+def test_a_rate_from_few_outcomes_is_biased_to_zero():
     assert failure_rate(0, 1) == 0.2
     assert failure_rate(60, 40) > 0.38
