--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -188,7 +188,7 @@
         self._reserved = [0.0] * MAX_KINDS
         """Tokens of refused requests whose retry time has not come yet, by number of kind."""
 
-    def enter(
+    def register(
         self, amount: float, caller: Caller, rate: float, capacity: float, now: float
     ) -> QuotaClaim:
         """Register a request and return what it needs.
@@ -225,7 +225,7 @@
         self._grant_rates.note(claim.kind, 1.0, now)
         self._refusals.forget(self._organisation, caller)
 
-    def refuse(
+    def schedule_retry(
         self, claim: QuotaClaim, caller: Caller, rate: float, level: float, now: float
     ) -> float:
         """Return the time until a refused request should be retried, in seconds.
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -181,14 +181,14 @@
             return self._ask_first_come(instance, amount, now)
         bucket = self.bucket
         bucket.settle(now)
-        claim = self._arbiter.enter(amount, caller, bucket.refill_rate, bucket.capacity, now)
+        claim = self._arbiter.register(amount, caller, bucket.refill_rate, bucket.capacity, now)
         level = bucket.level
         if bucket.try_take(amount, now, claim.needed):
             self._usage.note(instance, now, amount)
             self._arbiter.record_grant(claim, caller, now)
             return QuotaDecision(True, 0.0, 0.0, level, claim.needed, claim.standing)
         rate = max(bucket.refill_rate, EVEN_SHARE_FRACTION * bucket.terms.rate)
-        retry_s = self._arbiter.refuse(claim, caller, rate, level, now)
+        retry_s = self._arbiter.schedule_retry(claim, caller, rate, level, now)
         return QuotaDecision(False, retry_s, 0.0, level, claim.needed, claim.standing)
 
     def _ask_first_come(self, instance: str, amount: float, now: float) -> QuotaDecision:
--- a/tests/share_pool.py
+++ b/tests/share_pool.py
@@ -74,7 +74,7 @@
         self.weights = weights or EqualWeights()
         self.rng = random.Random(seed)
         self.shares, self.turns = Shares(), Turns()
-        self.line, self.items = [], []
+        self.queue, self.items = [], []
         self.ends = []
         self.tokens = self.refused = 0
         self.was_idle = False
@@ -110,28 +110,28 @@
         prompt = int(prompt * self.rng.lognormvariate(-0.18, 0.6)) + 1
         answer = int(answer * self.rng.lognormvariate(-0.12, 0.5)) + 4
         item = Item(now, owner, kind, prompt, answer, tries, number=next(self.numbers))
-        self.line.append(item)
+        self.queue.append(item)
         self.items.append(item)
         return item
 
     def _serve(self, now):
-        for item in [item for item in self.line if now - item.at > PATIENCE_S]:
+        for item in [item for item in self.queue if now - item.at > PATIENCE_S]:
             self._give_up(item, now)
         if self.order is not None:
             self._arrange(now)
         else:
-            self.line.sort(key=lambda item: (self.load.urgency(item), item.at))
-        while self.line and len(self.ends) < SLOTS:
-            self._send(self.line.pop(0), now)
-        self.was_idle |= bool(self.line) and len(self.ends) < SLOTS
+            self.queue.sort(key=lambda item: (self.load.urgency(item), item.at))
+        while self.queue and len(self.ends) < SLOTS:
+            self._send(self.queue.pop(0), now)
+        self.was_idle |= bool(self.queue) and len(self.ends) < SLOTS
 
     def _arrange(self, now):
-        claims = [self._claim(item, at) for at, item in enumerate(self.line)]
+        claims = [self._claim(item, at) for at, item in enumerate(self.queue)]
         board = self.shares.board(claims, self.weights, now)
-        self.line = [self.line[claim.number] for claim in self.order.arrange(claims, board)]
+        self.queue = [self.queue[claim.number] for claim in self.order.arrange(claims, board)]
         lines = {}
         free = SLOTS - len(self.ends)
-        for item in self.line[max(0, free) :]:
+        for item in self.queue[max(0, free) :]:
             if board.yields(_party(item), self.load.urgency(item)):
                 lines.setdefault(_party(item), []).append(item)
         for party, items in lines.items():
@@ -155,7 +155,7 @@
             self.turns.note(_party(item), 1, now)
 
     def _give_up(self, item, now):
-        self.line.remove(item)
+        self.queue.remove(item)
         self.refused += 1
         if item.number % 3 == 0 and item.tries < TRIES:
             self._item(now, item.owner, item.kind, item.tries + 1)
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -99,145 +99,148 @@
         # A quarter of the requests: the part left by plain requests and minimum grants.
         assert result.part(urgent, UNTIL) > 0.5
         for kind in KINDS[1:3]:
-            found = [req for req in late if req.kind is kind]
-            assert 0.2 * mean < result.part(found, UNTIL) < 0.3 * mean
+            arbiter = [req for req in late if req.kind is kind]
+            assert 0.2 * mean < result.part(arbiter, UNTIL) < 0.3 * mean
 
 
 CALLERS = [Caller(rank, value=1.0 - 0.3 * rank) for rank in range(3)]
 
 
-def contest(urgent_per_s=0.0, others_per_s=20_000.0, until=5.0):
+def loaded_arbiter(urgent_per_s=0.0, others_per_s=20_000.0, until=5.0):
     """Return an arbiter after some seconds of a load."""
-    found = QuotaArbiter()
+    arbiter = QuotaArbiter()
     for step in range(1, int(until * 10) + 1):
         for rank, load in ((0, urgent_per_s), (1, others_per_s)):
             if load:
-                found.enter(load / 10, CALLERS[rank], RATE, CAPACITY, step / 10)
-    return found
+                arbiter.register(load / 10, CALLERS[rank], RATE, CAPACITY, step / 10)
+    return arbiter
 
 
 class TestQuotaArbiter:
     def test_below_the_quota_a_request_needs_its_own_size(self):
-        claim = contest(1_000.0, 5_000.0).enter(400.0, CALLERS[1], RATE, CAPACITY, 5.0)
+        claim = loaded_arbiter(1_000.0, 5_000.0).register(400.0, CALLERS[1], RATE, CAPACITY, 5.0)
         assert not claim.contended
         assert claim.needed == 400.0
 
     def test_others_leave_what_the_urgent_request_in_the_window(self):
-        found = contest(4_000.0, 20_000.0)
-        urgent = found.enter(400.0, CALLERS[0], RATE, 10 * CAPACITY, 5.0)
-        other = found.enter(400.0, CALLERS[1], RATE, 10 * CAPACITY, 5.0)
+        arbiter = loaded_arbiter(4_000.0, 20_000.0)
+        urgent = arbiter.register(400.0, CALLERS[0], RATE, 10 * CAPACITY, 5.0)
+        other = arbiter.register(400.0, CALLERS[1], RATE, 10 * CAPACITY, 5.0)
         clump = RESERVE_LARGEST_REQUESTS * 0.4 * 2_000.0
         kept = other.needed - urgent.needed
         assert kept == pytest.approx(RESERVE_WINDOW_S * 4_000.0 + clump, rel=0.2)
 
     def test_the_reserve_ends_with_the_urgent_requests(self):
-        found = contest(8_000.0, 20_000.0)
+        arbiter = loaded_arbiter(8_000.0, 20_000.0)
         for step in range(1, 61):
-            other = found.enter(2_000.0, CALLERS[1], RATE, CAPACITY, 5.0 + step / 10)
-        urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 11.0)
+            other = arbiter.register(2_000.0, CALLERS[1], RATE, CAPACITY, 5.0 + step / 10)
+        urgent = arbiter.register(400.0, CALLERS[0], RATE, CAPACITY, 11.0)
         assert other.needed - urgent.needed <= 0.02 * (
             RESERVE_WINDOW_S * 8_000.0 + RESERVE_LARGEST_REQUESTS * 2_000.0
         )
 
     def test_all_sizes_need_the_same_level(self):
-        found = contest()
+        arbiter = loaded_arbiter()
         needed = {
-            found.enter(size, CALLERS[1], RATE, CAPACITY, 5.0).needed for size in (300.0, 2_000.0)
+            arbiter.register(size, CALLERS[1], RATE, CAPACITY, 5.0).needed
+            for size in (300.0, 2_000.0)
         }
         assert len(needed) == 1
 
     def test_an_underserved_kind_leaves_nothing(self):
-        found = contest(12_000.0, 4_000.0)
+        arbiter = loaded_arbiter(12_000.0, 4_000.0)
         for step in range(100):
             at = 5.0 + step / 100
-            claim = found.enter(600.0, CALLERS[0], RATE, CAPACITY, at)
-            found.record_grant(claim, CALLERS[0], at)
-        other = found.enter(400.0, CALLERS[1], RATE, CAPACITY, 6.0)
-        urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 6.0)
+            claim = arbiter.register(600.0, CALLERS[0], RATE, CAPACITY, at)
+            arbiter.record_grant(claim, CALLERS[0], at)
+        other = arbiter.register(400.0, CALLERS[1], RATE, CAPACITY, 6.0)
+        urgent = arbiter.register(400.0, CALLERS[0], RATE, CAPACITY, 6.0)
         assert other.needed == urgent.needed
 
     def test_kinds_of_other_services_are_ordered_by_token_value(self):
-        found = contest(8_000.0, 20_000.0)
+        arbiter = loaded_arbiter(8_000.0, 20_000.0)
         plain = Caller(7, 1.0, "desk", 0.5)
         for step in range(20):
-            cheap = found.enter(20.0, plain, RATE, CAPACITY, 5.0 + step / 100)
-        urgent = found.enter(400.0, CALLERS[0], RATE, CAPACITY, 5.2)
-        other = found.enter(400.0, CALLERS[1], RATE, CAPACITY, 5.2)
+            cheap = arbiter.register(20.0, plain, RATE, CAPACITY, 5.0 + step / 100)
+        urgent = arbiter.register(400.0, CALLERS[0], RATE, CAPACITY, 5.2)
+        other = arbiter.register(400.0, CALLERS[1], RATE, CAPACITY, 5.2)
         assert cheap.needed < urgent.needed < other.needed
 
     def test_within_a_service_urgency_precedes_value(self):
-        found = QuotaArbiter()
+        arbiter = QuotaArbiter()
         for step in range(100):
             for rank, value in ((0, 0.1), (1, 9.0)):
                 caller = Caller(rank, value=value)
-                claim = found.enter(500.0, caller, RATE, CAPACITY, step / 20)
+                claim = arbiter.register(500.0, caller, RATE, CAPACITY, step / 20)
                 if not rank:
                     urgent = claim
         assert urgent.needed < claim.needed
 
     def test_no_tokens_are_reserved_for_callers_that_cannot_wait(self):
-        found = contest(0.0, 40_000.0)
+        arbiter = loaded_arbiter(0.0, 40_000.0)
         caller = Caller(1, 3.0)
-        claim = found.enter(500.0, caller, RATE, CAPACITY, 5.0)
-        told = [found.refuse(claim, Caller(1, 0.1), RATE, 0.0, 5.0) for _ in range(3)]
-        assert told[0] == told[1] == told[2] > 0.1
+        claim = arbiter.register(500.0, caller, RATE, CAPACITY, 5.0)
+        results = [arbiter.schedule_retry(claim, Caller(1, 0.1), RATE, 0.0, 5.0) for _ in range(3)]
+        assert results[0] == results[1] == results[2] > 0.1
 
     def test_retry_times_follow_those_of_earlier_refusals(self):
-        found = contest(0.0, 40_000.0)
-        claim = found.enter(500.0, Caller(1, 60.0), RATE, CAPACITY, 5.0)
-        told = [found.refuse(claim, Caller(1, 60.0), RATE, 0.0, 5.0) for _ in range(3)]
-        assert told[0] < told[1] < told[2]
+        arbiter = loaded_arbiter(0.0, 40_000.0)
+        claim = arbiter.register(500.0, Caller(1, 60.0), RATE, CAPACITY, 5.0)
+        results = [arbiter.schedule_retry(claim, Caller(1, 60.0), RATE, 0.0, 5.0) for _ in range(3)]
+        assert results[0] < results[1] < results[2]
 
     def test_due_retries_precede_first_tries(self):
-        found = contest(0.0, 40_000.0)
+        arbiter = loaded_arbiter(0.0, 40_000.0)
         first = Caller(1, 60.0, mark=7)
-        claim = found.enter(500.0, first, RATE, CAPACITY, 5.0)
-        told_s = found.refuse(claim, first, RATE, 0.0, 5.0)
-        early = found.enter(500.0, Caller(1, 59.9, mark=7), RATE, CAPACITY, 5.1)
+        claim = arbiter.register(500.0, first, RATE, CAPACITY, 5.0)
+        retry_s = arbiter.schedule_retry(claim, first, RATE, 0.0, 5.0)
+        early = arbiter.register(500.0, Caller(1, 59.9, mark=7), RATE, CAPACITY, 5.1)
         assert early.standing is RetryState.EARLY
-        at = 5.0 + told_s * 1.1
+        at = 5.0 + retry_s * 1.1
         for _ in range(20):
             again = Caller(1, 65.0 - at, mark=7)
-            back = found.enter(500.0, again, RATE, CAPACITY, at)
-        anew = found.enter(500.0, Caller(1, 60.0, mark=8), RATE, CAPACITY, at)
+            back = arbiter.register(500.0, again, RATE, CAPACITY, at)
+        anew = arbiter.register(500.0, Caller(1, 60.0, mark=8), RATE, CAPACITY, at)
         assert back.standing is RetryState.BACK
         assert anew.standing is RetryState.FIRST
         assert back.needed < anew.needed < early.needed + 1.0
 
     def test_another_caller_with_the_same_request_is_new(self):
-        found = contest(0.0, 40_000.0)
+        arbiter = loaded_arbiter(0.0, 40_000.0)
         first = Caller(1, 60.0, mark=7)
-        found.refuse(found.enter(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0)
-        other = found.enter(500.0, Caller(1, 60.0, mark=7), RATE, CAPACITY, 5.5)
+        arbiter.schedule_retry(
+            arbiter.register(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0
+        )
+        other = arbiter.register(500.0, Caller(1, 60.0, mark=7), RATE, CAPACITY, 5.5)
         assert other.standing is RetryState.FIRST
 
     def test_an_early_retry_receives_the_remaining_time(self):
-        found = contest(0.0, 40_000.0)
+        arbiter = loaded_arbiter(0.0, 40_000.0)
         caller = Caller(1, 60.0, mark=7)
-        claim = found.enter(500.0, caller, RATE, CAPACITY, 5.0)
-        told_s = found.refuse(claim, caller, RATE, 0.0, 5.0)
+        claim = arbiter.register(500.0, caller, RATE, CAPACITY, 5.0)
+        retry_s = arbiter.schedule_retry(claim, caller, RATE, 0.0, 5.0)
         again = Caller(1, 59.95, mark=7)
-        claim = found.enter(500.0, again, RATE, CAPACITY, 5.05)
-        told = [found.refuse(claim, again, RATE, 0.0, 5.05) for _ in range(3)]
-        assert told == pytest.approx([told_s - 0.05] * 3)
-        assert told[0] >= MIN_EARLY_RETRY_S
+        claim = arbiter.register(500.0, again, RATE, CAPACITY, 5.05)
+        results = [arbiter.schedule_retry(claim, again, RATE, 0.0, 5.05) for _ in range(3)]
+        assert results == pytest.approx([retry_s - 0.05] * 3)
+        assert results[0] >= MIN_EARLY_RETRY_S
 
     def test_state_is_bounded(self):
         refusals = Refusals()
-        found = QuotaArbiter("o", refusals)
+        arbiter = QuotaArbiter("o", refusals)
         for step in range(20_000):
             caller = Caller(step % 40, 8.0, f"s{step % 7}", 1.0, step + 1)
-            claim = found.enter(5_000.0, caller, RATE, CAPACITY, step / 50)
-            found.refuse(claim, caller, RATE, 0.0, step / 50)
+            claim = arbiter.register(5_000.0, caller, RATE, CAPACITY, step / 50)
+            arbiter.schedule_retry(claim, caller, RATE, 0.0, step / 50)
         assert len(refusals) <= MAX_REFUSALS
-        assert len(found._kind_numbers) <= MAX_KINDS
+        assert len(arbiter._kind_numbers) <= MAX_KINDS
 
     def test_idle_kinds_are_replaced(self):
-        found = QuotaArbiter()
+        arbiter = QuotaArbiter()
         for number in range(40):
             caller = Caller(0, 8.0, f"s{number}")
-            found.enter(100.0, caller, RATE, CAPACITY, 200.0 * number)
-        assert ("s39", 0) in found._kind_numbers
+            arbiter.register(100.0, caller, RATE, CAPACITY, 200.0 * number)
+        assert ("s39", 0) in arbiter._kind_numbers
 
 
 class TestSwitchedOff:
@@ -246,8 +249,8 @@
         home = QuotaHome(0.0, urgent_first=False)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", terms, 900.0, 5.0, Caller(7)).granted
-        told = [home.ask("g", "o", terms, 500.0, 5.0, Caller(0, 0.0)) for _ in range(3)]
-        assert [verdict.retry_s for verdict in told] == pytest.approx([0.4, 0.9, 1.4])
+        results = [home.ask("g", "o", terms, 500.0, 5.0, Caller(0, 0.0)) for _ in range(3)]
+        assert [verdict.retry_s for verdict in results] == pytest.approx([0.4, 0.9, 1.4])
 
 
 class Follower:
@@ -264,29 +267,29 @@
     organisations = Organisations([(Organisation("o", None, Quota(1_000.0, 4_000.0)), ["k"])])
     state = FleetState()
     state.snapshot = Snapshot(1, (), {}, ServerLimits(), organisations)
-    found = QuotaDesk(QuotaHome(0.0, urgent_first=urgent_first), state, lambda: True)
+    arbiter = QuotaDesk(QuotaHome(0.0, urgent_first=urgent_first), state, lambda: True)
     follower = Follower()
-    found.take(follower, pb.FromGateway(instance="g"), 0.0)
-    return found, follower
+    arbiter.take(follower, pb.FromGateway(instance="g"), 0.0)
+    return arbiter, follower
 
 
-def ask(found, follower, now, tokens=100, **fields):
+def ask(arbiter, follower, now, tokens=100, **fields):
     asked = pb.QuotaAsk(ticket=1, organisation="o", tokens=tokens, **fields)
-    found.take(follower, pb.FromGateway(quota_asks=[asked]), now)
+    arbiter.take(follower, pb.FromGateway(quota_asks=[asked]), now)
     return follower.answers[-1]
 
 
 class TestQuotaDesk:
     @pytest.mark.parametrize("urgent_first", [True, False])
     def test_the_rest_of_a_quota_is_reserved_for_the_urgent(self, urgent_first):
-        found, follower = desk(urgent_first)
+        arbiter, follower = desk(urgent_first)
         rng = random.Random(2)
         asked, granted = Counter(), Counter()
         for step in range(1, 801):
             rank = int(rng.random() < 0.85)
             asked[rank] += 1
             at = 5.0 + step / 40
-            granted[rank] += ask(found, follower, at, rank=rank, wait_ms=8_000).granted
+            granted[rank] += ask(arbiter, follower, at, rank=rank, wait_ms=8_000).granted
         parts = [granted[rank] / asked[rank] for rank in (0, 1)]
         if urgent_first:
             assert parts[0] > 0.95
@@ -295,9 +298,9 @@
             assert parts[0] == pytest.approx(parts[1], abs=0.1)
 
     def test_a_refusal_contains_the_inputs_of_the_decision(self):
-        found, follower = desk(True)
+        arbiter, follower = desk(True)
         for step in range(1, 401):
-            answer = ask(found, follower, step / 40, rank=1, wait_ms=8_000)
+            answer = ask(arbiter, follower, step / 40, rank=1, wait_ms=8_000)
         refused = [answer for answer in follower.answers if not answer.granted]
         assert refused
         for answer in refused:
@@ -306,13 +309,13 @@
             assert answer.standing == "first try"
         caller = {"rank": 1, "mark": 77}
         for _ in range(9):
-            first = ask(found, follower, 10.01, wait_ms=8_000, **caller)
+            first = ask(arbiter, follower, 10.01, wait_ms=8_000, **caller)
         assert first.standing == "back too early"
-        again = ask(found, follower, 10.03, wait_ms=7_980, **caller)
+        again = ask(arbiter, follower, 10.03, wait_ms=7_980, **caller)
         assert again.standing == "back too early"
 
     def test_nobody_is_told_to_come_back_in_more_than_an_hour(self):
-        found, follower = desk(True)
-        answer = ask(found, follower, 5.0, tokens=10**9, rank=1, wait_ms=8_000)
+        arbiter, follower = desk(True)
+        answer = ask(arbiter, follower, 5.0, tokens=10**9, rank=1, wait_ms=8_000)
         assert answer.granted
-        assert ask(found, follower, 5.0).retry_after_ms == 3_600_000
+        assert ask(arbiter, follower, 5.0).retry_after_ms == 3_600_000
--- a/tests/test_replica_room.py
+++ b/tests/test_replica_room.py
@@ -85,9 +85,9 @@
 
     def test_retry_times_of_refused_requests_are_consecutive(self):
         room = self.room()
-        told = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(3)]
-        assert told == sorted(told)
-        assert len(set(told)) == 3
+        retries_s = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(3)]
+        assert retries_s == sorted(retries_s)
+        assert len(set(retries_s)) == 3
 
     def test_requests_that_did_not_wait_delay_no_retry(self):
         room = self.room()
@@ -97,8 +97,8 @@
 
     def test_retry_times_are_bounded(self):
         room = self.room(0.0)
-        told = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(9)]
-        assert max(told) == LONGEST_RETRY_S
+        retries_s = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(9)]
+        assert max(retries_s) == LONGEST_RETRY_S
 
     def test_a_limit_of_zero_permits_probes(self):
         room = self.room(0.0)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -162,17 +162,17 @@
         """One slot, an owner that floods, and one large request of another owner with high use."""
         shares = shares_of(a=1e5, b=2e5, c=10.0)
         large = Claim(Party("b"), cost, urgency, 0.0, 0)
-        number, now, line = 1, 0.0, [large]
-        while large in line and now < 10 * HALF_LIFE_S:
-            line += [Claim(Party("a"), 1_000.0, urgency, now, number)]
-            line += [Claim(Party("c"), 10.0, urgency, now, number + 1)] * (number % 3 == 1)
+        number, now, queue = 1, 0.0, [large]
+        while large in queue and now < 10 * HALF_LIFE_S:
+            queue += [Claim(Party("a"), 1_000.0, urgency, now, number)]
+            queue += [Claim(Party("c"), 10.0, urgency, now, number + 1)] * (number % 3 == 1)
             number += 2
-            board = shares.board(line, EQUAL, now)
-            served = ByBound().arrange(line, board)[0]
-            line.remove(served)
+            board = shares.board(queue, EQUAL, now)
+            served = ByBound().arrange(queue, board)[0]
+            queue.remove(served)
             shares.note(served.party, served.cost, now)
             now += 0.05
-        assert large not in line
+        assert large not in queue
 
 
 class TestSendRates:
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -69,8 +69,8 @@
     def tell(self, now):
         for replica, seen in self.seen.items():
             seen[:] = [(at, failed) for at, failed in seen if now - at < 3.0]
-            told = [failed for at, failed in seen if at < now - GATHER_S]
-            if len(told) >= 5 and sum(told) > 0.3 * len(told):
+            reports = [failed for at, failed in seen if at < now - GATHER_S]
+            if len(reports) >= 5 and sum(reports) > 0.3 * len(reports):
                 self.out[replica] = now + 2.0
                 seen.clear()
 
@@ -85,7 +85,7 @@
         super().__init__()
         self.pool = VerdictPool()
         self.found = {}
-        self.told = Counter()
+        self.reports = Counter()
         self.changes = []
 
     def choose(self, source, rng, now):
@@ -118,13 +118,13 @@
 
     def note(self, source, replica, failed, now):
         super().note(source, replica, failed, now)
-        self.told[(source, replica, failed)] += 1
+        self.reports[(source, replica, failed)] += 1
 
     def tell(self, now):
-        for (source, replica, failed), count in self.told.items():
+        for (source, replica, failed), count in self.reports.items():
             ended = Ended(0, count) if failed else Ended(count, 0)
             self.pool.note(replica, source, ended, now)
-        self.told.clear()
+        self.reports.clear()
         members = {"llm": REPLICAS}
         self.changes += [(now, change) for change in self.pool.step(members, GATHER_S, now)]
         found = self.pool.findings(members, now)
@@ -141,25 +141,25 @@
         super().__init__()
         self.pool = VerdictPool(lambda replica: True)
         self.doubts = {source: Doubts() for source in SOURCES}
-        self.untold = {source: {} for source in SOURCES}
+        self.unreported = {source: {} for source in SOURCES}
         self.entries = 0
 
     def note(self, source, replica, failed, now):
         Own.note(self, source, replica, failed, now)
-        tally = self.untold[source].setdefault(replica, [0, 0])
+        tally = self.unreported[source].setdefault(replica, [0, 0])
         tally[failed] += 1
 
     def tell(self, now):
-        for source, untold in self.untold.items():
-            if untold:
-                self.pool.hear(source, len(untold), now)
-            for replica, (good, bad) in list(untold.items()):
+        for source, unreported in self.unreported.items():
+            if unreported:
+                self.pool.hear(source, len(unreported), now)
+            for replica, (good, bad) in list(unreported.items()):
                 if bad:
                     self.doubts[source].doubt(replica, now)
                 telling = self.doubts[source].decide(replica, now)
                 if telling is Telling.KEEP:
                     continue
-                del untold[replica]
+                del unreported[replica]
                 if telling is Telling.TELL:
                     self.entries += 1
                     self.pool.note(replica, source, Ended(good, bad), now)
@@ -179,29 +179,29 @@
     return request.param
 
 
-def play(way, fails, until=12.0, per_s=140.0, seed=1):
+def simulate(method, fails, until=12.0, per_s=140.0, seed=1):
     """Return failed requests by replica, and sent requests by replica and second.
 
     `fails(rng, source, replica, now)` returns whether a request fails.
     """
     rng = random.Random(seed)
     sent, failed = Counter(), Counter()
-    now, told_at = 0.0, 0.0
+    now, reported_at = 0.0, 0.0
     while now < until:
         now += rng.expovariate(per_s)
-        if now - told_at >= NEWS_S:
-            told_at = now
-            way.tell(now)
+        if now - reported_at >= NEWS_S:
+            reported_at = now
+            method.tell(now)
         source = rng.choice(SOURCES)
-        replica = way.choose(source, rng, now)
+        replica = method.choose(source, rng, now)
         bad = fails(rng, source, replica, now)
         sent[replica, int(now)] += 1
         failed[replica] += bad
-        way.note(source, replica, bad, now)
+        method.note(source, replica, bad, now)
     return failed, sent
 
 
-def grey(rng, source, replica, now):
+def partial_failures(rng, source, replica, now):
     """Return whether a request fails: 45% at one replica from the third second on, 2% elsewhere."""
     return rng.random() < (0.45 if replica == "e3" and now > 2.0 else 0.02)
 
@@ -211,7 +211,7 @@
         """At a failure rate of 45%, 85 gateways that learn individually keep sending requests."""
         counts = {}
         for make in (Own, PooledRate, Pooled, SuspectsOnly):
-            seen = [play(make(), grey, seed=seed) for seed in range(5)]
+            seen = [simulate(make(), partial_failures, seed=seed) for seed in range(5)]
             counts[make] = sum(failed["e3"] for failed, _ in seen) / len(seen)
         for pooled in (Pooled, SuspectsOnly):
             assert counts[pooled] < 0.4 * counts[Own]
@@ -219,26 +219,26 @@
 
     @pytest.mark.parametrize("seed", range(5))
     def test_it_is_ejected_within_three_seconds_and_stays_so_while_it_fails(self, seed, make):
-        way = make()
-        _, sent = play(way, grey, seed=seed)
-        first = min(at for at, change in way.changes if change.ejected)
+        method = make()
+        _, sent = simulate(method, partial_failures, seed=seed)
+        first = min(at for at, change in method.changes if change.ejected)
         assert first < 5.0
         assert sum(sent["e3", second] for second in range(6, 12)) < 0.3 * 6 * 14
 
     @pytest.mark.parametrize("seed", range(10))
     def test_a_failure_rate_of_three_percent_ejects_nothing(self, seed, make):
-        way = make()
-        play(way, lambda rng, *_: rng.random() < 0.03, until=30.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, lambda rng, *_: rng.random() < 0.03, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("seed", range(5))
     def test_one_faulty_gateway_ejects_nothing(self, seed, make):
         def fails(rng, source, replica, now):
             return source.name == "g7" or rng.random() < 0.02
 
-        way = make()
-        play(way, fails, until=30.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, fails, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("others_bad", [0, 1])
     def test_a_faulty_gateway_and_chance_failures_at_two_others_eject_nothing(self, others_bad):
@@ -271,9 +271,9 @@
         def fails(rng, source, replica, now):
             return source.hall == "b" and replica == "e4" or rng.random() < 0.02
 
-        way = make()
-        play(way, fails, until=15.0, seed=seed)
-        assert way.ejected() == {("e4", "b")}
+        method = make()
+        simulate(method, fails, until=15.0, seed=seed)
+        assert method.ejected() == {("e4", "b")}
 
     def test_simultaneous_resets_are_no_evidence(self):
         pool = VerdictPool()
@@ -285,9 +285,9 @@
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("part", [0.45, 0.9])
     def test_nothing_is_ejected_if_all_replicas_fail(self, part, seed, make):
-        way = make()
-        play(way, lambda rng, *_: rng.random() < part, until=30.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, lambda rng, *_: rng.random() < part, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("seed", range(10))
     def test_a_wave_of_requests_that_fail_everywhere_ejects_nothing(self, seed, make):
@@ -296,18 +296,18 @@
         def fails(rng, source, replica, now):
             return rng.random() < (0.4 if 8.0 < now < 14.0 else 0.05)
 
-        way = make()
-        play(way, fails, until=20.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, fails, until=20.0, seed=seed)
+        assert not method.ejected()
 
     def test_a_recovered_replica_returns_in_steps(self, make):
         def fails(rng, source, replica, now):
             return replica == "e3" and 2.0 < now < 6.0 and rng.random() < 0.45
 
-        way = make()
-        _, sent = play(way, fails, until=25.0)
-        ejected = [at for at, change in way.changes if change.ejected]
-        returned = [at for at, change in way.changes if not change.ejected]
+        method = make()
+        _, sent = simulate(method, fails, until=25.0)
+        ejected = [at for at, change in method.changes if change.ejected]
+        returned = [at for at, change in method.changes if not change.ejected]
         assert ejected
         assert ejected[-1] < 6.5
         assert returned
@@ -318,25 +318,25 @@
         def fails(rng, source, replica, now):
             return replica == "e3" and int(now / 6.0) % 2 == 0
 
-        way = make()
-        play(way, fails, until=60.0)
-        strikes = [change.strikes for _, change in way.changes if change.ejected]
+        method = make()
+        simulate(method, fails, until=60.0)
+        strikes = [change.strikes for _, change in method.changes if change.ejected]
         assert len(strikes) >= 3
         assert strikes == sorted(strikes)
 
     def test_ejections_lengthen_and_old_ones_expire(self):
-        standing, evidence = ReplicaEjection(), FailureEvidence(3, 0.0, 0, 6)
-        rests = []
+        ejection, evidence = ReplicaEjection(), FailureEvidence(3, 0.0, 0, 6)
+        open_times_s = []
         for at in (0.0, 20.0, 40.0, 400.0):
-            standing.eject(evidence, at)
-            rest_s = 0.0
-            while standing.phase is EjectionPhase.OPEN:
-                rest_s += 0.05
-                standing.step(at + rest_s)
-            rests.append(rest_s)
-        assert rests[0] == pytest.approx(MIN_OPEN_S, abs=0.1)
-        assert rests[0] * 1.3 < rests[1] < rests[2] <= MAX_OPEN_S
-        assert rests[3] < 1.1 * MIN_OPEN_S
+            ejection.eject(evidence, at)
+            open_s = 0.0
+            while ejection.phase is EjectionPhase.OPEN:
+                open_s += 0.05
+                ejection.step(at + open_s)
+            open_times_s.append(open_s)
+        assert open_times_s[0] == pytest.approx(MIN_OPEN_S, abs=0.1)
+        assert open_times_s[0] * 1.3 < open_times_s[1] < open_times_s[2] <= MAX_OPEN_S
+        assert open_times_s[3] < 1.1 * MIN_OPEN_S
 
     def test_a_replica_without_probes_returns(self):
         pool = VerdictPool()
@@ -364,11 +364,11 @@
         ),
         st.integers(1, 10),
     )
-    def test_half_of_a_service_stays_usable_for_any_reports(self, told, size):
+    def test_half_of_a_service_stays_usable_for_any_reports(self, reports, size):
         pool = VerdictPool()
         members = {"llm": REPLICAS[:size]}
         now = 0.0
-        for replica, number, good, bad, passed_s in told:
+        for replica, number, good, bad, passed_s in reports:
             now += passed_s
             pool.note(f"e{replica}", SOURCES[number], Ended(good, bad), now)
             pool.step(members, GATHER_S, now)
@@ -383,9 +383,9 @@
     """Nearly all of 10,000 requests per second succeed, which need not be reported."""
 
     def test_successes_are_not_reported(self):
-        way = SuspectsOnly()
-        play(way, lambda *_: False)
-        assert way.entries == 0
+        method = SuspectsOnly()
+        simulate(method, lambda *_: False)
+        assert method.entries == 0
 
     def test_successes_are_reported_together_with_failures(self):
         doubts = Doubts()
@@ -397,8 +397,10 @@
 
     def test_old_successes_are_dropped_and_newer_ones_kept(self):
         doubts = Doubts()
-        told = [doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)]
-        assert told == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
+        reports = [
+            doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)
+        ]
+        assert reports == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
 
     def test_a_replica_is_reported_until_its_last_failure_expires(self):
         doubts = Doubts()
