--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -77,9 +77,9 @@
 class RetryState(Enum):
     """Whether a request is a retry, in order of precedence among equally urgent requests."""
 
-    BACK = "back as told"
-    FIRST = "first try"
-    EARLY = "back too early"
+    RETRY_DUE = "back as told"
+    FIRST_TRY = "first try"
+    RETRY_EARLY = "back too early"
 
 
 @dataclass(slots=True, frozen=True)
@@ -233,7 +233,7 @@
         Tokens are reserved for the retry only if its caller can wait that long.
         """
         previous = self._refusals.find(self._organisation, caller, now)
-        if previous is not None and claim.standing is RetryState.EARLY:
+        if previous is not None and claim.standing is RetryState.RETRY_EARLY:
             return max(MIN_EARLY_RETRY_S, previous.retry_at - now)
         ahead = self._reserved[claim.kind]
         missing = ahead + max(claim.amount, claim.needed - level)
@@ -266,16 +266,16 @@
     def _retry_state(self, caller: Caller, now: float) -> RetryState:
         previous = self._refusals.find(self._organisation, caller, now)
         if previous is None:
-            return RetryState.FIRST
-        return RetryState.BACK if now >= previous.retry_at else RetryState.EARLY
+            return RetryState.FIRST_TRY
+        return RetryState.RETRY_DUE if now >= previous.retry_at else RetryState.RETRY_EARLY
 
     def _record_request(
         self, kind: int, standing: RetryState, amount: float, value: float, now: float
     ) -> None:
         self._largest = max(self._largest, amount)
-        if standing is RetryState.BACK:
+        if standing is RetryState.RETRY_DUE:
             self._due_retries.note(kind, amount, now)
-        if standing is RetryState.FIRST:
+        if standing is RetryState.FIRST_TRY:
             self._first_tries.note(kind, amount, now)
             self._value_rates.note(kind, value, now)
             self._recent_first_tries.note(kind, amount, now)
@@ -326,7 +326,7 @@
 
     def _tokens_to_leave(self, kind: int, standing: RetryState, rate: float) -> float:
         """Return the tokens that a request must leave for those that precede it."""
-        if standing is RetryState.EARLY:
+        if standing is RetryState.RETRY_EARLY:
             return math.inf
         if self._is_underserved(kind):
             return 0.0
@@ -334,7 +334,7 @@
         ahead = sum(
             self._first_tries.rates[other] + self._due_retries.rates[other] for other in preceding
         )
-        if standing is RetryState.FIRST:
+        if standing is RetryState.FIRST_TRY:
             ahead += self._due_retries.rates[kind]
         part = min(1.0, ahead / rate) if rate else 1.0
         return RESERVE_WINDOW_S * ahead + RESERVE_LARGEST_REQUESTS * part * self._largest
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -160,7 +160,7 @@
     share: float
     level: float = 0.0
     needed: float = 0.0
-    standing: RetryState = RetryState.FIRST
+    standing: RetryState = RetryState.FIRST_TRY
 
 
 class _Account:
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -112,7 +112,7 @@
         Hall whose sources are evaluated; empty for all.
     span_s : float
         Minimum time span of failures, in seconds.
-    untold_s : float
+    report_delay_s : float
         Time from the first suspicion until successes are reported like failures, in seconds.
     has_halls : bool
         Whether gateways of several halls report outcomes.
@@ -120,30 +120,30 @@
 
     hall: str
     span_s: float
-    untold_s: float
+    report_delay_s: float
     has_halls: bool
 
 
 class _Record:
     """Outcomes and ejections of one replica."""
 
-    __slots__ = ("doubted_since", "outcomes", "standings")
+    __slots__ = ("suspected_since", "outcomes", "ejections")
 
     def __init__(self) -> None:
         self.outcomes = ReplicaOutcomes()
-        self.doubted_since = math.inf
+        self.suspected_since = math.inf
         """Time since when several sources have reported failures."""
-        self.standings: dict[str, ReplicaEjection] = {}
+        self.ejections: dict[str, ReplicaEjection] = {}
         """Ejections by hall; under `ALL_HALLS` the one for all gateways."""
 
     def note(self, source: Source, ended: Ended, now: float) -> None:
         """Add outcomes."""
         if ended.took_s or ended.full:
             self.outcomes.times.note(ended, now)
-        if self.standings:
+        if self.ejections:
             for hall in (ALL_HALLS, source.hall):
-                if hall in self.standings:
-                    self.standings[hall].take(source, ended, now)
+                if hall in self.ejections:
+                    self.ejections[hall].take(source, ended, now)
             if self.is_ejected(source.hall):
                 return
         if ended.good or ended.bad:
@@ -152,20 +152,20 @@
     @property
     def is_empty(self) -> bool:
         """Whether there is no relevant state."""
-        return not self.standings and self.outcomes.is_empty and not self.outcomes.times.number
+        return not self.ejections and self.outcomes.is_empty and not self.outcomes.times.number
 
     def step(self, now: float) -> None:
         """Advance to the current time."""
         self.outcomes.trim(now)
         if not self.outcomes.is_suspected:
-            self.doubted_since = math.inf
-        elif self.doubted_since == math.inf:
-            self.doubted_since = now
+            self.suspected_since = math.inf
+        elif self.suspected_since == math.inf:
+            self.suspected_since = now
 
     def is_ejected(self, hall: str) -> bool:
         """Return whether the replica is ejected for the gateways of a hall."""
         return any(
-            name in self.standings and self.standings[name].is_ejected for name in (ALL_HALLS, hall)
+            name in self.ejections and self.ejections[name].is_ejected for name in (ALL_HALLS, hall)
         )
 
 
@@ -236,14 +236,14 @@
         )
         halls = sorted(set(active_halls))
         changes: list[Change] = []
-        span_s, untold_s = gather_s + MIN_FAILURE_SPAN_S, JUDGEMENT_DELAY_INTERVALS * gather_s
+        span_s, report_delay_s = gather_s + MIN_FAILURE_SPAN_S, JUDGEMENT_DELAY_INTERVALS * gather_s
         has_halls = len(halls) > 1
         for replicas in members.values():
             for name in replicas:
                 changes.extend(self._advance_ejections(name, now))
             max_ejected = int(MAX_EJECTED_FRACTION * len(replicas))
             for hall in (ALL_HALLS, *halls) if has_halls else (ALL_HALLS,):
-                view = _View(hall, span_s, untold_s, has_halls)
+                view = _View(hall, span_s, report_delay_s, has_halls)
                 changes.extend(self._judge(view, list(replicas), max_ejected, now))
         return changes
 
@@ -252,11 +252,11 @@
     ) -> t.Iterator[Finding]:
         """Yield the health of each replica with relevant state."""
         for replicas in members.values():
-            known = [name for name in replicas if name in self._records]
-            mean_s = self._mean_time_s(known, now)
-            for name in known:
+            known_names = [name for name in replicas if name in self._records]
+            mean_s = self._mean_time_s(known_names, now)
+            for name in known_names:
                 record = self._records[name]
-                if mean_s or record.standings or record.outcomes.counts()[1]:
+                if mean_s or record.ejections or record.outcomes.counts()[1]:
                     yield self._health_overall(name, mean_s, now)
                     yield from self._health_by_hall(name, now)
 
@@ -264,36 +264,36 @@
         record = self._records.get(name)
         if record is None:
             return
-        for hall, standing in record.standings.items():
-            if standing.step(now):
-                yield _change(name, hall, standing, False, now)
+        for hall, ejection in record.ejections.items():
+            if ejection.step(now):
+                yield _change(name, hall, ejection, False, now)
 
     def _judge(
         self, view: _View, members: t.Sequence[str], max_ejected: int, now: float
     ) -> t.Iterator[Change]:
         hall = view.hall
-        known = [name for name in members if name in self._records]
-        counts = {name: self._records[name].outcomes.counts(hall) for name in known}
-        suspects = [name for name in known if counts[name][1] >= MIN_FAILURES]
+        known_names = [name for name in members if name in self._records]
+        counts = {name: self._records[name].outcomes.counts(hall) for name in known_names}
+        suspects = [name for name in known_names if counts[name][1] >= MIN_FAILURES]
         if not suspects:
             return
-        ejected = sum(self._records[name].is_ejected(hall) for name in known)
+        ejected = sum(self._records[name].is_ejected(hall) for name in known_names)
         suspects.sort(key=lambda name: failure_rate(*counts[name]), reverse=True)
         for name in suspects[:MAX_JUDGED_PER_STEP]:
             if ejected >= max_ejected:
                 return
             record = self._records[name]
-            if record.is_ejected(hall) or now - record.doubted_since < view.untold_s:
+            if record.is_ejected(hall) or now - record.suspected_since < view.report_delay_s:
                 continue
             evidence = self._evidence(name, view, members)
             if evidence is None:
                 continue
             ejected += 1
-            standing = record.standings.setdefault(hall, ReplicaEjection())
-            standing.eject(evidence, now)
+            ejection = record.ejections.setdefault(hall, ReplicaEjection())
+            ejection.eject(evidence, now)
             # After its return only new outcomes count.
             record.outcomes.drop(hall)
-            yield _change(name, hall, standing, True, now)
+            yield _change(name, hall, ejection, True, now)
 
     def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> FailureEvidence | None:
         """Return evidence that a replica fails, compared with its peers, also in the same period.
@@ -346,8 +346,8 @@
         at = members.index(name)
         return (*members[at + 1 :], *members[:at])[:MAX_COMPARED_PEERS]
 
-    def _mean_time_s(self, known: t.Iterable[str], now: float) -> float:
-        known_times = (self._records[name].outcomes.times for name in known)
+    def _mean_time_s(self, known_names: t.Iterable[str], now: float) -> float:
+        known_times = (self._records[name].outcomes.times for name in known_names)
         times = [item for item in known_times if item.number]
         for item in times:
             item.settle(now)
@@ -360,31 +360,31 @@
         took_s = outcomes.times.mean_s(mean_s) if mean_s else 0.0
         # Failures that only one source reports may be its own fault.
         failing = failure_rate(*outcomes.counts()) if outcomes.is_suspected else 0.0
-        standing = record.standings.get(ALL_HALLS)
-        if standing is None or standing.phase is EjectionPhase.CLOSED:
+        ejection = record.ejections.get(ALL_HALLS)
+        if ejection is None or ejection.phase is EjectionPhase.CLOSED:
             return Finding(name, ALL_HALLS, failing, 0.0, outcomes.sources(), "", took_s)
         return Finding(
             name,
             ALL_HALLS,
             failing,
-            standing.held_back(now),
-            standing.evidence.sources,
-            standing.prober(lambda last: self._next_prober(ALL_HALLS, last, now), now),
+            ejection.held_back(now),
+            ejection.evidence.sources,
+            ejection.prober(lambda last: self._next_prober(ALL_HALLS, last, now), now),
             took_s,
         )
 
     def _health_by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
-        for hall, standing in self._records[name].standings.items():
-            if hall == ALL_HALLS or standing.phase is EjectionPhase.CLOSED:
+        for hall, ejection in self._records[name].ejections.items():
+            if hall == ALL_HALLS or ejection.phase is EjectionPhase.CLOSED:
                 continue
             choose = lambda last, hall=hall: self._next_prober(hall, last, now)  # noqa: E731
             yield Finding(
                 name,
                 hall,
                 failure_rate(*self._records[name].outcomes.counts(hall)),
-                standing.held_back(now),
-                standing.evidence.sources,
-                standing.prober(choose, now),
+                ejection.held_back(now),
+                ejection.evidence.sources,
+                ejection.prober(choose, now),
             )
 
     def _next_prober(self, hall: str, last: str, now: float) -> str:
@@ -403,7 +403,7 @@
         return chosen
 
 
-def _change(name: str, hall: str, standing: ReplicaEjection, ejected: bool, now: float) -> Change:
-    seen = standing.evidence
-    strikes = standing.strikes(now)
+def _change(name: str, hall: str, ejection: ReplicaEjection, ejected: bool, now: float) -> Change:
+    seen = ejection.evidence
+    strikes = ejection.strikes(now)
     return Change(name, hall, ejected, seen.sources, seen.good, seen.bad, strikes)
