--- a/packages/policy/src/gradelug_policy/refusals.py
+++ b/packages/policy/src/gradelug_policy/refusals.py
@@ -1,8 +1,8 @@
-"""Who was refused a part of a quota lately, and comes back.
+"""Stores recent refusals of quota requests, to recognise their retries.
 
-Load pattern: a third of the callers repeat at once and often what was refused, the others wait as
-told for a part of the time that they have left. Tries of one request carry nothing in common but
-what is asked, and the moment until which the caller waits.
+Load pattern: a third of the callers retry a refused request at once and often, the others wait for
+the given time if it is short enough compared with their remaining time. Tries of one request share
+nothing but their content and the time until which the caller waits.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 import math
 import typing as t
 
-SAME_S = 0.06
-"""Moments until which two tries wait that differ by less, in seconds, are the same: a question may
-be on its way for as long as messages are gathered."""
-MOST_REFUSALS = 8_192
-"""So many are known of all organisations, 1 MB and a half; the oldest are forgotten."""
+MATCH_TOLERANCE_S = 0.06
+"""Maximum difference between the waiting deadlines of two tries of one request, in seconds;
+messages are batched for up to this time."""
+MAX_REFUSALS = 8_192
+"""Maximum number of stored refusals of all organisations, 1.5 MB; the oldest are removed."""
 
 
 class Caller(t.NamedTuple):
-    """Who asks for a part of a quota.
+    """Origin of a request for a part of a quota.
 
     Parameters
     ----------
     rank : int
-        Urgency, 0 first.
+        Urgency, 0 for the most urgent.
     waits_s : float
-        How long its caller still waits, in seconds.
+        Time for which the caller still waits, in seconds.
     service : str
-        Whose urgencies can be compared.
+        Service within which urgencies are comparable.
     value : float
-        What an answer in time is worth, 1 for an ordinary urgent one.
+        Value of an answer in time, 1 for an ordinary urgent request.
     mark : int
-        The same for all tries of one request; 0 if nothing tells.
+        Fingerprint that all tries of one request share; 0 if unknown.
     """
 
     rank: int = 0
@@ -41,46 +41,46 @@
     mark: int = 0
 
 
-ANYBODY = Caller()
+UNKNOWN_CALLER = Caller()
 
 
-class Refusal(t.NamedTuple):
-    """What a refused caller was told, by the runtime's clock."""
+class QuotaRefusal(t.NamedTuple):
+    """End of the caller's waiting time and its retry time, by the runtime's clock."""
 
     waits_until: float
-    told_until: float
+    retry_at: float
 
 
 class Refusals:
-    """Callers that were refused and may come back."""
+    """Refused callers that may retry."""
 
     __slots__ = ("_known",)
 
     def __init__(self) -> None:
-        self._known: dict[tuple[str, int], Refusal] = {}
+        self._known: dict[tuple[str, int], QuotaRefusal] = {}
 
     def __len__(self) -> int:
         return len(self._known)
 
-    def find(self, organisation: str, caller: Caller, now: float) -> Refusal | None:
-        """Return what a caller was told before, None if it seems to be new."""
+    def find(self, organisation: str, caller: Caller, now: float) -> QuotaRefusal | None:
+        """Return the earlier refusal of a caller, None if there is none."""
         if not caller.mark:
             return None
         known = self._known.get((organisation, caller.mark))
-        if known is None or abs(known.waits_until - now - caller.waits_s) > SAME_S:
+        if known is None or abs(known.waits_until - now - caller.waits_s) > MATCH_TOLERANCE_S:
             return None
         return known
 
-    def note(self, organisation: str, caller: Caller, told_until: float, now: float) -> None:
-        """Note what a caller is told."""
+    def note(self, organisation: str, caller: Caller, retry_at: float, now: float) -> None:
+        """Record the retry time given to a caller."""
         if not caller.mark or math.isinf(caller.waits_s):
             return
         name = organisation, caller.mark
         self._known.pop(name, None)
-        self._known[name] = Refusal(now + caller.waits_s, told_until)
-        if len(self._known) > MOST_REFUSALS:
+        self._known[name] = QuotaRefusal(now + caller.waits_s, retry_at)
+        if len(self._known) > MAX_REFUSALS:
             del self._known[next(iter(self._known))]
 
     def forget(self, organisation: str, caller: Caller) -> None:
-        """Forget a caller that was served."""
+        """Remove the refusal of a caller that was served."""
         self._known.pop((organisation, caller.mark), None)
--- a/packages/policy/src/gradelug_policy/retries.py
+++ b/packages/policy/src/gradelug_policy/retries.py
@@ -1,25 +1,25 @@
-"""Retries that cannot become a storm, and upstreams that are left alone while they fail."""
+"""Limits retries, so that they cannot overload an upstream, and stops requests to a failing one."""
 
 from __future__ import annotations
 
 from collections import deque
 from enum import Enum
 
-KEPT_PART = 0.5
-"""At most this part of what a window allows is kept for those that end failed without."""
+MAX_RESERVED_RETRY_FRACTION = 0.5
+"""Maximum fraction of a window's retries that is reserved for requests that may have run."""
 RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts.
+    """Allows retries as a fraction of first attempts.
 
     Parameters
     ----------
     ratio : float
         Retries per first attempt in the long run.
     burst : float
-        Retries that may be saved up.
+        Maximum number of accumulated retries.
     """
 
     __slots__ = ("_balance", "_burst", "_ratio")
@@ -30,7 +30,7 @@
         self._balance = burst
 
     def set_burst(self, burst: float) -> None:
-        """Change how many retries may be saved up."""
+        """Change the maximum number of accumulated retries."""
         self._burst = burst
         self._balance = min(self._balance, burst)
 
@@ -39,7 +39,7 @@
         self._balance = min(self._burst, self._balance + self._ratio)
 
     def try_retry(self) -> bool:
-        """Take a retry from the budget if there is one."""
+        """Take a retry from the budget if one is available."""
         if self._balance < 1:
             return False
         self._balance -= 1
@@ -47,37 +47,37 @@
 
 
 class RetryWindow:
-    """Allows retries in each window as a share of the requests in it.
+    """Allows retries in a sliding window as a fraction of the requests in it.
 
-    A `RetryBudget` saves a few retries up and throws the rest of the share away: of many
-    instances with few requests each, one whose upstream breaks off a handful of them at once may
-    repeat two. Here all of the share of the last window may be spent at any moment of it.
+    A `RetryBudget` accumulates a few retries and discards the rest: with many instances of few
+    requests each, an instance whose upstream breaks off several of them at once may retry two. Here
+    all retries of the last window may be used at any moment of it.
 
-    Who has a repetition is decided: a request that may have run ends failed without one, and may
-    use the last; one that has not run can wait or come back, and leaves as many as the others
-    have used in the window. Load pattern: all instances start at once, weights come late, and
-    requests that find them not ready spent in the first second what streams that were broken off
-    in the next would have needed.
+    Requests that may have run take precedence, since they fail without a retry: they may use the
+    last one. A request that has not run can wait or be retried by its caller; it leaves as many
+    retries as the others have used in the window. Load pattern: all instances start at once and
+    weights arrive late. Requests that found them missing used the retries of the first second that
+    streams broken off in the next second would have needed.
 
     Parameters
     ----------
     ratio : float
         Retries per request.
     extra : float
-        Retries beyond that.
+        Additional retries per window.
     window_s : float
         Length of the window, in seconds.
     """
 
-    __slots__ = ("_ratio", "_requests", "_rescues", "_retries", "_window_s", "extra")
+    __slots__ = ("_ratio", "_requests", "_possibly_run_retries", "_retries", "_window_s", "extra")
 
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
         self._ratio = ratio
         self._window_s = window_s
         self._requests: deque[float] = deque()
         self._retries: deque[float] = deque()
-        self._rescues: deque[float] = deque()
-        """Those of requests that may have run."""
+        self._possibly_run_retries: deque[float] = deque()
+        """Times of the retries of requests that may have run."""
         self.extra = extra
 
     def note_request(self, now: float) -> None:
@@ -86,36 +86,40 @@
         self._forget(now)
 
     def has_retry(self, now: float, unrun: bool = False) -> bool:
-        """Tell whether there is a retry in the window.
+        """Return whether a retry is available in the window.
 
         Parameters
         ----------
         now : float
-            By the runtime's clock.
+            Current time by the runtime's clock.
         unrun : bool
-            Whether the request has not run.
+            Whether the request has certainly not run.
         """
         self._forget(now)
-        kept = min(len(self._rescues), KEPT_PART * self._allowed) if unrun else 0
-        return len(self._retries) + 1 + kept <= self._allowed
+        reserved = (
+            min(len(self._possibly_run_retries), MAX_RESERVED_RETRY_FRACTION * self._allowed)
+            if unrun
+            else 0
+        )
+        return len(self._retries) + 1 + reserved <= self._allowed
 
     def try_retry(self, now: float, unrun: bool = False) -> bool:
-        """Take a retry from the window if there is one."""
+        """Take a retry from the window if one is available."""
         if not self.has_retry(now, unrun):
             return False
         self._retries.append(now)
         if not unrun:
-            self._rescues.append(now)
+            self._possibly_run_retries.append(now)
         return True
 
     def next_s(self, now: float) -> float:
-        """Return when there may be a retry again, in seconds, if nobody else asks."""
+        """Return the time until a retry is available, in seconds, if no other request takes it."""
         self._forget(now)
-        lacking = len(self._retries) + 1 - self._allowed
-        earned_per_s = self._ratio * len(self._requests) / self._window_s
-        earned_s = lacking / earned_per_s if earned_per_s else self._window_s
+        missing = len(self._retries) + 1 - self._allowed
+        allowance_per_s = self._ratio * len(self._requests) / self._window_s
+        allowance_s = missing / allowance_per_s if allowance_per_s else self._window_s
         oldest_s = self._retries[0] + self._window_s - now if self._retries else self._window_s
-        return max(0.0, min(earned_s, oldest_s))
+        return max(0.0, min(allowance_s, oldest_s))
 
     @property
     def _allowed(self) -> float:
@@ -123,13 +127,13 @@
 
     def _forget(self, now: float) -> None:
         since = now - self._window_s
-        for times in (self._requests, self._retries, self._rescues):
+        for times in (self._requests, self._retries, self._possibly_run_retries):
             while times and times[0] <= since:
                 times.popleft()
 
 
 class CircuitState(Enum):
-    """Whether an upstream is tried."""
+    """Whether requests are sent to an upstream."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -137,27 +141,27 @@
 
 
 class Circuit:
-    """Stops trying an upstream after failures in a row, then lets one request try it.
+    """Stops requests to an upstream after consecutive failures, then permits single trial requests.
 
     Parameters
     ----------
     threshold : int
-        Failures in a row that open the circuit.
+        Consecutive failures that open the circuit.
     open_s : float
-        How long it stays open, in seconds.
+        Time for which it stays open, in seconds.
     """
 
-    __slots__ = ("_failures", "_open_s", "_opened_at", "_threshold", "_trying_since")
+    __slots__ = ("_failures", "_open_s", "_opened_at", "_threshold", "_trial_started_at")
 
     def __init__(self, threshold: int = 3, open_s: float = 2.0) -> None:
         self._threshold = threshold
         self._open_s = open_s
         self._failures = 0
         self._opened_at = float("-inf")
-        self._trying_since = float("-inf")
+        self._trial_started_at = float("-inf")
 
     def state(self, now: float) -> CircuitState:
-        """Return the state at this moment."""
+        """Return the state at a given time."""
         if self._failures < self._threshold:
             return CircuitState.CLOSED
         if now - self._opened_at < self._open_s:
@@ -165,24 +169,24 @@
         return CircuitState.HALF_OPEN
 
     def allows(self, now: float) -> bool:
-        """Tell whether a request may be sent; does not count it."""
+        """Return whether a request may be sent; does not count it."""
         state = self.state(now)
         if state is CircuitState.HALF_OPEN:
-            return now - self._trying_since >= self._open_s
+            return now - self._trial_started_at >= self._open_s
         return state is CircuitState.CLOSED
 
     def note_start(self, now: float) -> None:
-        """Note that a request is being sent."""
+        """Record that a request is being sent."""
         if self.state(now) is CircuitState.HALF_OPEN:
-            self._trying_since = now
+            self._trial_started_at = now
 
     def note_success(self) -> None:
-        """Note an answer."""
+        """Record a success."""
         self._failures = 0
-        self._trying_since = float("-inf")
+        self._trial_started_at = float("-inf")
 
     def note_failure(self, now: float) -> None:
-        """Note a failure."""
+        """Record a failure."""
         self._failures += 1
         if self._failures >= self._threshold:
             self._opened_at = now
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -1,8 +1,9 @@
-"""Which replicas are left alone, judged from what all gateways found of their requests there.
+"""Detects failing replicas by the outcomes that all gateways report, and ejects them.
 
-Load pattern: a replica fails 40% of its requests, or hangs, while its health check is good; it has
-no queue and looks best to 85 gateways, each of which would have to learn it by failures of its
-own. Others come and go several times a minute. In a bad hour all replicas of a service fail alike.
+Load pattern: a replica fails 40% of its requests, or hangs, while its health check succeeds. It has
+no queue, so all 85 gateways prefer it, and each would have to detect the fault by failures of its
+own. Other replicas fail and recover several times a minute. At times all replicas of a service fail
+alike.
 """
 
 from __future__ import annotations
@@ -14,61 +15,61 @@
 from dataclasses import dataclass
 
 from .outcomes import (
-    EVERYWHERE,
-    FEWEST_FAILED,
-    Batch,
+    ALL_HALLS,
+    MIN_FAILURES,
     Ended,
-    Evidence,
-    Outcomes,
+    FailureEvidence,
+    OutcomeBatch,
+    ReplicaOutcomes,
     Source,
-    rate,
+    failure_rate,
 )
-from .standings import Phase, Standing
-
-LEAST_SPAN_S = 0.3
-"""Failures must be spread over this much more than gateways gather what they tell, in seconds:
-what broke at one moment, as when connections are reset, is over when it is heard of."""
-UNTOLD_GATHERS = 1.0
-"""Of a replica that nobody doubted nothing is told: failures come first, and answers once all have
-heard of these and told in their turn. It is judged then, so many times the gathering later."""
-FEWEST_COMPARED = 5
-"""Outcomes of another replica of the service that say what is usual there."""
-MOST_JUDGED = 32
-"""Of more suspects in a service those that fail most are judged now, the others a moment later: a
-judgement takes a tenth of a millisecond."""
-MOST_COMPARED = 16
-"""Others that a replica is compared with: their median is within a few in 100 of that of all."""
-MOST_EJECTED = 0.5
-"""Part of a service that may be ejected, in one hall's view as well as in that of all."""
-ACTIVE_S = 5.0
-"""A source that told something this lately may be the prober, and its hall is one of those that
-are told apart."""
+from .standings import EjectionPhase, ReplicaEjection
+
+MIN_FAILURE_SPAN_S = 0.3
+"""Minimum time span of failures, in seconds, in addition to the reporting interval of gateways.
+Simultaneous failures, as when connections are reset, are over when they are reported."""
+JUDGEMENT_DELAY_INTERVALS = 1.0
+"""Delay of a judgement in reporting intervals. Outcomes of an unsuspected replica are not reported:
+failures arrive first, and successes after all gateways have learned that it is suspected."""
+MIN_PEER_OUTCOMES = 5
+"""Minimum number of outcomes of another replica for its failure rate to be compared."""
+MAX_JUDGED_PER_STEP = 32
+"""Maximum number of suspects per service and step, those of the highest failure rate first, since
+one evaluation takes 0.1 ms."""
+MAX_COMPARED_PEERS = 16
+"""Maximum number of replicas compared with; their median is within a few percent of that of all."""
+MAX_EJECTED_FRACTION = 0.5
+"""Maximum fraction of a service that may be ejected, both for one hall and for all."""
+SOURCE_ACTIVE_S = 5.0
+"""Time since its last report for which a source may be the prober and its hall is evaluated
+separately, in seconds."""
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """What is found of a replica.
+    """Health of a replica as found from reported outcomes.
 
     Parameters
     ----------
     replica : str
-        Which.
+        Name of the replica.
     hall : str
-        For gateways of this hall alone; empty for all.
+        Hall whose gateways it applies to; empty for all.
     failing : float
-        Part of the requests that failed lately, 0 to 1.
+        Recent failure rate, 0 to 1.
     held_back : float
-        Part of the requests that are to go elsewhere: 1 while it is ejected, 0 if all is well.
+        Fraction of the requests to divert: 1 while ejected, 0 for a healthy replica.
     sources : int
-        Gateways that the finding rests on.
+        Number of gateways that reported the outcomes.
     prober : str
-        The gateway that may probe it now, empty for none.
+        Gateway that may probe the replica now, empty for none.
     took_s : float
-        Mean time of its answers, in seconds; 0 if unknown.
+        Mean response time, in seconds; 0 if unknown.
     """
 
     replica: str
-    hall: str = EVERYWHERE
+    hall: str = ALL_HALLS
     failing: float = 0.0
     held_back: float = 0.0
     sources: int = 0
@@ -78,18 +79,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """A replica was ejected, or has returned; for the log.
+    """Ejection or return of a replica, for the log.
 
     Parameters
     ----------
     replica, hall : str
-        Which, and for gateways of which hall; empty for all.
+        Name of the replica, and hall whose gateways it applies to; empty for all.
     ejected : bool
-        Which of the two.
+        True for an ejection, False for a return.
     sources, good, bad : int
-        What the ejection rests on.
+        Gateways, successes and failures that the ejection is based on.
     strikes : float
-        How often it was ejected, earlier times counting less.
+        Number of ejections, weighted by age.
     """
 
     replica: str
@@ -103,79 +104,78 @@
 
 @dataclass(slots=True, frozen=True)
 class _View:
-    """In whose view replicas are judged, and how: see `Outcomes.evidence`.
+    """Sources by which replicas are judged, and parameters; see `ReplicaOutcomes.evidence`.
 
     Parameters
     ----------
     hall : str
-        Of which hall; of all if empty.
+        Hall whose sources are evaluated; empty for all.
     span_s : float
-        Failures must be spread over this, in seconds.
-    untold_s : float
-        From the first doubt until answers are told as well as failures, in seconds.
+        Minimum time span of failures, in seconds.
+    report_delay_s : float
+        Time from the first suspicion until successes are reported like failures, in seconds.
     has_halls : bool
-        Whether gateways of several halls tell something.
+        Whether gateways of several halls report outcomes.
     """
 
     hall: str
     span_s: float
-    untold_s: float
+    report_delay_s: float
     has_halls: bool
 
 
 class _Record:
-    """All that is known of one replica."""
+    """Outcomes and ejections of one replica."""
 
-    __slots__ = ("doubted_since", "outcomes", "standings")
+    __slots__ = ("suspected_since", "outcomes", "ejections")
 
     def __init__(self) -> None:
-        self.outcomes = Outcomes()
-        self.doubted_since = math.inf
-        """Since when several sources have seen failures."""
-        self.standings: dict[str, Standing] = {}
-        """By hall; that in the view of all under `EVERYWHERE`."""
+        self.outcomes = ReplicaOutcomes()
+        self.suspected_since = math.inf
+        """Time since when several sources have reported failures."""
+        self.ejections: dict[str, ReplicaEjection] = {}
+        """Ejections by hall; under `ALL_HALLS` the one for all gateways."""
 
     def note(self, source: Source, ended: Ended, now: float) -> None:
-        """Take outcomes into account."""
+        """Add outcomes."""
         if ended.took_s or ended.full:
             self.outcomes.times.note(ended, now)
-        if self.standings:
-            for hall in (EVERYWHERE, source.hall):
-                if hall in self.standings:
-                    self.standings[hall].take(source, ended, now)
+        if self.ejections:
+            for hall in (ALL_HALLS, source.hall):
+                if hall in self.ejections:
+                    self.ejections[hall].take(source, ended, now)
             if self.is_ejected(source.hall):
                 return
         if ended.good or ended.bad:
-            self.outcomes.note(Batch(now, source, ended.good, ended.bad))
+            self.outcomes.note(OutcomeBatch(now, source, ended.good, ended.bad))
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of it that counts."""
-        return not self.standings and self.outcomes.is_empty and not self.outcomes.times.number
+        """Whether there is no relevant state."""
+        return not self.ejections and self.outcomes.is_empty and not self.outcomes.times.number
 
     def step(self, now: float) -> None:
-        """Take the time that has passed into account."""
+        """Advance to the current time."""
         self.outcomes.trim(now)
-        if not self.outcomes.is_doubted:
-            self.doubted_since = math.inf
-        elif self.doubted_since == math.inf:
-            self.doubted_since = now
+        if not self.outcomes.is_suspected:
+            self.suspected_since = math.inf
+        elif self.suspected_since == math.inf:
+            self.suspected_since = now
 
     def is_ejected(self, hall: str) -> bool:
-        """Tell whether it is ejected in a hall's view."""
+        """Return whether the replica is ejected for the gateways of a hall."""
         return any(
-            name in self.standings and self.standings[name].is_ejected
-            for name in (EVERYWHERE, hall)
+            name in self.ejections and self.ejections[name].is_ejected for name in (ALL_HALLS, hall)
         )
 
 
 class VerdictPool:
-    """Pools what gateways tell of replicas, and finds which of these are to be left alone.
+    """Aggregates the outcomes that gateways report and ejects failing replicas.
 
     Parameters
     ----------
     is_used : callable
-        Whether requests run at a replica. If nothing is told of it then it does well.
+        Returns whether requests run at a replica. A used one without reports counts as healthy.
     """
 
     __slots__ = ("_activity", "_is_used", "_records", "_sources")
@@ -184,17 +184,17 @@
         self._is_used = is_used
         self._records: dict[str, _Record] = {}
         self._sources: dict[Source, float] = {}
-        """When each told something last."""
+        """Time of the last report, by source."""
         self._activity: Counter[str] = Counter()
-        """Requests that each told of since it was the prober last."""
+        """Number of requests that each source reported since it was last the prober."""
 
     def hear(self, source: Source, requests: int, now: float) -> None:
-        """Take over that a source has requests, wherever: it may be the prober."""
+        """Record that a source has requests, at any replica, so that it may be the prober."""
         self._sources[source] = now
         self._activity[source.name] += requests
 
     def note(self, replica: str, source: Source, ended: Ended, now: float) -> None:
-        """Take over what a source tells of its requests at a replica."""
+        """Add the outcomes that a source reports of its requests at a replica."""
         self.hear(source, ended.good + ended.bad, now)
         record = self._records.get(replica)
         if record is None:
@@ -202,11 +202,11 @@
         record.note(source, ended, now)
 
     def forget(self, replica: str) -> None:
-        """Forget a replica that is gone or has begun another life."""
+        """Remove a replica that is gone or has a new incarnation."""
         self._records.pop(replica, None)
 
     def leave(self, name: str) -> None:
-        """Forget a source that is not heard of any more."""
+        """Remove a source that has disconnected."""
         for source in [source for source in self._sources if source.name == name]:
             del self._sources[source]
         self._activity.pop(name, None)
@@ -214,16 +214,16 @@
     def step(
         self, members: t.Mapping[str, t.Collection[str]], gather_s: float, now: float
     ) -> list[Change]:
-        """Judge all replicas anew; return which were ejected and which have returned.
+        """Judge all replicas; return the ejected and the returned ones.
 
         Parameters
         ----------
         members : mapping of str to collection of str
-            The replicas of each service; all others are forgotten.
+            Replicas of each service; all others are removed.
         gather_s : float
-            How long gateways gather what they tell, in seconds.
+            Reporting interval of gateways, in seconds.
         now : float
-            By the runtime's clock.
+            Current time, by the runtime's clock.
         """
         names = {name for replicas in members.values() for name in replicas}
         for record in self._records.values():
@@ -231,158 +231,170 @@
         self._records = {
             name: rec for name, rec in self._records.items() if name in names and not rec.is_empty
         }
-        heard = (source.hall for source, at in self._sources.items() if now - at <= ACTIVE_S)
-        halls = sorted(set(heard))
+        active_halls = (
+            source.hall for source, at in self._sources.items() if now - at <= SOURCE_ACTIVE_S
+        )
+        halls = sorted(set(active_halls))
         changes: list[Change] = []
-        span_s, untold_s = gather_s + LEAST_SPAN_S, UNTOLD_GATHERS * gather_s
+        span_s, report_delay_s = gather_s + MIN_FAILURE_SPAN_S, JUDGEMENT_DELAY_INTERVALS * gather_s
         has_halls = len(halls) > 1
         for replicas in members.values():
             for name in replicas:
-                changes.extend(self._advance(name, now))
-            most = int(MOST_EJECTED * len(replicas))
-            for hall in (EVERYWHERE, *halls) if has_halls else (EVERYWHERE,):
-                view = _View(hall, span_s, untold_s, has_halls)
-                changes.extend(self._judge(view, list(replicas), most, now))
+                changes.extend(self._advance_ejections(name, now))
+            max_ejected = int(MAX_EJECTED_FRACTION * len(replicas))
+            for hall in (ALL_HALLS, *halls) if has_halls else (ALL_HALLS,):
+                view = _View(hall, span_s, report_delay_s, has_halls)
+                changes.extend(self._judge(view, list(replicas), max_ejected, now))
         return changes
 
     def findings(
         self, members: t.Mapping[str, t.Collection[str]], now: float
     ) -> t.Iterator[Finding]:
-        """Yield what is found of each replica of which anything is known."""
+        """Yield the health of each replica with relevant state."""
         for replicas in members.values():
-            known = [name for name in replicas if name in self._records]
-            mean_s = self._mean_time(known, now)
-            for name in known:
+            known_names = [name for name in replicas if name in self._records]
+            mean_s = self._mean_time_s(known_names, now)
+            for name in known_names:
                 record = self._records[name]
-                if mean_s or record.standings or record.outcomes.counts()[1]:
-                    yield self._overall(name, mean_s, now)
-                    yield from self._by_hall(name, now)
+                if mean_s or record.ejections or record.outcomes.counts()[1]:
+                    yield self._health_overall(name, mean_s, now)
+                    yield from self._health_by_hall(name, now)
 
-    def _advance(self, name: str, now: float) -> t.Iterator[Change]:
+    def _advance_ejections(self, name: str, now: float) -> t.Iterator[Change]:
         record = self._records.get(name)
         if record is None:
             return
-        for hall, standing in record.standings.items():
-            if standing.step(now):
-                yield _change(name, hall, standing, False, now)
+        for hall, ejection in record.ejections.items():
+            if ejection.step(now):
+                yield _change(name, hall, ejection, False, now)
 
     def _judge(
-        self, view: _View, members: t.Sequence[str], most: int, now: float
+        self, view: _View, members: t.Sequence[str], max_ejected: int, now: float
     ) -> t.Iterator[Change]:
         hall = view.hall
-        known = [name for name in members if name in self._records]
-        counts = {name: self._records[name].outcomes.counts(hall) for name in known}
-        suspects = [name for name in known if counts[name][1] >= FEWEST_FAILED]
+        known_names = [name for name in members if name in self._records]
+        counts = {name: self._records[name].outcomes.counts(hall) for name in known_names}
+        suspects = [name for name in known_names if counts[name][1] >= MIN_FAILURES]
         if not suspects:
             return
-        ejected = sum(self._records[name].is_ejected(hall) for name in known)
-        suspects.sort(key=lambda name: rate(*counts[name]), reverse=True)
-        for name in suspects[:MOST_JUDGED]:
-            if ejected >= most:
+        ejected = sum(self._records[name].is_ejected(hall) for name in known_names)
+        suspects.sort(key=lambda name: failure_rate(*counts[name]), reverse=True)
+        for name in suspects[:MAX_JUDGED_PER_STEP]:
+            if ejected >= max_ejected:
                 return
             record = self._records[name]
-            if record.is_ejected(hall) or now - record.doubted_since < view.untold_s:
+            if record.is_ejected(hall) or now - record.suspected_since < view.report_delay_s:
                 continue
             evidence = self._evidence(name, view, members)
             if evidence is None:
                 continue
             ejected += 1
-            standing = record.standings.setdefault(hall, Standing())
-            standing.eject(evidence, now)
-            # After its return it is judged by what comes then.
+            ejection = record.ejections.setdefault(hall, ReplicaEjection())
+            ejection.eject(evidence, now)
+            # After its return only new outcomes count.
             record.outcomes.drop(hall)
-            yield _change(name, hall, standing, True, now)
+            yield _change(name, hall, ejection, True, now)
 
-    def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> Evidence | None:
-        """Return evidence that a replica fails, beside the others then and in the same moments.
+    def _evidence(self, name: str, view: _View, members: t.Sequence[str]) -> FailureEvidence | None:
+        """Return evidence that a replica fails, compared with its peers, also in the same period.
 
-        Callers whose requests fail wherever they are sent come in waves: what was usual some
-        seconds ago is not by what a replica can be judged in one.
+        Requests that fail at every replica arrive in waves, during which the peers' earlier failure
+        rate is no valid reference.
         """
         outcomes = self._records[name].outcomes
-        others = self._compared(name, members)
-        usual = max(self._usual(others, view.hall), self._usual(others, EVERYWHERE))
-        evidence = outcomes.evidence(view.hall, view.span_s, view.has_halls, usual)
+        others = self._peers(name, members)
+        base_rate = max(
+            self._peer_failure_rate(others, view.hall), self._peer_failure_rate(others, ALL_HALLS)
+        )
+        evidence = outcomes.evidence(view.hall, view.span_s, view.has_halls, base_rate)
         if evidence is None:
             return None
         since = evidence.since
-        lately = max(self._usual(others, view.hall, since), self._usual(others, EVERYWHERE, since))
-        if lately <= usual:
+        recent_rate = max(
+            self._peer_failure_rate(others, view.hall, since),
+            self._peer_failure_rate(others, ALL_HALLS, since),
+        )
+        if recent_rate <= base_rate:
             return evidence
-        return outcomes.evidence(view.hall, view.span_s, view.has_halls, lately)
+        return outcomes.evidence(view.hall, view.span_s, view.has_halls, recent_rate)
 
-    def _usual(self, others: t.Iterable[str], hall: str, since: float = -math.inf) -> float:
-        """Return which part of the requests fails at some replicas.
+    def _peer_failure_rate(
+        self, others: t.Iterable[str], hall: str, since: float = -math.inf
+    ) -> float:
+        """Return the median failure rate of some replicas.
 
-        The lower median: where half of them fail that is not usual. Of one that is used and that
-        nobody but one source doubts, nothing but that source's failures is told: it does well.
+        It is the lower median, so that failures of half of them do not count as usual. A used
+        replica that at most one source suspects counts as healthy, since only failures are reported
+        of it.
         """
         rates = []
         for name in others:
             record = self._records.get(name)
-            if self._is_used(name) and (record is None or not record.outcomes.is_doubted):
+            if self._is_used(name) and (record is None or not record.outcomes.is_suspected):
                 rates.append(0.0)
                 continue
             if record is None:
                 continue
             good, bad = record.outcomes.counts_since(since, hall)
-            if good + bad >= FEWEST_COMPARED:
-                rates.append(rate(good, bad))
+            if good + bad >= MIN_PEER_OUTCOMES:
+                rates.append(failure_rate(good, bad))
         return statistics.median_low(rates) if rates else 0.0
 
     @staticmethod
-    def _compared(name: str, members: t.Sequence[str]) -> t.Sequence[str]:
-        """Return the next others of a service, in its order and from its beginning again."""
+    def _peers(name: str, members: t.Sequence[str]) -> t.Sequence[str]:
+        """Return the replicas that follow one in the order of its service, wrapping around."""
         at = members.index(name)
-        return (*members[at + 1 :], *members[:at])[:MOST_COMPARED]
+        return (*members[at + 1 :], *members[:at])[:MAX_COMPARED_PEERS]
 
-    def _mean_time(self, known: t.Iterable[str], now: float) -> float:
-        all_times = (self._records[name].outcomes.times for name in known)
-        times = [each for each in all_times if each.number]
-        for each in times:
-            each.settle(now)
-        number = sum(each.number for each in times)
-        return sum(each.total_s for each in times) / number if number >= 1 else 0.0
+    def _mean_time_s(self, known_names: t.Iterable[str], now: float) -> float:
+        known_times = (self._records[name].outcomes.times for name in known_names)
+        times = [item for item in known_times if item.number]
+        for item in times:
+            item.settle(now)
+        number = sum(item.number for item in times)
+        return sum(item.total_s for item in times) / number if number >= 1 else 0.0
 
-    def _overall(self, name: str, mean_s: float, now: float) -> Finding:
+    def _health_overall(self, name: str, mean_s: float, now: float) -> Finding:
         record = self._records[name]
         outcomes = record.outcomes
         took_s = outcomes.times.mean_s(mean_s) if mean_s else 0.0
-        # One source's failures say nothing to the others.
-        failing = rate(*outcomes.counts()) if outcomes.is_doubted else 0.0
-        standing = record.standings.get(EVERYWHERE)
-        if standing is None or standing.phase is Phase.CLOSED:
-            return Finding(name, EVERYWHERE, failing, 0.0, outcomes.sources(), "", took_s)
+        # Failures that only one source reports may be its own fault.
+        failing = failure_rate(*outcomes.counts()) if outcomes.is_suspected else 0.0
+        ejection = record.ejections.get(ALL_HALLS)
+        if ejection is None or ejection.phase is EjectionPhase.CLOSED:
+            return Finding(name, ALL_HALLS, failing, 0.0, outcomes.sources(), "", took_s)
         return Finding(
             name,
-            EVERYWHERE,
+            ALL_HALLS,
             failing,
-            standing.held_back(now),
-            standing.evidence.sources,
-            standing.prober(lambda last: self._next_prober(EVERYWHERE, last, now), now),
+            ejection.held_back(now),
+            ejection.evidence.sources,
+            ejection.prober(lambda last: self._next_prober(ALL_HALLS, last, now), now),
             took_s,
         )
 
-    def _by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
-        for hall, standing in self._records[name].standings.items():
-            if hall == EVERYWHERE or standing.phase is Phase.CLOSED:
+    def _health_by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
+        for hall, ejection in self._records[name].ejections.items():
+            if hall == ALL_HALLS or ejection.phase is EjectionPhase.CLOSED:
                 continue
             choose = lambda last, hall=hall: self._next_prober(hall, last, now)  # noqa: E731
             yield Finding(
                 name,
                 hall,
-                rate(*self._records[name].outcomes.counts(hall)),
-                standing.held_back(now),
-                standing.evidence.sources,
-                standing.prober(choose, now),
+                failure_rate(*self._records[name].outcomes.counts(hall)),
+                ejection.held_back(now),
+                ejection.evidence.sources,
+                ejection.prober(choose, now),
             )
 
     def _next_prober(self, hall: str, last: str, now: float) -> str:
-        """Return the source that told of most requests since it was the prober."""
+        """Return the source that reported the most requests since it was last the prober."""
         active = [
             source.name
             for source, at in self._sources.items()
-            if now - at <= ACTIVE_S and hall in (EVERYWHERE, source.hall) and source.name != last
+            if now - at <= SOURCE_ACTIVE_S
+            and hall in (ALL_HALLS, source.hall)
+            and source.name != last
         ]
         if not active:
             return last
@@ -391,7 +403,7 @@
         return chosen
 
 
-def _change(name: str, hall: str, standing: Standing, ejected: bool, now: float) -> Change:
-    seen = standing.evidence
-    strikes = standing.strikes(now)
+def _change(name: str, hall: str, ejection: ReplicaEjection, ejected: bool, now: float) -> Change:
+    seen = ejection.evidence
+    strikes = ejection.strikes(now)
     return Change(name, hall, ejected, seen.sources, seen.good, seen.bad, strikes)
--- a/tests/share_pool.py
+++ b/tests/share_pool.py
@@ -1,4 +1,4 @@
-"""One line in front of many slots: requests of owners and kinds, one of which sends too much."""
+"""Simulates one queue for many slots, with owners and kinds of which one sends too much."""
 
 import heapq
 import itertools
@@ -11,16 +11,16 @@
 SLOTS = 360
 SPEED = 19_200.0
 TOKEN_S = 0.0131
-"""A token of a full batch of 12."""
+"""Time of a token in a full batch of 12, in seconds."""
 KINDS = (("k0", 0, 1.0, 1_460, 172), ("k1", 1, 0.8, 1_460, 172), ("k2", 2, 0.8, 646, 68))
 """Name, urgency, target, mean prompt and mean answer in tokens."""
 MIX = (17, 122, 76)
 OWNERS = (0.2, 0.2, 0.15, 0.15, 0.1, 0.1, 0.1)
-"""Usual parts of organisations."""
+"""Usual fractions of organisations."""
 RATE = 150.0
 FLOOD = (20.0, 30.0)
 TRIES = 4
-"""A third of the callers of what was not served repeat thrice, at once."""
+"""A third of the callers of unserved requests retry three times, at once."""
 PATIENCE_S = 3.0
 STEP_S = 0.01
 
@@ -38,7 +38,7 @@
 
     @property
     def first_s(self):
-        """Time to its first event: its wait and its reading; callers that left count fully."""
+        """Time to its first event: its wait and its prefill; cancelled requests count fully."""
         if self.sent_at < 0:
             return PATIENCE_S
         return self.sent_at - self.at + self.prompt / SPEED
@@ -46,15 +46,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """Who sends so many times its usual, an owner or a kind; and what fails."""
+    """Owner or kind that sends a multiple of its usual load, and simulated failures."""
 
     times: float = 6.6
     owner: str = "o2"
     kind: int = -1
     lost_at: float = 1e9
-    """The planner's successor knows nothing of what was used before."""
+    """Time at which the planner is replaced by one without usage data."""
     cut_from: float = 1e9
-    """From then on a quarter of the gateways tell nothing."""
+    """Time from which a quarter of the gateways report no usage."""
     token_weight: float = 10.0
     has_ranks: bool = True
     """Whether kinds differ in urgency."""
@@ -67,18 +67,18 @@
 
 
 class Pool:
-    """One run; without an order they go by urgency, as they came."""
+    """One simulation; without an order, requests are served by urgency and arrival."""
 
     def __init__(self, load, order=None, seed=1, weights=None):
         self.load, self.order = load, order
         self.weights = weights or EqualWeights()
         self.rng = random.Random(seed)
         self.shares, self.turns = Shares(), Turns()
-        self.line, self.items = [], []
+        self.queue, self.items = [], []
         self.ends = []
         self.tokens = self.refused = 0
         self.was_idle = False
-        """Whether a slot was left free though somebody waited."""
+        """Whether a slot was left free while a request waited."""
         self.numbers = itertools.count()
 
     def go(self):
@@ -110,28 +110,28 @@
         prompt = int(prompt * self.rng.lognormvariate(-0.18, 0.6)) + 1
         answer = int(answer * self.rng.lognormvariate(-0.12, 0.5)) + 4
         item = Item(now, owner, kind, prompt, answer, tries, number=next(self.numbers))
-        self.line.append(item)
+        self.queue.append(item)
         self.items.append(item)
         return item
 
     def _serve(self, now):
-        for item in [item for item in self.line if now - item.at > PATIENCE_S]:
+        for item in [item for item in self.queue if now - item.at > PATIENCE_S]:
             self._give_up(item, now)
         if self.order is not None:
             self._arrange(now)
         else:
-            self.line.sort(key=lambda item: (self.load.urgency(item), item.at))
-        while self.line and len(self.ends) < SLOTS:
-            self._send(self.line.pop(0), now)
-        self.was_idle |= bool(self.line) and len(self.ends) < SLOTS
+            self.queue.sort(key=lambda item: (self.load.urgency(item), item.at))
+        while self.queue and len(self.ends) < SLOTS:
+            self._send(self.queue.pop(0), now)
+        self.was_idle |= bool(self.queue) and len(self.ends) < SLOTS
 
     def _arrange(self, now):
-        claims = [self._claim(item, at) for at, item in enumerate(self.line)]
+        claims = [self._claim(item, at) for at, item in enumerate(self.queue)]
         board = self.shares.board(claims, self.weights, now)
-        self.line = [self.line[claim.number] for claim in self.order.arrange(claims, board)]
+        self.queue = [self.queue[claim.number] for claim in self.order.arrange(claims, board)]
         lines = {}
         free = SLOTS - len(self.ends)
-        for item in self.line[max(0, free) :]:
+        for item in self.queue[max(0, free) :]:
             if board.yields(_party(item), self.load.urgency(item)):
                 lines.setdefault(_party(item), []).append(item)
         for party, items in lines.items():
@@ -155,13 +155,13 @@
             self.turns.note(_party(item), 1, now)
 
     def _give_up(self, item, now):
-        self.line.remove(item)
+        self.queue.remove(item)
         self.refused += 1
         if item.number % 3 == 0 and item.tries < TRIES:
             self._item(now, item.owner, item.kind, item.tries + 1)
 
     def others_p99(self):
-        """Return the time to a first event that 99% of the others' stay below, in seconds."""
+        """Return the 99th percentile of the others' time to a first event, in seconds."""
         waits = sorted(
             item.first_s
             for item in self.items
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Many gateways' findings of replicas that fail, lie, flap, or are wrongly suspected."""
+"""Detection of replicas that fail, flap, or are wrongly suspected, from many gateways' reports."""
 
 import random
 from collections import Counter
@@ -6,10 +6,10 @@
 import pytest
 from gradelug_gateway.fleet import FAILURE_COST_REQUESTS
 from gradelug_gateway.health import Health
-from gradelug_policy.doubts import DOUBTED_S, KEPT_S, Doubts, Telling
-from gradelug_policy.outcomes import Ended, Evidence, Source, rate
-from gradelug_policy.standings import MOST_OPEN_S, OPEN_S, Phase, Standing
-from gradelug_policy.verdicts import MOST_EJECTED, VerdictPool
+from gradelug_policy.doubts import OUTCOME_HOLD_S, SUSPICION_TTL_S, Doubts, Telling
+from gradelug_policy.outcomes import Ended, FailureEvidence, Source, failure_rate
+from gradelug_policy.standings import MAX_OPEN_S, MIN_OPEN_S, EjectionPhase, ReplicaEjection
+from gradelug_policy.verdicts import MAX_EJECTED_FRACTION, VerdictPool
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -22,7 +22,7 @@
 
 
 class Own:
-    """Each gateway learns by itself, as without shared health."""
+    """Each gateway uses only its own outcomes, as without shared health."""
 
     def __init__(self):
         self.records = {}
@@ -50,7 +50,9 @@
 
 
 class PooledRate(Own):
-    """All gateways' outcomes in one rate; beyond 0.3 of five and more the replica is left alone."""
+    """One failure rate over all gateways; above 0.3 of at least five outcomes, it ejects the
+    replica.
+    """
 
     def __init__(self):
         super().__init__()
@@ -67,8 +69,8 @@
     def tell(self, now):
         for replica, seen in self.seen.items():
             seen[:] = [(at, failed) for at, failed in seen if now - at < 3.0]
-            told = [failed for at, failed in seen if at < now - GATHER_S]
-            if len(told) >= 5 and sum(told) > 0.3 * len(told):
+            reports = [failed for at, failed in seen if at < now - GATHER_S]
+            if len(reports) >= 5 and sum(reports) > 0.3 * len(reports):
                 self.out[replica] = now + 2.0
                 seen.clear()
 
@@ -77,13 +79,13 @@
 
 
 class Pooled(Own):
-    """The pool as gateways and planner use it, on top of a gateway's own records."""
+    """The detector as gateways and planner use it, in addition to a gateway's own records."""
 
     def __init__(self):
         super().__init__()
         self.pool = VerdictPool()
         self.found = {}
-        self.told = Counter()
+        self.reports = Counter()
         self.changes = []
 
     def choose(self, source, rng, now):
@@ -116,13 +118,13 @@
 
     def note(self, source, replica, failed, now):
         super().note(source, replica, failed, now)
-        self.told[(source, replica, failed)] += 1
+        self.reports[(source, replica, failed)] += 1
 
     def tell(self, now):
-        for (source, replica, failed), count in self.told.items():
+        for (source, replica, failed), count in self.reports.items():
             ended = Ended(0, count) if failed else Ended(count, 0)
             self.pool.note(replica, source, ended, now)
-        self.told.clear()
+        self.reports.clear()
         members = {"llm": REPLICAS}
         self.changes += [(now, change) for change in self.pool.step(members, GATHER_S, now)]
         found = self.pool.findings(members, now)
@@ -132,32 +134,32 @@
         return {(change.replica, change.hall) for _, change in self.changes if change.ejected}
 
 
-class Doubted(Pooled):
-    """Gateways tell of doubted replicas alone, and hear a message later what others doubt."""
+class SuspectsOnly(Pooled):
+    """Gateways report suspected replicas only, and learn of others' suspects one message later."""
 
     def __init__(self):
         super().__init__()
         self.pool = VerdictPool(lambda replica: True)
         self.doubts = {source: Doubts() for source in SOURCES}
-        self.untold = {source: {} for source in SOURCES}
+        self.unreported = {source: {} for source in SOURCES}
         self.entries = 0
 
     def note(self, source, replica, failed, now):
         Own.note(self, source, replica, failed, now)
-        tally = self.untold[source].setdefault(replica, [0, 0])
+        tally = self.unreported[source].setdefault(replica, [0, 0])
         tally[failed] += 1
 
     def tell(self, now):
-        for source, untold in self.untold.items():
-            if untold:
-                self.pool.hear(source, len(untold), now)
-            for replica, (good, bad) in list(untold.items()):
+        for source, unreported in self.unreported.items():
+            if unreported:
+                self.pool.hear(source, len(unreported), now)
+            for replica, (good, bad) in list(unreported.items()):
                 if bad:
                     self.doubts[source].doubt(replica, now)
                 telling = self.doubts[source].decide(replica, now)
                 if telling is Telling.KEEP:
                     continue
-                del untold[replica]
+                del unreported[replica]
                 if telling is Telling.TELL:
                     self.entries += 1
                     self.pool.note(replica, source, Ended(good, bad), now)
@@ -169,75 +171,77 @@
                         self.doubts[source].doubt(finding.replica, now)
 
 
-@pytest.fixture(params=[Pooled, Doubted])
+@pytest.fixture(params=[Pooled, SuspectsOnly])
 def make(request):
-    """Both ways of telling: of all replicas, as of those without engines, and of doubted ones."""
+    """Both ways of reporting: all replicas, as for those without engines, and suspected ones
+    only.
+    """
     return request.param
 
 
-def play(way, fails, until=12.0, per_s=140.0, seed=1):
-    """Return failed requests by replica, and those sent there, by second.
+def simulate(method, fails, until=12.0, per_s=140.0, seed=1):
+    """Return failed requests by replica, and sent requests by replica and second.
 
-    `fails(rng, source, replica, now)` tells whether a request fails.
+    `fails(rng, source, replica, now)` returns whether a request fails.
     """
     rng = random.Random(seed)
     sent, failed = Counter(), Counter()
-    now, told_at = 0.0, 0.0
+    now, reported_at = 0.0, 0.0
     while now < until:
         now += rng.expovariate(per_s)
-        if now - told_at >= NEWS_S:
-            told_at = now
-            way.tell(now)
+        if now - reported_at >= NEWS_S:
+            reported_at = now
+            method.tell(now)
         source = rng.choice(SOURCES)
-        replica = way.choose(source, rng, now)
+        replica = method.choose(source, rng, now)
         bad = fails(rng, source, replica, now)
         sent[replica, int(now)] += 1
         failed[replica] += bad
-        way.note(source, replica, bad, now)
+        method.note(source, replica, bad, now)
     return failed, sent
 
 
-def grey(rng, source, replica, now):
-    """Fail 45% at one replica from the second second on, and 2% everywhere."""
+def partial_failures(rng, source, replica, now):
+    """Return whether a request fails: 45% at one replica from the third second on, 2% elsewhere."""
     return rng.random() < (0.45 if replica == "e3" and now > 2.0 else 0.02)
 
 
 class TestPooledVerdicts:
-    def test_a_replica_that_fails_nearly_half_is_left_alone_soon(self):
-        """With 45 of 100 failing, 85 gateways that learn alone go on sending."""
+    def test_a_replica_that_fails_nearly_half_is_ejected_soon(self):
+        """At a failure rate of 45%, 85 gateways that learn individually keep sending requests."""
         counts = {}
-        for make in (Own, PooledRate, Pooled, Doubted):
-            seen = [play(make(), grey, seed=seed) for seed in range(5)]
+        for make in (Own, PooledRate, Pooled, SuspectsOnly):
+            seen = [simulate(make(), partial_failures, seed=seed) for seed in range(5)]
             counts[make] = sum(failed["e3"] for failed, _ in seen) / len(seen)
-        for pooled in (Pooled, Doubted):
+        for pooled in (Pooled, SuspectsOnly):
             assert counts[pooled] < 0.4 * counts[Own]
             assert counts[pooled] < 25
 
     @pytest.mark.parametrize("seed", range(5))
     def test_it_is_ejected_within_three_seconds_and_stays_so_while_it_fails(self, seed, make):
-        way = make()
-        _, sent = play(way, grey, seed=seed)
-        first = min(at for at, change in way.changes if change.ejected)
+        method = make()
+        _, sent = simulate(method, partial_failures, seed=seed)
+        first = min(at for at, change in method.changes if change.ejected)
         assert first < 5.0
         assert sum(sent["e3", second] for second in range(6, 12)) < 0.3 * 6 * 14
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_what_fails_three_in_a_hundred_is_not_ejected(self, seed, make):
-        way = make()
-        play(way, lambda rng, *_: rng.random() < 0.03, until=30.0, seed=seed)
-        assert not way.ejected()
+    def test_a_failure_rate_of_three_percent_ejects_nothing(self, seed, make):
+        method = make()
+        simulate(method, lambda rng, *_: rng.random() < 0.03, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_one_bad_gateway_ejects_nothing(self, seed, make):
+    def test_one_faulty_gateway_ejects_nothing(self, seed, make):
         def fails(rng, source, replica, now):
             return source.name == "g7" or rng.random() < 0.02
 
-        way = make()
-        play(way, fails, until=30.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, fails, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("others_bad", [0, 1])
-    def test_a_bad_gateway_and_chance_at_two_others_eject_nothing(self, others_bad):
+    def test_a_faulty_gateway_and_chance_failures_at_two_others_eject_nothing(self, others_bad):
         pool = VerdictPool()
         sources = [Source(f"g{number}", "a") for number in range(3)]
         changes = []
@@ -263,15 +267,15 @@
         assert not changes
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_a_hall_that_cannot_reach_a_replica_ejects_it_for_itself_alone(self, seed, make):
+    def test_a_hall_that_cannot_reach_a_replica_ejects_it_only_for_itself(self, seed, make):
         def fails(rng, source, replica, now):
             return source.hall == "b" and replica == "e4" or rng.random() < 0.02
 
-        way = make()
-        play(way, fails, until=15.0, seed=seed)
-        assert way.ejected() == {("e4", "b")}
+        method = make()
+        simulate(method, fails, until=15.0, seed=seed)
+        assert method.ejected() == {("e4", "b")}
 
-    def test_resets_at_one_moment_are_no_evidence(self):
+    def test_simultaneous_resets_are_no_evidence(self):
         pool = VerdictPool()
         for source in SOURCES:
             pool.note("e0", source, Ended(0, 1), 1.0 + 0.2 * random.Random(source.name).random())
@@ -280,61 +284,61 @@
 
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("part", [0.45, 0.9])
-    def test_where_all_fail_nobody_is_ejected(self, part, seed, make):
-        way = make()
-        play(way, lambda rng, *_: rng.random() < part, until=30.0, seed=seed)
-        assert not way.ejected()
+    def test_nothing_is_ejected_if_all_replicas_fail(self, part, seed, make):
+        method = make()
+        simulate(method, lambda rng, *_: rng.random() < part, until=30.0, seed=seed)
+        assert not method.ejected()
 
     @pytest.mark.parametrize("seed", range(10))
-    def test_a_wave_of_requests_that_fail_wherever_they_are_sent_ejects_nobody(self, seed, make):
-        """Of three plain replicas one had 8 of 11 requests failed while all failed a third."""
+    def test_a_wave_of_requests_that_fail_everywhere_ejects_nothing(self, seed, make):
+        """One of three replicas had 8 of 11 requests failed while a third failed at all of them."""
 
         def fails(rng, source, replica, now):
             return rng.random() < (0.4 if 8.0 < now < 14.0 else 0.05)
 
-        way = make()
-        play(way, fails, until=20.0, seed=seed)
-        assert not way.ejected()
+        method = make()
+        simulate(method, fails, until=20.0, seed=seed)
+        assert not method.ejected()
 
-    def test_a_replica_that_is_well_again_comes_back_by_steps(self, make):
+    def test_a_recovered_replica_returns_in_steps(self, make):
         def fails(rng, source, replica, now):
             return replica == "e3" and 2.0 < now < 6.0 and rng.random() < 0.45
 
-        way = make()
-        _, sent = play(way, fails, until=25.0)
-        ejected = [at for at, change in way.changes if change.ejected]
-        returned = [at for at, change in way.changes if not change.ejected]
+        method = make()
+        _, sent = simulate(method, fails, until=25.0)
+        ejected = [at for at, change in method.changes if change.ejected]
+        returned = [at for at, change in method.changes if not change.ejected]
         assert ejected
         assert ejected[-1] < 6.5
         assert returned
         assert returned[-1] < 15.0
         assert sum(sent["e3", second] for second in range(20, 25)) > 0.7 * 5 * 14
 
-    def test_one_that_flaps_is_left_alone_for_longer_each_time(self, make):
+    def test_a_flapping_replica_is_ejected_longer_each_time(self, make):
         def fails(rng, source, replica, now):
             return replica == "e3" and int(now / 6.0) % 2 == 0
 
-        way = make()
-        play(way, fails, until=60.0)
-        strikes = [change.strikes for _, change in way.changes if change.ejected]
+        method = make()
+        simulate(method, fails, until=60.0)
+        strikes = [change.strikes for _, change in method.changes if change.ejected]
         assert len(strikes) >= 3
         assert strikes == sorted(strikes)
 
-    def test_each_ejection_lasts_longer_until_long_after(self):
-        standing, evidence = Standing(), Evidence(3, 0.0, 0, 6)
-        rests = []
+    def test_ejections_lengthen_and_old_ones_expire(self):
+        ejection, evidence = ReplicaEjection(), FailureEvidence(3, 0.0, 0, 6)
+        open_times_s = []
         for at in (0.0, 20.0, 40.0, 400.0):
-            standing.eject(evidence, at)
-            rest_s = 0.0
-            while standing.phase is Phase.OPEN:
-                rest_s += 0.05
-                standing.step(at + rest_s)
-            rests.append(rest_s)
-        assert rests[0] == pytest.approx(OPEN_S, abs=0.1)
-        assert rests[0] * 1.3 < rests[1] < rests[2] <= MOST_OPEN_S
-        assert rests[3] < 1.1 * OPEN_S
-
-    def test_a_replica_that_nobody_probes_comes_back(self):
+            ejection.eject(evidence, at)
+            open_s = 0.0
+            while ejection.phase is EjectionPhase.OPEN:
+                open_s += 0.05
+                ejection.step(at + open_s)
+            open_times_s.append(open_s)
+        assert open_times_s[0] == pytest.approx(MIN_OPEN_S, abs=0.1)
+        assert open_times_s[0] * 1.3 < open_times_s[1] < open_times_s[2] <= MAX_OPEN_S
+        assert open_times_s[3] < 1.1 * MIN_OPEN_S
+
+    def test_a_replica_without_probes_returns(self):
         pool = VerdictPool()
         now = 0.0
         for step in range(20):
@@ -360,60 +364,62 @@
         ),
         st.integers(1, 10),
     )
-    def test_whatever_is_told_half_of_a_service_stays_usable(self, told, size):
+    def test_half_of_a_service_stays_usable_for_any_reports(self, reports, size):
         pool = VerdictPool()
         members = {"llm": REPLICAS[:size]}
         now = 0.0
-        for replica, number, good, bad, passed_s in told:
+        for replica, number, good, bad, passed_s in reports:
             now += passed_s
             pool.note(f"e{replica}", SOURCES[number], Ended(good, bad), now)
             pool.step(members, GATHER_S, now)
             findings = list(pool.findings(members, now))
             for hall in HALLS:
                 out = {f.replica for f in findings if f.hall in ("", hall) and f.held_back == 1.0}
-                assert len(out) <= MOST_EJECTED * size
+                assert len(out) <= MAX_EJECTED_FRACTION * size
             assert all(0.0 <= finding.failing <= 1.0 for finding in findings)
 
 
-class TestDoubts:
-    """Of 10,000 requests a second nearly all are answered, which is of use to nobody."""
+class TestSuspects:
+    """Nearly all of 10,000 requests per second succeed, which need not be reported."""
 
-    def test_what_ends_well_is_not_told(self):
-        way = Doubted()
-        play(way, lambda *_: False)
-        assert way.entries == 0
+    def test_successes_are_not_reported(self):
+        method = SuspectsOnly()
+        simulate(method, lambda *_: False)
+        assert method.entries == 0
 
-    def test_answers_are_told_with_the_failures_beside_them(self):
+    def test_successes_are_reported_together_with_failures(self):
         doubts = Doubts()
         assert doubts.decide("e0", 1.0) is Telling.KEEP
-        assert doubts.decide("e0", 1.0 + KEPT_S - 0.1) is Telling.KEEP
-        doubts.doubt("e0", 1.0 + KEPT_S)
-        assert doubts.decide("e0", 1.0 + KEPT_S) is Telling.TELL
-        assert doubts.decide("e1", 1.0 + KEPT_S) is Telling.KEEP
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S - 0.1) is Telling.KEEP
+        doubts.doubt("e0", 1.0 + OUTCOME_HOLD_S)
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S) is Telling.TELL
+        assert doubts.decide("e1", 1.0 + OUTCOME_HOLD_S) is Telling.KEEP
 
-    def test_old_answers_are_dropped_and_newer_ones_kept(self):
+    def test_old_successes_are_dropped_and_newer_ones_kept(self):
         doubts = Doubts()
-        told = [doubts.decide("e0", at) for at in (0.0, 1.0, KEPT_S, KEPT_S + 0.1)]
-        assert told == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
+        reports = [
+            doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)
+        ]
+        assert reports == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
 
-    def test_a_replica_is_told_of_until_its_last_failure_no_longer_counts(self):
+    def test_a_replica_is_reported_until_its_last_failure_expires(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         doubts.doubt("e0", 5.0)
-        assert doubts.decide("e0", 5.0 + DOUBTED_S - 0.1) is Telling.TELL
-        assert doubts.decide("e0", 5.0 + DOUBTED_S) is Telling.KEEP
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S - 0.1) is Telling.TELL
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S) is Telling.KEEP
 
-    def test_another_planner_is_told_nothing_of_what_was_doubted_before(self):
+    def test_a_new_planner_receives_no_earlier_suspects(self):
         doubts = Doubts()
         doubts.doubt("e0", 0.0)
         assert doubts.decide("e1", 0.0) is Telling.KEEP
         doubts.begin()
-        assert doubts.decide("e0", KEPT_S) is Telling.KEEP
-        assert doubts.decide("e1", KEPT_S) is Telling.KEEP
+        assert doubts.decide("e0", OUTCOME_HOLD_S) is Telling.KEEP
+        assert doubts.decide("e1", OUTCOME_HOLD_S) is Telling.KEEP
 
     @pytest.mark.parametrize("is_used", [True, False])
-    def test_replicas_that_nobody_doubts_say_what_is_usual(self, is_used):
-        """Of six of twenty that fail, all that is told of the others is nothing."""
+    def test_unsuspected_replicas_set_the_usual_failure_rate(self, is_used):
+        """Six of twenty replicas fail; no outcomes of the others are reported."""
         pool = VerdictPool(lambda replica: is_used)
         replicas = [f"e{number}" for number in range(20)]
         rng, changes = random.Random(4), []
@@ -427,8 +433,8 @@
         ejected = {change.replica for change in changes if change.ejected}
         assert ejected == (set(replicas[:6]) if is_used else set())
 
-    def test_failures_that_are_told_before_answers_are_not_judged_alone(self):
-        """One source is at fault; four others had a failure each, and many more answers untold."""
+    def test_failures_reported_before_successes_are_not_judged_alone(self):
+        """One source is faulty; four others had one failure each and many unreported successes."""
         pool, changes = VerdictPool(lambda replica: True), []
         sources = [Source(f"g{number}", "a") for number in range(40)]
         for step in range(10):
@@ -443,7 +449,7 @@
             changes += pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert not changes
 
-    def test_a_gateway_without_doubts_may_be_the_prober(self):
+    def test_a_gateway_without_suspects_may_be_the_prober(self):
         pool = VerdictPool(lambda replica: True)
         for step in range(20):
             now = step * NEWS_S
@@ -461,6 +467,6 @@
     return found["e0"]
 
 
-def test_a_rate_from_few_outcomes_is_cautious():
-    assert rate(0, 1) == 0.2
-    assert rate(60, 40) > 0.38
+def test_a_rate_from_few_outcomes_is_biased_to_zero():
+    assert failure_rate(0, 1) == 0.2
+    assert failure_rate(60, 40) > 0.38
