--- a/packages/bench/src/gradelug_bench/model.py
+++ b/packages/bench/src/gradelug_bench/model.py
@@ -283,7 +283,7 @@
         return sum(request.arrival.weight for request in self.waiting_of(engine, key))
 
     def _grant_later(self) -> None:
-        delay_s = self._permits.next_at(self.now)
+        delay_s = self._permits.next_token_s(self.now)
         if self._permit_due or delay_s <= 0:
             return
         self._permit_due = True
@@ -305,7 +305,7 @@
         self._at(at, lambda: self._loaded(engine, key, permit, boot, good))
 
     def _loaded(self, engine: EngineState, key: str, permit: int, boot: int, good: bool) -> None:
-        self._permits.end(permit)
+        self._permits.release(permit)
         if boot == engine.boot:
             engine.loading.discard(key)
             if good:
--- a/packages/gateway/src/gradelug_gateway/exchange.py
+++ b/packages/gateway/src/gradelug_gateway/exchange.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from gradelug_http import Connection, HttpPool, ResponseHead
-from gradelug_policy.poison import BEGUN, RUNNING, WAITING
+from gradelug_policy.poison import QUEUED_WEIGHT, STARTED_WEIGHT, STREAMING_WEIGHT
 from gradelug_policy.prefill import EngineLoad, RequestWork
 
 from .job import Job
@@ -104,9 +104,9 @@
     def failure_weight(self) -> float:
         """Evidence that the request is the cause if its replica ends now."""
         if self.is_running:
-            return RUNNING
+            return STREAMING_WEIGHT
         # A stream's head is sent when it starts; other responses arrive only once complete.
-        return WAITING if self.job.route.streaming and not self.status else BEGUN
+        return QUEUED_WEIGHT if self.job.route.streaming and not self.status else STARTED_WEIGHT
 
     def release(self, pool: HttpPool, head: ResponseHead) -> None:
         """Return the connection to the pool after a complete response."""
--- a/packages/gateway/src/gradelug_gateway/fair_queue.py
+++ b/packages/gateway/src/gradelug_gateway/fair_queue.py
@@ -13,18 +13,18 @@
 import logbook
 from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S
 from gradelug_policy.shares import (
-    Board,
-    ByBound,
-    Claim,
     EqualWeights,
-    Order,
-    Parts,
-    Shares,
+    FairnessState,
+    OveruseOrder,
+    SchedulingOrder,
+    ShareAllocation,
+    UsageShares,
+    WaitingRequest,
     Weights,
-    ahead_s,
-    out_of_turn,
+    early_send_s,
+    requests_too_late,
 )
-from gradelug_policy.uses import Party, Turns, Uses
+from gradelug_policy.uses import DecayedUsage, Party, SendRates
 from gradelug_wire import placement_pb2 as pb
 
 from .engines import Engine
@@ -99,17 +99,17 @@
         state: FleetState,
         flush_s: t.Callable[[], float],
         is_on: bool = True,
-        order: Order = ByBound(),  # noqa: B008
+        order: SchedulingOrder = OveruseOrder(),  # noqa: B008
     ) -> None:
         self._state = state
         self._flush_s = flush_s
         self._is_on = is_on
         self._order = order
-        self._shares = Shares()
-        self._turns = Turns()
-        self._loads = Uses()
+        self._shares = UsageShares()
+        self._turns = SendRates()
+        self._loads = DecayedUsage()
         """Number of loads started, by owner, with exponential decay."""
-        self._board: Board | None = None
+        self._board: FairnessState | None = None
         """Shares of owners and kinds; None while no request waits for capacity."""
         self._claimed: frozenset[AdapterKey] = frozenset()
         """Weights of the held requests that yield to no others."""
@@ -154,11 +154,11 @@
         claims = [_claim(waiter, position) for position, waiter in enumerate(waiters)]
         held = [claim for claim in claims if waiters[claim.number].waits_for_capacity]
         self._owners = len({claim.party.owner for claim in held})
-        board = self._board = self._shares.board(held, self._current_weights(), now)
+        board = self._board = self._shares.fairness(held, self._current_weights(), now)
         self._claimed = frozenset(
             waiters[claim.number].key
             for claim in held
-            if not board.yields(claim.party, claim.urgency)
+            if not board.must_yield(claim.party, claim.urgency)
         )
         return [waiters[claim.number] for claim in self._order.arrange(claims, board)]
 
@@ -166,7 +166,7 @@
         """Tell whether a request goes after others that wait for capacity."""
         if self._board is None or waiter.ask.begun:
             return False
-        return self._board.yields(_party(waiter), waiter.ask.urgency)
+        return self._board.must_yield(_party(waiter), waiter.ask.urgency)
 
     def defers(self, waiter: Waiter, is_placed: bool) -> bool:
         """Tell whether a new request is left to the next decision, and mark it as held if so.
@@ -226,7 +226,7 @@
             MAX_REQUEST_HOLD_S, waiter.target_at - waiter.asked_at
         )
         is_claimed = any(key in engine.weight_slots for key in self._claimed)
-        return ahead_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
+        return early_send_s(remaining_fraction, self._flush_s(), completion_interval_s, is_claimed)
 
     def _must_stay_queued(self, waiter: Waiter) -> bool:
         """Tell whether a request must not enter an engine's queue, even if no other waits now."""
@@ -234,7 +234,7 @@
             return False
         return self.yields(waiter) or self._board.is_over(waiter.ask.organisation)
 
-    def standing(self, waiter: Waiter, now: float) -> pb.Standing | None:
+    def standing(self, waiter: Waiter, now: float) -> pb.FairShare | None:
         """Return the shares that decided when a request was answered; None if it did not wait."""
         board = self._board
         if board is None or now <= waiter.asked_at:
@@ -242,7 +242,7 @@
         party = _party(waiter)
         owner_standing = board.owners.standing(party.owner)
         oldest = min(self._received_at.values(), default=now)
-        return pb.Standing(
+        return pb.FairShare(
             part=owner_standing.part,
             fair=owner_standing.fair,
             yields=self.yields(waiter),
@@ -263,7 +263,7 @@
         for party, queue in queues.items():
             rate = self._turns.rate(party, now)
             times_left_s = [waiter.target_at - now for waiter in queue]
-            late.update(id(queue[position]) for position in out_of_turn(times_left_s, rate))
+            late.update(id(queue[position]) for position in requests_too_late(times_left_s, rate))
         if not late:
             return waiters
         for waiter in waiters:
@@ -307,7 +307,7 @@
             waiting_count[owner] = waiting_count.get(owner, 0.0) + 1.0
         if len(waiting_count) < 2 or not self._is_on:
             return ordered
-        parts = Parts(self._loads.all(now), waiting_count, self._current_weights())
+        parts = ShareAllocation(self._loads.all(now), waiting_count, self._current_weights())
         over = {owner for owner in waiting_count if parts.is_over(owner)}
         return sorted(ordered, key=lambda waiter: waiter.ask.organisation in over)
 
@@ -327,10 +327,10 @@
     return Party(waiter.ask.organisation, waiter.ask.kind)
 
 
-def _claim(waiter: Waiter, number: int) -> Claim:
+def _claim(waiter: Waiter, number: int) -> WaitingRequest:
     work = waiter.work
     tokens = cost(work.prompt_tokens, work.answer_tokens)
-    return Claim(_party(waiter), tokens, waiter.ask.urgency, waiter.asked_at, number)
+    return WaitingRequest(_party(waiter), tokens, waiter.ask.urgency, waiter.asked_at, number)
 
 
 def _arrival(waiter: Waiter) -> float:
--- a/packages/gateway/src/gradelug_gateway/idle_connections.py
+++ b/packages/gateway/src/gradelug_gateway/idle_connections.py
@@ -6,7 +6,7 @@
 
 from gradelug_coordination.rendezvous import score
 from gradelug_http.pool import MOST_IDLE
-from gradelug_policy.connections import idle_share
+from gradelug_policy.connections import max_idle_connections
 
 from .budgets import DEFAULT_GATEWAY_COUNT
 from .model import FleetState
@@ -44,7 +44,7 @@
         if max_conns is None:
             return MOST_IDLE
         draw = score(self._instance, address) / SCORE_RANGE
-        return idle_share(max_conns, self._instances() or DEFAULT_GATEWAY_COUNT, draw)
+        return max_idle_connections(max_conns, self._instances() or DEFAULT_GATEWAY_COUNT, draw)
 
     def _max_conns_by_address(self) -> dict[str, int]:
         snapshot = self._state.snapshot
--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 import logbook
-from gradelug_policy.replica_limits import LimitRecord
-from gradelug_policy.replica_room import Applicant, ReplicaRoom, Ruling
+from gradelug_policy.replica_limits import ReplicaLimit
+from gradelug_policy.replica_room import CapacityDecision, CapacityRequest, ReplicaRateLimiter
 from gradelug_wire import placement_pb2 as pb
 
 from .followers import Follower
@@ -49,8 +49,8 @@
 
     service: str
     born: int
-    record: LimitRecord = field(default_factory=LimitRecord)
-    limiter: ReplicaRoom | None = None
+    record: ReplicaLimit = field(default_factory=ReplicaLimit)
+    limiter: ReplicaRateLimiter | None = None
     """None while the replica has no limit."""
     timer: asyncio.TimerHandle | None = None
     granted: Counter[str] = field(default_factory=Counter)
@@ -125,7 +125,7 @@
         self._followers.pop(follower.number, None)
         for limited in self._limited.values():
             if limited.limiter is not None:
-                limited.limiter.withdraw(_GatewayTickets(follower.number))
+                limited.limiter.cancel(_GatewayTickets(follower.number))
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Add changed limits, and those due for repetition, to an update for all gateways."""
@@ -217,9 +217,9 @@
                 self._send_decisions(limited, limiter.release())
         elif limited.limiter is None:
             log.info("limit", replica=name, rate=rate)
-            limited.limiter = ReplicaRoom(rate, now)
+            limited.limiter = ReplicaRateLimiter(rate, now)
         else:
-            limited.limiter.rename(rate, now)
+            limited.limiter.set_rate(rate, now)
             self._grant_available(name)
 
     def _handle_ask(self, follower: Follower, ask: pb.RoomAsk, now: float) -> None:
@@ -230,10 +230,10 @@
         if limited is None or limited.limiter is None:
             follower.answer_room(pb.RoomAnswer(ticket=ask.ticket, granted=True))
             return
-        request = Applicant(
+        request = CapacityRequest(
             (follower.number, ask.ticket), now + ask.wait_ms / MS, ask.rank, ask.value, ask.begun
         )
-        self._send_decisions(limited, limited.limiter.apply(request, now))
+        self._send_decisions(limited, limited.limiter.enqueue(request, now))
         self._schedule_grants(ask.replica, limited, now)
 
     def _grant_available(self, name: str) -> None:
@@ -245,7 +245,7 @@
         if not self._may_grant():
             self._send_decisions(limited, limited.limiter.release(), is_granted=False)
             return
-        self._send_decisions(limited, limited.limiter.rule(now))
+        self._send_decisions(limited, limited.limiter.decide(now))
         self._schedule_grants(name, limited, now)
 
     def _schedule_grants(self, name: str, limited: _LimitedReplica, now: float) -> None:
@@ -256,7 +256,10 @@
         limited.timer = loop.call_later(max(MIN_TIMER_DELAY_S, next_s), self._grant_available, name)
 
     def _send_decisions(
-        self, limited: _LimitedReplica, decisions: t.Iterable[Ruling], is_granted: bool = True
+        self,
+        limited: _LimitedReplica,
+        decisions: t.Iterable[CapacityDecision],
+        is_granted: bool = True,
     ) -> None:
         for decision in decisions:
             number, ticket = t.cast(tuple[int, int], decision.applicant.ticket)
@@ -295,7 +298,7 @@
     def _withdraw(self, tickets: set[tuple[int, int]]) -> None:
         for limited in self._limited.values():
             if limited.limiter is not None:
-                limited.limiter.withdraw(tickets)
+                limited.limiter.cancel(tickets)
 
     def _is_due(self, name: str, limited: _LimitedReplica, now: float) -> bool:
         rate, published = limited.record.rate, limited.published_rate
@@ -314,7 +317,8 @@
         for name, limited in list(self._limited.items()):
             rep = self._state.replicas.get(name)
             is_over = (
-                limited.limiter is None and now - limited.record.fact.heard_at > ENDED_LIMIT_TTL_S
+                limited.limiter is None
+                and now - limited.record.fact.received_at > ENDED_LIMIT_TTL_S
             )
             if rep is None or rep.born != limited.born or is_over:
                 self.forget(name)
--- a/packages/gateway/src/gradelug_gateway/limit_facts.py
+++ b/packages/gateway/src/gradelug_gateway/limit_facts.py
@@ -34,7 +34,7 @@
         named=fact.rate is not None,
         rate=fact.rate or 0.0,
         sent_age_ms=_age_ms(now, fact.sent_at),
-        heard_age_ms=_age_ms(now, fact.heard_at),
+        heard_age_ms=_age_ms(now, fact.received_at),
     )
 
 
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -6,7 +6,7 @@
 import itertools
 import typing as t
 
-from gradelug_policy.replica_room import OwnTurns
+from gradelug_policy.replica_room import LocalSendSlots
 from gradelug_wire import placement_pb2 as pb
 
 from .limit_facts import MAX_AGE_MS, MS, decode_limit, encode_limit, is_responsible_for
@@ -89,7 +89,7 @@
         self._state = state
         self._clock = clock
         self._link = link
-        self._urgent_turns: tuple[int, OwnTurns] | None = None
+        self._urgent_turns: tuple[int, LocalSendSlots] | None = None
         """Number of instances, and the times at which this one may flush requests at once."""
         self._tickets = itertools.count(1)
         self._futures: dict[int, asyncio.Future[pb.RoomAnswer]] = {}
@@ -194,7 +194,7 @@
         if self._urgent_turns is None or self._urgent_turns[0] != instance_count:
             self._urgent_turns = (
                 instance_count,
-                OwnTurns(MAX_URGENT_ASKS_PER_S / instance_count, 0.0, now, keeps=True),
+                LocalSendSlots(MAX_URGENT_ASKS_PER_S / instance_count, 0.0, now, keeps=True),
             )
         if self._urgent_turns[1].take(now):
             link.hurry()
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -13,8 +13,8 @@
 from collections import Counter, deque
 
 import logbook
-from gradelug_policy.replica_limits import LimitFact, LimitRecord, LimitWord
-from gradelug_policy.replica_room import LEAST_RATE, OWN_PART, OwnTurns
+from gradelug_policy.replica_limits import LimitFact, ReplicaLimit, ReportedLimit
+from gradelug_policy.replica_room import LOCAL_LIMIT_FRACTION, MIN_RATE, LocalSendSlots
 
 from .budgets import DEFAULT_GATEWAY_COUNT
 from .model import Replica
@@ -127,12 +127,12 @@
         """Returns the client of the planner that grants capacity at replicas of a service, None
         while there is no such planner."""
         self._listeners: list[t.Callable[[str], None]] = []
-        self._records: dict[str, LimitRecord] = {}
+        self._records: dict[str, ReplicaLimit] = {}
         self._permits: dict[str, list[float]] = {}
         """Expiry times of unused permits, by replica."""
-        self._offer_turns: dict[str, OwnTurns] = {}
+        self._offer_turns: dict[str, LocalSendSlots] = {}
         """Times at which this instance offers a replica requests that other replicas could take."""
-        self._fallback_turns: dict[str, OwnTurns] = {}
+        self._fallback_turns: dict[str, LocalSendSlots] = {}
         """Times at which it may send to a replica while no planner grants capacity."""
         self.instance_count = DEFAULT_GATEWAY_COUNT
         """Number of instances that send requests to replicas."""
@@ -149,9 +149,9 @@
         """Call `listener` with a replica's name when a response received here changes its limit."""
         self._listeners.append(listener)
 
-    def hear(self, replica: str, word: LimitWord, sent_at: float) -> None:
+    def hear(self, replica: str, word: ReportedLimit, sent_at: float) -> None:
         """Apply the limit in a response to a request that was sent at `sent_at`."""
-        if word.unreadable:
+        if word.invalid_text:
             self._log_unreadable_limit(replica, word)
             return
         if word.rate is None and replica not in self._records:
@@ -162,7 +162,7 @@
 
     def take(self, replica: str, fact: LimitFact, source: str) -> bool:
         """Apply a report of a limit; return whether the limit has changed."""
-        record = self._records.setdefault(replica, LimitRecord())
+        record = self._records.setdefault(replica, ReplicaLimit())
         before, since = record.rate, record.since
         if not record.note(fact):
             return False
@@ -257,7 +257,7 @@
         self.denied += 1
         if turns is not None and has_turn:
             # Spreads the retries of requests that were rejected together.
-            turns.give_back(self._clock() + denial.retry_s * (1 + self._rng.random()))
+            turns.restore(self._clock() + denial.retry_s * (1 + self._rng.random()))
         return denial
 
     def note_sent(self, replica: str) -> None:
@@ -297,7 +297,7 @@
         self._permits[replica] = kept[1:]
         return True
 
-    def _offer_turns_at(self, replica: str) -> OwnTurns | None:
+    def _offer_turns_at(self, replica: str) -> LocalSendSlots | None:
         rate = self.rate(replica)
         if rate is None or not self._is_on:
             return None
@@ -306,21 +306,21 @@
             turns = self._offer_turns[replica] = self._new_turns(rate, 1.0, keeps=True)
         return turns
 
-    def _fallback_turns_at(self, replica: str, rate: float) -> OwnTurns:
+    def _fallback_turns_at(self, replica: str, rate: float) -> LocalSendSlots:
         turns = self._fallback_turns.get(replica)
         if turns is None:
-            turns = self._fallback_turns[replica] = self._new_turns(rate, OWN_PART)
+            turns = self._fallback_turns[replica] = self._new_turns(rate, LOCAL_LIMIT_FRACTION)
         return turns
 
-    def _new_turns(self, rate: float, part: float, keeps: bool = False) -> OwnTurns:
-        share = part * max(rate, LEAST_RATE) / self.instance_count
-        return OwnTurns(share, self._rng.random(), self._clock(), keeps)
+    def _new_turns(self, rate: float, part: float, keeps: bool = False) -> LocalSendSlots:
+        share = part * max(rate, MIN_RATE) / self.instance_count
+        return LocalSendSlots(share, self._rng.random(), self._clock(), keeps)
 
-    def _log_unreadable_limit(self, replica: str, word: LimitWord) -> None:
+    def _log_unreadable_limit(self, replica: str, word: ReportedLimit) -> None:
         if replica not in self._logged_unreadable:
             self._logged_unreadable.add(replica)
             log.warning(
                 "invalid limit in a response",
                 replica=replica,
-                value=word.unreadable[:MAX_LOGGED_CHARS],
+                value=word.invalid_text[:MAX_LOGGED_CHARS],
             )
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -366,7 +366,7 @@
             message.strength = self._strength
             if self._store_subscriber is not None:
                 message.store_revision = self._store_subscriber.revision
-            message.shares.update(self._shares.holding(self._sent_at))
+            message.shares.update(self._shares.valid_shares(self._sent_at))
         for pending in self._pending_requests.values():
             if not pending.sent:
                 pending.sent = True
--- a/packages/gateway/src/gradelug_gateway/loader.py
+++ b/packages/gateway/src/gradelug_gateway/loader.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 import logbook
-from gradelug_policy.pace import StorePace
+from gradelug_policy.pace import StoreConcurrencyLimit
 from gradelug_policy.residency import STORE_COST_S, LoadCosts
 
 from .engines import REPORT_LAG_S, Engine, Phase, WeightSlot
@@ -94,19 +94,19 @@
         self._transport = transport
         self._clock = clock
         self._store_loads = 0
-        self.pace = StorePace(clock(), initial_concurrency)
+        self.pace = StoreConcurrencyLimit(clock(), initial_concurrency)
 
     def costs(self, uses: float) -> LoadCosts:
         """Return the cost of a load to each of the requests that use it."""
-        return LoadCosts(self.pace.cached_s, self.pace.load_s, STORE_COST_S / uses)
+        return LoadCosts(self.pace.expected_cached_load_s, self.pace.load_s, STORE_COST_S / uses)
 
     def may_use_store(self) -> bool:
         """Tell whether another load from the weight store may start."""
-        return self._store_loads < self.pace.at_once
+        return self._store_loads < self.pace.max_concurrent_loads
 
     def has_spare_store_capacity(self) -> bool:
         """Tell whether a load that no request waits for may start from the weight store."""
-        return self._store_loads < SPARE_STORE_FRACTION * self.pace.at_once
+        return self._store_loads < SPARE_STORE_FRACTION * self.pace.max_concurrent_loads
 
     def begin(self, planned: PlannedLoad) -> None:
         """Start a planned load in the background, after unloading its victim."""
@@ -114,7 +114,7 @@
         if not planned.cached:
             self._store_loads += 1
             slot.store_loads_at_start = self._store_loads
-            slot.was_store_saturated = self._store_loads >= self.pace.at_once
+            slot.was_store_saturated = self._store_loads >= self.pace.max_concurrent_loads
         self._planner.start(self._run_load(planned))
 
     def handle_missing(self, replica: str, key: AdapterKey) -> None:
@@ -139,7 +139,7 @@
         """Wait longer for a load: the engine answered that the adapter is missing."""
         now = self._clock()
         if slot.store_loads_at_start:
-            self.pace.note_late(slot.store_loads_at_start, now - slot.acknowledged_at, now)
+            self.pace.record_late(slot.store_loads_at_start, now - slot.acknowledged_at, now)
         slot.phase = Phase.LOADING
         slot.ready_at = max(now + MIN_LOAD_EXTENSION_S, slot.acknowledged_at + self.pace.load_s)
         self._planner.start(self._make_ready(engine, key, slot))
@@ -230,11 +230,11 @@
             return
         # Counted from the answer: the order may have been resent before it.
         slot.acknowledged_at = self._clock()
-        load_s = self.pace.cached_s if planned.cached else self.pace.load_s
+        load_s = self.pace.expected_cached_load_s if planned.cached else self.pace.load_s
         slot.ready_at = slot.acknowledged_at + load_s
         await self._make_ready(engine, key, slot)
         if slot.store_loads_at_start:
-            self.pace.note_in_time(
+            self.pace.record_success(
                 slot.store_loads_at_start, slot.was_store_saturated, self._clock()
             )
 
--- a/packages/gateway/src/gradelug_gateway/metrics.py
+++ b/packages/gateway/src/gradelug_gateway/metrics.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from gradelug_policy.contention import URGENCIES
+from gradelug_policy.contention import URGENCY_LEVELS
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
 RATIO_BUCKETS = (0.25, 0.5, 0.7, 0.8, 0.9, 1.0, 1.1, 1.25, 1.5, 2.0, 3.0, 5.0, 10.0)
@@ -135,13 +135,13 @@
     def limited(self, organisation: str, rank: int, retry_state: str) -> None:
         """Count a request over the quota of its organisation.
 
-        Label values are bounded: organisations by the configuration, urgencies by `URGENCIES`.
+        Label values are bounded: organisations by the configuration, urgencies by `URGENCY_LEVELS`.
         """
-        self._limited.labels(organisation, min(rank, URGENCIES - 1), retry_state).inc()
+        self._limited.labels(organisation, min(rank, URGENCY_LEVELS - 1), retry_state).inc()
 
     def granted(self, organisation: str, rank: int, tokens: int) -> None:
         """Count tokens granted from the quota of an organisation."""
-        self._granted.labels(organisation, min(rank, URGENCIES - 1)).inc(tokens)
+        self._granted.labels(organisation, min(rank, URGENCY_LEVELS - 1)).inc(tokens)
 
     def engine_use(self, organisation: str, tokens: int, waited_s: float) -> None:
         """Count the tokens of a request sent to an engine and record its wait for the engine."""
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -22,7 +22,7 @@
 )
 from gradelug_policy.prefill import PrefillSpeeds, RequestWork, first_event_s
 from gradelug_policy.prefix_cache import prefill_delay_saved_s
-from gradelug_policy.quotas import QuotaHome
+from gradelug_policy.quotas import QuotaCoordinator
 from gradelug_policy.residency import LoadCandidate, LoadRateLimiter, choose_load_engine
 from gradelug_wire import placement_pb2 as pb
 
@@ -157,7 +157,7 @@
             service, state, self.engines, lambda: self.followers.pacing.flush_s
         )
         self._health = health if Feature.SHARED_HEALTH in features else None
-        quotas = QuotaHome(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
+        quotas = QuotaCoordinator(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
         self.limits = LimitDesk(service, state, clock, lambda: self.term is not None)
         """Grants capacity of replicas with a limit on requests per second."""
         speeds = speeds or PrefillSpeeds()
--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 import logbook
-from gradelug_policy.poison import REMEMBERED_S, SUSPECT, EndLedger
+from gradelug_policy.poison import END_TTL_S, SUSPECT_SCORE, EndLedger
 
 from .exceptions import Blocked, Refused
 from .fingerprints import shown
@@ -164,7 +164,7 @@
             log.info(
                 "local ledger would block request", fingerprint=shown(found.mark), ends=found.ends
             )
-        while self.observations and now - self.observations[0].at > REMEMBERED_S:
+        while self.observations and now - self.observations[0].at > END_TTL_S:
             self.observations.popleft()
         self._hurry()
 
@@ -198,4 +198,4 @@
             or fingerprint in self.stored_findings.suspects
         ):
             return True
-        return self._ledger.score(fingerprint) >= SUSPECT
+        return self._ledger.score(fingerprint) >= SUSPECT_SCORE
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -8,7 +8,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.poison import GATHER_S, EndLedger
+from gradelug_policy.poison import END_GATHER_S, EndLedger
 from gradelug_wire import placement_pb2 as pb
 
 from .fingerprints import shown
@@ -147,7 +147,7 @@
             self._removal_count = self._record.removal_count
             self._ledger = EndLedger()
         ledger = self._open_ledger(now)
-        for found in ledger.judge(now, GATHER_S):
+        for found in ledger.judge(now, END_GATHER_S):
             log.warning(
                 "blocked",
                 fingerprint=shown(found.mark),
@@ -155,7 +155,7 @@
                 score=round(found.score, 2),
             )
         # Ends that are still being gathered may change the findings.
-        self._has_changed = ledger.is_gathering(now, GATHER_S)
+        self._has_changed = ledger.is_gathering(now, END_GATHER_S)
         self._record.save(ledger)
         news.poison.SetInParent()
         news.poison.blocked.extend(ledger.blocked)
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -6,8 +6,8 @@
 
 from gradelug_http import Header, Incoming, OutgoingRequest, ResponseHead
 from gradelug_policy.abandoned_runs import EngineRunsReport
-from gradelug_policy.replica_limits import LimitWord
-from gradelug_policy.rests import RestWord
+from gradelug_policy.replica_limits import ReportedLimit
+from gradelug_policy.rests import ReportedBackoff
 from gradelug_policy.run_versions import ReportedVersion
 
 from .model import (
@@ -88,7 +88,7 @@
         """Classify a response by its head."""
         ...
 
-    def limit(self, head: ResponseHead) -> LimitWord:
+    def limit(self, head: ResponseHead) -> ReportedLimit:
         """Return the request rate limit in the head of a response, in requests per second."""
         ...
 
@@ -96,7 +96,7 @@
         """Return whether the head of a response announces that its replica is leaving."""
         ...
 
-    def rest(self, head: ResponseHead) -> RestWord:
+    def rest(self, head: ResponseHead) -> ReportedBackoff:
         """Return the backoff that a response requests for its replica."""
         ...
 
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -5,7 +5,7 @@
 import math
 import typing as t
 
-from gradelug_policy.quotas import QuotaHome, QuotaTerms
+from gradelug_policy.quotas import QuotaCoordinator, QuotaLimit
 from gradelug_policy.refusals import Caller
 from gradelug_wire import placement_pb2 as pb
 
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    coordinator : QuotaHome
+    coordinator : QuotaCoordinator
         Decides on requests and holds the balances of all organisations.
     state : FleetState
         Replicas and configuration from the store.
@@ -30,7 +30,7 @@
     __slots__ = ("_coordinator", "_may_grant", "_state")
 
     def __init__(
-        self, coordinator: QuotaHome, state: FleetState, may_grant: t.Callable[[], bool]
+        self, coordinator: QuotaCoordinator, state: FleetState, may_grant: t.Callable[[], bool]
     ) -> None:
         self._coordinator = coordinator
         self._state = state
@@ -44,7 +44,7 @@
         for ask in message.quota_asks:
             follower.answer_quota(self._answer(follower, ask, now))
         for returned in message.quota_returns:
-            self._coordinator.give_back(returned.organisation, returned.tokens, now)
+            self._coordinator.refund(returned.organisation, returned.tokens, now)
 
     def leave(self, follower: Follower, now: float) -> None:
         """Reserve the share that a disconnected gateway may still use."""
@@ -64,7 +64,7 @@
             return pb.QuotaAnswer(ticket=ask.ticket)
         if organisation.quota is None:
             return pb.QuotaAnswer(ticket=ask.ticket, granted=True)
-        terms = QuotaTerms(organisation.quota.rate, organisation.quota.burst)
+        terms = QuotaLimit(organisation.quota.rate, organisation.quota.burst)
         caller = Caller(ask.rank, ask.wait_ms / 1000, ask.service, ask.value, ask.mark)
         verdict = self._coordinator.ask(
             follower.process, organisation.name, terms, ask.tokens, now, caller
@@ -74,5 +74,5 @@
             answer.retry_after_ms = math.ceil(min(verdict.retry_s, MAX_WAIT_S) * 1000)
             answer.level = math.floor(verdict.level)
             answer.needed = math.ceil(verdict.needed)
-            answer.standing = verdict.standing.value
+            answer.standing = verdict.retry_state.value
         return answer
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -205,7 +205,7 @@
         self, link: QuotaLink, name: str, tokens: int, answer: pb.QuotaAnswer
     ) -> Charge:
         now = self._clock()
-        self._shares.note_told(name, answer.share, now)
+        self._shares.set_share(name, answer.share, now)
         if answer.granted:
             return Charge(name, tokens, link, now)
         retry_s = answer.retry_after_ms / 1000
@@ -215,7 +215,7 @@
     def _charge_local_share(self, name: str, tokens: int) -> Charge | None:
         """Charge this instance's local share while the coordinator is being replaced."""
         now = self._clock()
-        self._shares.note_lost(now)
+        self._shares.mark_coordinator_lost(now)
         if self._shares.try_take(name, tokens, now):
             return Charge(name, tokens, None, now)
         return None
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -6,7 +6,7 @@
 import typing as t
 from dataclasses import dataclass, field
 
-from gradelug_policy.departures import Departures
+from gradelug_policy.departures import DrainingReplicas
 from gradelug_policy.run_versions import VersionAnnouncements
 
 from .services import Snapshot
@@ -144,7 +144,7 @@
     replicas: dict[str, Replica] = field(default_factory=dict)
     versions: dict[AdapterKey, int] = field(default_factory=dict)
     change: int = 0
-    departures: Departures = field(default_factory=Departures)
+    departures: DrainingReplicas = field(default_factory=DrainingReplicas)
     namings: VersionAnnouncements = field(default_factory=VersionAnnouncements)
 
     def is_leaving(self, rep: Replica) -> bool:
--- a/packages/gateway/src/gradelug_gateway/rests.py
+++ b/packages/gateway/src/gradelug_gateway/rests.py
@@ -10,7 +10,7 @@
 import typing as t
 
 import logbook
-from gradelug_policy.rests import Rests, RestWord
+from gradelug_policy.rests import ReplicaBackoffs, ReportedBackoff
 
 from .model import Replica
 
@@ -44,12 +44,12 @@
     ) -> None:
         self._clock = clock
         self._is_on = is_on
-        self._rests = Rests(rng or random.Random(0))
+        self._rests = ReplicaBackoffs(rng or random.Random(0))
         self._logged_unreadable: set[tuple[str, int]] = set()
         self.denied = 0
         """Attempts since the start that were not made because of their replica's backoff."""
 
-    def hear(self, replica: Replica, word: RestWord) -> None:
+    def hear(self, replica: Replica, word: ReportedBackoff) -> None:
         """Apply the backoff in a response of a replica."""
         if word.unreadable:
             self._log_unreadable_value(replica, word)
@@ -92,7 +92,7 @@
         """Upper bound of the replicas with an active backoff, including expired, unremoved ones."""
         return len(self._rests) if self._is_on else 0
 
-    def _log_unreadable_value(self, replica: Replica, word: RestWord) -> None:
+    def _log_unreadable_value(self, replica: Replica, word: ReportedBackoff) -> None:
         if (
             _incarnation(replica) in self._logged_unreadable
             or len(self._logged_unreadable) >= MAX_LOGGED_REPLICAS
--- a/packages/gateway/src/gradelug_gateway/shared_health.py
+++ b/packages/gateway/src/gradelug_gateway/shared_health.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 import logbook
-from gradelug_policy.doubts import Doubts, Telling
-from gradelug_policy.outcomes import Ended, Source
-from gradelug_policy.verdicts import Change, Finding, VerdictPool
+from gradelug_policy.doubts import ReportAction, SuspectTracker
+from gradelug_policy.outcomes import OutcomeCounts, Source
+from gradelug_policy.verdicts import EjectionChange, OutlierDetector, ReplicaHealth
 from gradelug_wire import placement_pb2 as pb
 
 from .engines import Engine
@@ -79,11 +79,11 @@
         self._fleet = fleet
         self._clock = clock
         self._covers_engineless = covers_engineless
-        self._doubts = Doubts()
+        self._doubts = SuspectTracker()
 
     def begin_stream(self) -> None:
         """Drop outcomes that were not sent: the planner would take them for recent ones."""
-        self._doubts.begin()
+        self._doubts.reset()
         for health in self._replicas().values():
             health.take_tally()
 
@@ -92,10 +92,10 @@
         now = self._clock()
         for name, health in self._replicas().items():
             decision = self._decide(name, health, now)
-            if decision is Telling.KEEP:
+            if decision is ReportAction.KEEP:
                 continue
             tally = health.take_tally()
-            if decision is Telling.DROP:
+            if decision is ReportAction.DROP:
                 continue
             message.ends.add(
                 replica=name,
@@ -120,14 +120,14 @@
                 until,
             )
             if verdict.failing or verdict.held_back:
-                self._doubts.doubt(verdict.replica, self._clock())
+                self._doubts.suspect(verdict.replica, self._clock())
 
-    def _decide(self, name: str, health: Health, now: float) -> Telling:
+    def _decide(self, name: str, health: Health, now: float) -> ReportAction:
         known = self._fleet.state.replicas.get(name)
         if known is not None and not self._fleet.state.has_engines(known.service):
-            return Telling.TELL
+            return ReportAction.TELL
         if health.tally.failed or health.tally.broken:
-            self._doubts.doubt(name, now)
+            self._doubts.suspect(name, now)
         return self._doubts.decide(name, now)
 
     def _replicas(self) -> dict[str, Health]:
@@ -210,12 +210,12 @@
         self._state = state
         self._engines = engines
         self._gather_s = gather_s
-        self._pool = VerdictPool(self._is_used)
+        self._pool = OutlierDetector(self._is_used)
         self._sources: dict[int, Source] = {}
         self._members: dict[str, list[str]] = {}
         self._members_version = (-1, -1)
         """Change counter and configuration version for which `_members` was built."""
-        self._findings: dict[tuple[str, str], Finding] = {}
+        self._findings: dict[tuple[str, str], ReplicaHealth] = {}
         self._sent: dict[tuple[str, str], _SentVerdict] = {}
 
     def take(self, follower: Follower, message: pb.FromGateway, now: float) -> None:
@@ -226,15 +226,17 @@
         if source is None:
             source = self._sources[follower.number] = Source(follower.instance, follower.hall)
         if message.uses:
-            self._pool.hear(source, len(message.uses), now)
+            self._pool.record_activity(source, len(message.uses), now)
         for ends in message.ends:
-            ended = Ended(ends.served, ends.failed + ends.broken, ends.took_ms / 1000, ends.full)
+            ended = OutcomeCounts(
+                ends.served, ends.failed + ends.broken, ends.took_ms / 1000, ends.full
+            )
             self._pool.note(ends.replica, source, ended, now)
 
     def leave(self, follower: Follower, now: float) -> None:
         """Remove a disconnected gateway as a source of outcomes."""
         self._sources.pop(follower.number, None)
-        self._pool.leave(follower.instance)
+        self._pool.remove_source(follower.instance)
 
     def fill(self, news: pb.FromPlanner, now: float) -> None:
         """Update the verdicts of all replicas and add those that are due to a message."""
@@ -243,7 +245,7 @@
             self._log(change)
         self._findings = {
             (finding.replica, finding.hall): finding
-            for finding in self._pool.findings(members, now)
+            for finding in self._pool.health_of_replicas(members, now)
         }
         for key in [key for key in self._sent if key not in self._findings]:
             del self._sent[key]
@@ -287,7 +289,7 @@
         engine = self._engines.get(replica)
         return engine is not None and engine.is_in_use()
 
-    def _is_due(self, key: tuple[str, str], finding: Finding, now: float) -> bool:
+    def _is_due(self, key: tuple[str, str], finding: ReplicaHealth, now: float) -> bool:
         current = _SentVerdict(
             round(finding.failing / FAILING_RATE_STEP),
             finding.held_back,
@@ -329,7 +331,7 @@
                 self._members.setdefault(rep.service, []).append(rep.name)
         return self._members
 
-    def _log(self, change: Change) -> None:
+    def _log(self, change: EjectionChange) -> None:
         log.info(
             "ejected" if change.ejected else "returned",
             replica=change.replica,
@@ -341,7 +343,7 @@
         )
 
 
-def _encode(finding: Finding) -> pb.Verdict:
+def _encode(finding: ReplicaHealth) -> pb.Verdict:
     return pb.Verdict(
         replica=finding.replica,
         hall=finding.hall,
--- a/packages/gateway/src/gradelug_gateway/weight_queue.py
+++ b/packages/gateway/src/gradelug_gateway/weight_queue.py
@@ -91,7 +91,7 @@
         version: int,
         load: pb.Load,
         kept_tokens: int = 0,
-        standing: pb.Standing | None = None,
+        standing: pb.FairShare | None = None,
         has_room: bool = False,
     ) -> None:
         """Answer with the replica at which the request is placed.
@@ -128,7 +128,7 @@
         ready_s: float,
         now: float,
         why: str = TOO_LATE_REASON,
-        standing: pb.Standing | None = None,
+        standing: pb.FairShare | None = None,
     ) -> None:
         """Answer that the request is refused, and when to retry it.
 
--- a/packages/policy/src/gradelug_policy/__init__.py
+++ b/packages/policy/src/gradelug_policy/__init__.py
@@ -8,7 +8,7 @@
 if t.TYPE_CHECKING:
     from .admission import Refusal as Refusal
     from .admission import judge as judge
-    from .credits import VALID_S as VALID_S
+    from .credits import CREDIT_TTL_S as CREDIT_TTL_S
     from .credits import offer_credits as offer_credits
     from .permits import StorePermits as StorePermits
     from .placement import EngineView as EngineView
@@ -29,7 +29,7 @@
     _HOMES = {
         "Refusal": "admission",
         "judge": "admission",
-        "VALID_S": "credits",
+        "CREDIT_TTL_S": "credits",
         "offer_credits": "credits",
         "StorePermits": "permits",
         "EngineView": "placement",
--- a/packages/policy/src/gradelug_policy/connections.py
+++ b/packages/policy/src/gradelug_policy/connections.py
@@ -11,7 +11,7 @@
 """Fraction of the connections that may be idle; the rest serves requests, orders and reports."""
 
 
-def idle_share(most: int, instances: int, draw: float) -> int:
+def max_idle_connections(most: int, instances: int, draw: float) -> int:
     """Return the number of idle connections that one instance keeps to a replica.
 
     Parameters
--- a/packages/policy/src/gradelug_policy/contention.py
+++ b/packages/policy/src/gradelug_policy/contention.py
@@ -22,7 +22,7 @@
 
 from .refusals import Caller, Refusals
 
-URGENCIES = 8
+URGENCY_LEVELS = 8
 """Number of distinguished urgencies; less urgent requests count as the last of these."""
 MAX_KINDS = 16
 """Maximum number of distinguished kinds of an organisation; further ones share the last number."""
@@ -101,7 +101,7 @@
     """
 
     kind: int
-    standing: RetryState
+    retry_state: RetryState
     amount: float
     needed: float
     contended: bool
@@ -233,7 +233,7 @@
         Tokens are reserved for the retry only if its caller can wait that long.
         """
         previous = self._refusals.find(self._organisation, caller, now)
-        if previous is not None and claim.standing is RetryState.RETRY_EARLY:
+        if previous is not None and claim.retry_state is RetryState.RETRY_EARLY:
             return max(MIN_EARLY_RETRY_S, previous.retry_at - now)
         ahead = self._reserved[claim.kind]
         missing = ahead + max(claim.amount, claim.needed - level)
@@ -246,7 +246,7 @@
         return retry_s
 
     def _kind_number(self, caller: Caller) -> int:
-        name = caller.service, min(caller.rank, URGENCIES - 1)
+        name = caller.service, min(caller.rank, URGENCY_LEVELS - 1)
         previous = self._kind_numbers.get(name)
         if previous is not None:
             return previous
--- a/packages/policy/src/gradelug_policy/credits.py
+++ b/packages/policy/src/gradelug_policy/credits.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-VALID_S = 2.0
+CREDIT_TTL_S = 2.0
 """Maximum validity of a grant, in seconds. A shorter one costs more messages, a longer one delays
 the eviction of an adapter whose holder has died."""
 SPARE_CREDIT_FRACTION = 0.25
@@ -24,7 +24,9 @@
     credits: int
 
 
-def offer_credits(want: int, free: int, rate: float, holders: int, contended: bool) -> CreditOffer:
+def offer_credits(
+    waiting: int, free: int, rate: float, holders: int, contended: bool
+) -> CreditOffer:
     """Return the credits to grant to a holder.
 
     In addition to its waiting requests, the holder of a frequently requested adapter receives spare
@@ -44,11 +46,11 @@
     contended : bool
         Whether other requests wait for this engine.
     """
-    if free <= 0 or want <= 0:
+    if free <= 0 or waiting <= 0:
         return CreditOffer(0)
-    needed = min(want, free)
+    needed = min(waiting, free)
     if contended:
         return CreditOffer(needed)
-    expected = int(rate * VALID_S / max(1, holders))
+    expected = int(rate * CREDIT_TTL_S / max(1, holders))
     spare = min(expected, int((free - needed) * SPARE_CREDIT_FRACTION))
     return CreditOffer(needed + spare)
--- a/packages/policy/src/gradelug_policy/departures.py
+++ b/packages/policy/src/gradelug_policy/departures.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-MOST_LIVES = 4096
+MAX_INCARNATIONS = 4096
 """Maximum number of stored incarnations: several rollouts of 600 replicas."""
 
 
-class Departures:
+class DrainingReplicas:
     """Stores the incarnations of replicas that are draining.
 
     An incarnation is a replica's name and start time. A draining one never accepts requests again,
@@ -27,7 +27,7 @@
         if self.has(replica, born):
             return False
         self._incarnations[replica, born] = None
-        if len(self._incarnations) > MOST_LIVES:
+        if len(self._incarnations) > MAX_INCARNATIONS:
             del self._incarnations[next(iter(self._incarnations))]
         return True
 
--- a/packages/policy/src/gradelug_policy/doubts.py
+++ b/packages/policy/src/gradelug_policy/doubts.py
@@ -20,7 +20,7 @@
 failed at every replica (40% for 6 s) ejected a replica in one of ten simulations."""
 
 
-class Telling(Enum):
+class ReportAction(Enum):
     """What to do with the outcomes of requests at a replica."""
 
     TELL = "tell"
@@ -29,7 +29,7 @@
     DROP = "drop"
 
 
-class Doubts:
+class SuspectTracker:
     """Decides for one gateway which replicas it reports outcomes of.
 
     A replica is suspected after a failure at this gateway, and while the planner reports that
@@ -42,22 +42,22 @@
         self._suspected_until: dict[str, float] = {}
         self._held_since: dict[str, float] = {}
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Reset all state because reports go to another planner from now on."""
         self._suspected_until.clear()
         self._held_since.clear()
 
-    def doubt(self, replica: str, now: float) -> None:
+    def suspect(self, replica: str, now: float) -> None:
         """Record that the replica failed a request, here or according to the planner."""
         self._suspected_until[replica] = now + SUSPICION_TTL_S
 
-    def decide(self, replica: str, now: float) -> Telling:
+    def decide(self, replica: str, now: float) -> ReportAction:
         """Return what to do with the unreported outcomes of requests at a replica."""
         if now < self._suspected_until.get(replica, now):
             self._held_since.pop(replica, None)
-            return Telling.TELL
+            return ReportAction.TELL
         self._suspected_until.pop(replica, None)
         if now - self._held_since.setdefault(replica, now) < OUTCOME_HOLD_S:
-            return Telling.KEEP
+            return ReportAction.KEEP
         del self._held_since[replica]
-        return Telling.DROP
+        return ReportAction.DROP
--- a/packages/policy/src/gradelug_policy/outcomes.py
+++ b/packages/policy/src/gradelug_policy/outcomes.py
@@ -62,7 +62,7 @@
     hall: str
 
 
-class Ended(t.NamedTuple):
+class OutcomeCounts(t.NamedTuple):
     """Numbers of requests that ended, by outcome: success, or failure at the replica or on the way.
 
     Parameters
@@ -116,7 +116,7 @@
         self.full = 0.0
         self._at = 0.0
 
-    def note(self, ended: Ended, now: float) -> None:
+    def note(self, ended: OutcomeCounts, now: float) -> None:
         """Add successes with a known time, and rejections."""
         self.settle(now)
         self.full += ended.full
--- a/packages/policy/src/gradelug_policy/pace.py
+++ b/packages/policy/src/gradelug_policy/pace.py
@@ -12,7 +12,7 @@
 
 import math
 
-FIRST_LOAD_S = 0.3
+INITIAL_LOAD_TIME_S = 0.3
 """Initial estimate of the time of a load, in seconds. It is rather high: a late load costs its
 requests a retry, while loads in time lower the estimate quickly."""
 INITIAL_PARALLEL_LOADS = 8.0
@@ -56,14 +56,14 @@
 """Adapters in an engine's host memory load this many times as fast (the platform's contract)."""
 
 
-class StorePace:
+class StoreConcurrencyLimit:
     """Expected time of a load from the weight store, and the limit of concurrent loads.
 
     Parameters
     ----------
     now : float
         Current time by the runtime's clock, in seconds.
-    first_at_once : float
+    initial_concurrent_loads : float
         Known capacity of the store in concurrent loads; 0 if unknown.
     """
 
@@ -77,26 +77,26 @@
         "load_s",
     )
 
-    def __init__(self, now: float = 0.0, first_at_once: float = 0.0) -> None:
+    def __init__(self, now: float = 0.0, initial_concurrent_loads: float = 0.0) -> None:
         self._updated_at = now
-        self._max_parallel = max(INITIAL_PARALLEL_LOADS, first_at_once)
-        self._unloaded_s = FIRST_LOAD_S
+        self._max_parallel = max(INITIAL_PARALLEL_LOADS, initial_concurrent_loads)
+        self._unloaded_s = INITIAL_LOAD_TIME_S
         """Time of a load while few are in progress, in seconds."""
         self._is_searching = True
         """Whether load times have not yet risen with the number of loads."""
         self._has_been_late = False
         """Whether a load has been late; until then there is no lower bound of its time."""
         self._increased_at = -math.inf
-        self.load_s = FIRST_LOAD_S
+        self.load_s = INITIAL_LOAD_TIME_S
         """Expected time of a load, in seconds."""
 
     @property
-    def at_once(self) -> int:
+    def max_concurrent_loads(self) -> int:
         """Maximum number of concurrent loads."""
         return int(self._max_parallel)
 
     @property
-    def cached_s(self) -> float:
+    def expected_cached_load_s(self) -> float:
         """Expected time of a load from an engine's host memory, in seconds."""
         return self._unloaded_s / CACHED_LOAD_SPEEDUP
 
@@ -105,7 +105,7 @@
         """Estimated throughput of the store, in loads per second."""
         return self._max_parallel / self.load_s
 
-    def note_in_time(self, under_way: int, at_limit: bool, now: float) -> None:
+    def record_success(self, under_way: int, at_limit: bool, now: float) -> None:
         """Record that a load completed in time.
 
         Parameters
@@ -123,7 +123,7 @@
         if at_limit:
             self._adjust_limit()
 
-    def note_late(self, under_way: int, elapsed_s: float, now: float) -> None:
+    def record_late(self, under_way: int, elapsed_s: float, now: float) -> None:
         """Record that a load has not completed in time.
 
         Parameters
--- a/packages/policy/src/gradelug_policy/permits.py
+++ b/packages/policy/src/gradelug_policy/permits.py
@@ -77,11 +77,11 @@
         self._expiry_by_permit[number] = now + PERMIT_TTL_S
         return number
 
-    def end(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """Release a permit."""
         self._expiry_by_permit.pop(number, None)
 
-    def next_at(self, now: float) -> float:
+    def next_token_s(self, now: float) -> float:
         """Return the time until a token is available, in seconds; 0 if only concurrency is
         exhausted.
         """
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -18,15 +18,15 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-BEGUN = 1.0
+STARTED_WEIGHT = 1.0
 """Weight of a request that had started and sent no event yet; also of one with an unstreamed
 response, whose progress is unknown."""
-RUNNING = 0.6
+STREAMING_WEIGHT = 0.6
 """Weight of a request that had sent events; one that ends a replica by starting sends few or none.
 Five ends suffice to block it. At 0.75, where four suffice, twice as many harmless requests were
 blocked with engines that end by themselves every 0.6 s (10 of 21,366 instead of 3, nine engines,
 random requests)."""
-WAITING = 0.5
+QUEUED_WEIGHT = 0.5
 """Weight of a request without a response head where streams send it on start, as most such requests
 are still queued. Six ends suffice to block it."""
 BLOCK_SCORE = 3.0
@@ -37,12 +37,12 @@
 queued and a started request at one end."""
 CERTAIN_BLOCK_SCORE = 5.0
 """Score at which a request is blocked regardless of the other requests at its ends."""
-SUSPECT = 2.0
+SUSPECT_SCORE = 2.0
 """Score from which a request is reported to all gateways, since one more end may suffice."""
-GATHER_S = 0.2
+END_GATHER_S = 0.2
 """Time within which all gateways report the requests of one end, in seconds. They detect it within
 milliseconds and confirm it with a round trip."""
-REMEMBERED_S = 600.0
+END_TTL_S = 600.0
 """Time after which an end is forgotten, in seconds. Repeated requests arrive within the time of a
 few retries, or of a job that runs every minute or two."""
 BLOCK_TTL_S = 3600.0
@@ -179,7 +179,7 @@
         """Return the scores of the requests that one more end may block, the highest first."""
         scores = self._scores(math.inf)
         marks = sorted(scores, key=lambda mark: -scores[mark])[:MAX_SUSPECTS]
-        return {mark: scores[mark] for mark in marks if scores[mark] >= SUSPECT}
+        return {mark: scores[mark] for mark in marks if scores[mark] >= SUSPECT_SCORE}
 
     def ends_of(self, mark: bytes) -> dict[str, float]:
         """Return the ends at which a request was present, with its weight at each."""
@@ -194,7 +194,7 @@
         scores.
         """
         for name, end in list(self._ends.items()):
-            if now - end.at > REMEMBERED_S:
+            if now - end.at > END_TTL_S:
                 del self._ends[name]
         for mark, blocked in list(self._blocked.items()):
             if now - blocked.since > BLOCK_TTL_S:
--- a/packages/policy/src/gradelug_policy/quotas.py
+++ b/packages/policy/src/gradelug_policy/quotas.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class QuotaTerms:
+class QuotaLimit:
     """Quota of an organisation: rate in tokens per second and burst in tokens."""
 
     rate: float
@@ -56,7 +56,7 @@
 
     Parameters
     ----------
-    terms : QuotaTerms
+    terms : QuotaLimit
         Rate in tokens per second, and burst in tokens.
     now : float
         Current time by the runtime's clock. The bucket starts empty, since earlier grants are
@@ -65,7 +65,7 @@
 
     __slots__ = ("_at", "_level", "_deducted", "_reserved", "scale", "terms")
 
-    def __init__(self, terms: QuotaTerms, now: float) -> None:
+    def __init__(self, terms: QuotaLimit, now: float) -> None:
         self.terms = terms
         self.scale = 1.0
         """Fraction of the rate that this coordinator grants."""
@@ -92,7 +92,7 @@
         deducted = sum(share.rate for share in self._deducted.values())
         return max(0.0, self.terms.rate * self.scale - deducted)
 
-    def settle(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Refill the bucket for the time since the last call, and remove expired deductions."""
         passed_s = now - self._at
         self._at = now
@@ -107,33 +107,33 @@
         """Take tokens if they are available, or if the level is at least `needed` where that is
         given.
         """
-        self.settle(now)
+        self.refill(now)
         if self._level < (min(amount, self.capacity) if needed is None else needed):
             return False
         self._level -= amount
         return True
 
-    def give_back(self, amount: float, now: float) -> None:
+    def refund(self, amount: float, now: float) -> None:
         """Return unused tokens to the bucket."""
-        self.settle(now)
+        self.refill(now)
         self._level = min(self.capacity, self._level + amount)
 
     def reserve_retry_s(self, amount: float, now: float) -> float:
         """Return the time until a refused request should be retried, in seconds, after earlier
         ones.
         """
-        self.settle(now)
+        self.refill(now)
         self._reserved += amount
         return max(0.0, self._reserved - self._level) / self.terms.rate
 
     def deduct_share(self, instance: str, share: GrantedShare, now: float) -> None:
         """Reduce the refill rate while an unreachable instance may use its share."""
-        self.settle(now)
+        self.refill(now)
         self._deducted[instance] = share
 
     def restore_share(self, instance: str, now: float) -> None:
         """Stop the deduction for an instance that sends requests to the coordinator again."""
-        self.settle(now)
+        self.refill(now)
         self._deducted.pop(instance, None)
 
 
@@ -160,7 +160,7 @@
     share: float
     level: float = 0.0
     needed: float = 0.0
-    standing: RetryState = RetryState.FIRST_TRY
+    retry_state: RetryState = RetryState.FIRST_TRY
 
 
 class _Account:
@@ -168,7 +168,7 @@
 
     __slots__ = ("_arbiter", "_reported_rates", "_shares", "_usage", "bucket")
 
-    def __init__(self, terms: QuotaTerms, now: float, arbiter: QuotaArbiter | None) -> None:
+    def __init__(self, terms: QuotaLimit, now: float, arbiter: QuotaArbiter | None) -> None:
         self.bucket = QuotaBucket(terms, now)
         self._arbiter = arbiter
         self._usage = Popularity(SHARE_HALF_LIFE_S)
@@ -180,16 +180,16 @@
         if self._arbiter is None:
             return self._ask_first_come(instance, amount, now)
         bucket = self.bucket
-        bucket.settle(now)
+        bucket.refill(now)
         claim = self._arbiter.register(amount, caller, bucket.refill_rate, bucket.capacity, now)
         level = bucket.level
         if bucket.try_take(amount, now, claim.needed):
             self._usage.note(instance, now, amount)
             self._arbiter.record_grant(claim, caller, now)
-            return QuotaDecision(True, 0.0, 0.0, level, claim.needed, claim.standing)
+            return QuotaDecision(True, 0.0, 0.0, level, claim.needed, claim.retry_state)
         rate = max(bucket.refill_rate, EVEN_SHARE_FRACTION * bucket.terms.rate)
         retry_s = self._arbiter.schedule_retry(claim, caller, rate, level, now)
-        return QuotaDecision(False, retry_s, 0.0, level, claim.needed, claim.standing)
+        return QuotaDecision(False, retry_s, 0.0, level, claim.needed, claim.retry_state)
 
     def _ask_first_come(self, instance: str, amount: float, now: float) -> QuotaDecision:
         if self.bucket.try_take(amount, now):
@@ -242,7 +242,7 @@
         return min(1.0, sum(self._reported_rates.values()) / self.bucket.terms.rate)
 
 
-class QuotaHome:
+class QuotaCoordinator:
     """Grants requests of organisations within their quotas, for all instances.
 
     Parameters
@@ -298,7 +298,7 @@
         self,
         instance: str,
         organisation: str,
-        terms: QuotaTerms,
+        terms: QuotaLimit,
         amount: float,
         now: float,
         caller: Caller = UNKNOWN_CALLER,
@@ -311,7 +311,7 @@
             Instance at which the request waits.
         organisation : str
             Organisation whose quota it counts against.
-        terms : QuotaTerms
+        terms : QuotaLimit
             Quota in force.
         amount : float
             Tokens that the request consumes.
@@ -326,13 +326,13 @@
         instances = max(len(self._instances), self._expected)
         return replace(verdict, share=account.share(instance, instances, now))
 
-    def give_back(self, organisation: str, amount: float, now: float) -> None:
+    def refund(self, organisation: str, amount: float, now: float) -> None:
         """Return the tokens of a granted request that was not run."""
         account = self._accounts.get(organisation)
         if account is not None:
-            account.bucket.give_back(amount, now)
+            account.bucket.refund(amount, now)
 
-    def _account(self, organisation: str, terms: QuotaTerms, now: float) -> _Account:
+    def _account(self, organisation: str, terms: QuotaLimit, now: float) -> _Account:
         account = self._accounts.get(organisation)
         if account is None:
             # The bucket of an organisation without requests so far has filled since the start.
@@ -341,9 +341,9 @@
             for instance, share in self._reports.get(organisation, {}).items():
                 account.report(instance, share)
         if account.bucket.terms != terms:
-            account.bucket.settle(now)
+            account.bucket.refill(now)
             account.bucket.terms = terms
-            account.bucket.settle(now)
+            account.bucket.refill(now)
         return account
 
     def _scale(self, account: _Account, now: float) -> float:
@@ -366,11 +366,11 @@
         self._lost_at = math.inf
         self._shares: dict[str, _LocalShare] = {}
 
-    def note_lost(self, now: float) -> None:
+    def mark_coordinator_lost(self, now: float) -> None:
         """Record that the coordinator does not answer."""
         self._lost_at = min(self._lost_at, now)
 
-    def note_told(self, organisation: str, rate: float, now: float) -> None:
+    def set_share(self, organisation: str, rate: float, now: float) -> None:
         """Store a share received from the coordinator."""
         self._lost_at = math.inf
         until = now + SHARE_TTL_S - MAX_ANSWER_DELAY_S
@@ -385,7 +385,7 @@
         self._shares[organisation] = _LocalShare(known.share, saved_tokens - amount, now)
         return True
 
-    def holding(self, now: float) -> dict[str, float]:
+    def valid_shares(self, now: float) -> dict[str, float]:
         """Return the valid shares in tokens per second, by organisation."""
         return {
             name: known.share.rate
--- a/packages/policy/src/gradelug_policy/replica_limits.py
+++ b/packages/policy/src/gradelug_policy/replica_limits.py
@@ -15,7 +15,7 @@
 limit was received, in seconds, since an earlier answer may arrive later."""
 
 
-class LimitWord(t.NamedTuple):
+class ReportedLimit(t.NamedTuple):
     """Limit reported by an answer.
 
     Parameters
@@ -27,7 +27,7 @@
     """
 
     rate: float | None = None
-    unreadable: str = ""
+    invalid_text: str = ""
 
 
 class LimitFact(t.NamedTuple):
@@ -44,10 +44,10 @@
 
     rate: float | None
     sent_at: float
-    heard_at: float
+    received_at: float
 
 
-class LimitRecord:
+class ReplicaLimit:
     """Current limit of a replica, from answers in any order."""
 
     __slots__ = ("fact", "since")
@@ -69,22 +69,22 @@
         if fact.rate is None:
             self._note_none(fact)
         elif previous is None:
-            if fact.heard_at > self.fact.sent_at:
-                self.fact, self.since = fact, fact.heard_at
+            if fact.received_at > self.fact.sent_at:
+                self.fact, self.since = fact, fact.received_at
         else:
             self._note_rate(fact, previous)
         return self.fact.rate != previous
 
     def _note_none(self, fact: LimitFact) -> None:
-        if self.fact.rate is None or fact.sent_at >= self.fact.heard_at + REORDER_TOLERANCE_S:
+        if self.fact.rate is None or fact.sent_at >= self.fact.received_at + REORDER_TOLERANCE_S:
             self.fact = max(self.fact, fact, key=lambda candidate: candidate.sent_at)
 
     def _note_rate(self, fact: LimitFact, previous: float) -> None:
         """Apply a limit; if the order of two answers is unknown, the lower limit holds."""
         rate = fact.rate
-        if rate is None or fact.heard_at < self.fact.sent_at:
+        if rate is None or fact.received_at < self.fact.sent_at:
             return
-        if fact.sent_at < self.fact.heard_at:
+        if fact.sent_at < self.fact.received_at:
             rate = min(rate, previous)
-        heard_at = max(fact.heard_at, self.fact.heard_at)
+        heard_at = max(fact.received_at, self.fact.received_at)
         self.fact = LimitFact(rate, max(fact.sent_at, self.fact.sent_at), heard_at)
--- a/packages/policy/src/gradelug_policy/replica_room.py
+++ b/packages/policy/src/gradelug_policy/replica_room.py
@@ -14,19 +14,19 @@
 BURST_S = 0.5
 """Time whose requests, and one more, may be sent at once, in seconds. Requests arrive in bursts,
 and capacity unused for a moment is not lost."""
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 """Minimum rate in requests per second. It permits one request every 10 s as a probe, because a
 raised limit is only reported in answers."""
-LONGEST_RETRY_S = 30.0
+MAX_RETRY_S = 30.0
 """Maximum retry time given to a caller, in seconds, since limits change."""
-OWN_PART = 0.8
+LOCAL_LIMIT_FRACTION = 0.8
 """Fraction of a limit that instances divide among themselves while no planner grants capacity."""
 LOCAL_SLOT_TTL_S = 1.0
 """Time until an unused send slot expires, in seconds; accumulated slots would allow a burst."""
 
 
 @dataclass(slots=True, frozen=True)
-class Applicant:
+class CapacityRequest:
     """A request for capacity at a replica.
 
     Parameters
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ruling:
+class CapacityDecision:
     """Decision on a request for capacity.
 
     Parameters
@@ -64,12 +64,12 @@
         Time until capacity is available for a refused request, in seconds.
     """
 
-    applicant: Applicant
+    applicant: CapacityRequest
     granted: bool
     retry_s: float = 0.0
 
 
-class ReplicaRoom:
+class ReplicaRateLimiter:
     """Remaining capacity of a replica with a limit, and the queue of requests for it.
 
     Parameters
@@ -84,23 +84,23 @@
     __slots__ = ("_at", "_level", "_queue", "_arrivals", "_reserved", "_rate")
 
     def __init__(self, rate: float, now: float) -> None:
-        self._rate = max(LEAST_RATE, rate)
+        self._rate = max(MIN_RATE, rate)
         self._at = now
         self._level = 0.0
         self._reserved = 0.0
         """Number of refused requests whose retry time has not come yet."""
         self._arrivals = itertools.count()
-        self._queue: list[tuple[tuple[bool, int, float, int], Applicant]] = []
+        self._queue: list[tuple[tuple[bool, int, float, int], CapacityRequest]] = []
 
     @property
     def waiting(self) -> int:
         """Number of queued requests."""
         return len(self._queue)
 
-    def rename(self, rate: float, now: float) -> None:
+    def set_rate(self, rate: float, now: float) -> None:
         """Change the rate."""
         self._settle(now)
-        self._rate = max(LEAST_RATE, rate)
+        self._rate = max(MIN_RATE, rate)
         self._level = min(self._level, self._capacity)
 
     def try_take(self, now: float) -> bool:
@@ -116,37 +116,39 @@
         self._settle(now)
         return max(0.0, len(self._queue) + 1 - self._level) / self._rate
 
-    def apply(self, applicant: Applicant, now: float) -> list[Ruling]:
+    def enqueue(self, applicant: CapacityRequest, now: float) -> list[CapacityDecision]:
         """Queue a request; return the decisions that are made now."""
         sort_key = (not applicant.begun, applicant.rank, -applicant.value, next(self._arrivals))
         self._queue.append((sort_key, applicant))
         self._queue.sort(key=lambda entry: entry[0])
-        return self.rule(now)
+        return self.decide(now)
 
-    def withdraw(self, tickets: t.Container[t.Hashable]) -> None:
+    def cancel(self, tickets: t.Container[t.Hashable]) -> None:
         """Remove requests from the queue."""
         self._queue = [entry for entry in self._queue if entry[1].ticket not in tickets]
 
-    def rule(self, now: float) -> list[Ruling]:
+    def decide(self, now: float) -> list[CapacityDecision]:
         """Grant the available capacity, and refuse the requests that cannot be served in time."""
         self._settle(now)
         rulings = []
         while self._queue and self._level >= 1:
             self._level -= 1
-            rulings.append(Ruling(self._queue.pop(0)[1], True))
-        kept: list[tuple[tuple[bool, int, float, int], Applicant]] = []
+            rulings.append(CapacityDecision(self._queue.pop(0)[1], True))
+        kept: list[tuple[tuple[bool, int, float, int], CapacityRequest]] = []
         for entry in self._queue:
             ready_at = now + (len(kept) + 1 - self._level) / self._rate
             if ready_at <= entry[1].until:
                 kept.append(entry)
             else:
-                rulings.append(Ruling(entry[1], False, self._retry_s(entry[1], len(kept), now)))
+                rulings.append(
+                    CapacityDecision(entry[1], False, self._retry_s(entry[1], len(kept), now))
+                )
         self._queue = kept
         return rulings
 
-    def release(self) -> list[Ruling]:
+    def release(self) -> list[CapacityDecision]:
         """Grant all queued requests, because the replica does not report a limit any more."""
-        rulings = [Ruling(applicant, True) for _, applicant in self._queue]
+        rulings = [CapacityDecision(applicant, True) for _, applicant in self._queue]
         self._queue = []
         return rulings
 
@@ -169,7 +171,7 @@
         self._level = min(self._capacity, self._level + refilled)
         self._reserved = max(0.0, self._reserved - refilled)
 
-    def _retry_s(self, applicant: Applicant, queued_before: int, now: float) -> float:
+    def _retry_s(self, applicant: CapacityRequest, queued_before: int, now: float) -> float:
         """Return the retry time of a refused request, after those refused earlier.
 
         A request that did not wait is sent to another replica and not retried here.
@@ -177,10 +179,10 @@
         needed = queued_before + self._reserved + 1 - self._level
         if applicant.until > now:
             self._reserved += 1
-        return min(LONGEST_RETRY_S, max(0.0, needed) / self._rate)
+        return min(MAX_RETRY_S, max(0.0, needed) / self._rate)
 
 
-class OwnTurns:
+class LocalSendSlots:
     """Send slots of one instance at a replica, at an equal share of the limit.
 
     Each instance has slots at other times, and an unused slot expires soon. So all instances
@@ -223,6 +225,6 @@
         self._next_slot_at = max(self._next_slot_at, now - self.period_s) + self.period_s
         return True
 
-    def give_back(self, at: float) -> None:
+    def restore(self, at: float) -> None:
         """Make an unused slot available again at a given time, unless one is available before."""
         self._next_slot_at = min(self._next_slot_at, at)
--- a/packages/policy/src/gradelug_policy/rests.py
+++ b/packages/policy/src/gradelug_policy/rests.py
@@ -10,11 +10,11 @@
 import random
 import typing as t
 
-RETURN_S = 0.5
+RETURN_JITTER_S = 0.5
 """Seconds over which instances return to a replica after its backoff time, to avoid a burst."""
 
 
-class RestWord(t.NamedTuple):
+class ReportedBackoff(t.NamedTuple):
     """Backoff time reported by an answer.
 
     Parameters
@@ -30,7 +30,7 @@
     unreadable: str = ""
 
 
-class Rests:
+class ReplicaBackoffs:
     """End of the backoff time of each replica, for this instance.
 
     Parameters
@@ -51,7 +51,7 @@
         The latest end applies, because each requested backoff has to be respected.
         """
         was_resting = self.left_s(life, now) > 0
-        jitter_s = self._rng.uniform(0.0, min(RETURN_S, rest_s))
+        jitter_s = self._rng.uniform(0.0, min(RETURN_JITTER_S, rest_s))
         ends_at = now + rest_s + jitter_s
         self._ends_at[life] = max(ends_at, self._ends_at.get(life, -math.inf))
         return not was_resting
--- a/packages/policy/src/gradelug_policy/retries.py
+++ b/packages/policy/src/gradelug_policy/retries.py
@@ -85,7 +85,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def has_retry(self, now: float, unrun: bool = False) -> bool:
+    def has_retry(self, now: float, not_run: bool = False) -> bool:
         """Return whether a retry is available in the window.
 
         Parameters
@@ -98,7 +98,7 @@
         self._forget(now)
         reserved = (
             min(len(self._possibly_run_retries), MAX_RESERVED_RETRY_FRACTION * self._allowed)
-            if unrun
+            if not_run
             else 0
         )
         return len(self._retries) + 1 + reserved <= self._allowed
--- a/packages/policy/src/gradelug_policy/shares.py
+++ b/packages/policy/src/gradelug_policy/shares.py
@@ -17,7 +17,7 @@
 import typing as t
 from dataclasses import dataclass
 
-from .uses import KindUsage, Party, Uses
+from .uses import DecayedUsage, KindUsage, Party
 
 DEMAND_HEADROOM_FACTOR = 1.5
 """Demand of an owner as a multiple of its recent use, which varies by as much in normal operation.
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Claim:
+class WaitingRequest:
     """A request that waits for capacity on an engine.
 
     Parameters
@@ -79,7 +79,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class FairShare:
     """Use and entitlement of an owner.
 
     Parameters
@@ -92,7 +92,7 @@
     fair: float = 1.0
 
 
-class Parts:
+class ShareAllocation:
     """Fair shares of all owners at one moment.
 
     Parameters
@@ -147,12 +147,12 @@
         is_dominant = used > max(DOMINANT_USE_FRACTION * self._total, entitled)
         return is_dominant or self.spent(name) > OVERUSE_TOLERANCE_FACTOR * self.level
 
-    def standing(self, name: str) -> Standing:
+    def standing(self, name: str) -> FairShare:
         """Return the use and the entitlement of an owner."""
         if not self._total:
-            return Standing()
+            return FairShare()
         fair = self.level * self._weights.weight(name) / self._total
-        return Standing(self._used.get(name, 0.0) / self._total, min(1.0, fair))
+        return FairShare(self._used.get(name, 0.0) / self._total, min(1.0, fair))
 
 
 def _water_level(demands: t.Iterable[tuple[float, float]], total: float) -> float:
@@ -169,13 +169,13 @@
     return math.inf
 
 
-class Shares:
+class UsageShares:
     """Recent use of a service's engines by owners and kinds."""
 
     __slots__ = ("_kinds", "owners")
 
     def __init__(self) -> None:
-        self.owners = Uses()
+        self.owners = DecayedUsage()
         self._kinds = KindUsage()
 
     def note(self, party: Party, cost: float, now: float, is_full: bool = False) -> None:
@@ -196,7 +196,9 @@
         self.owners.note(party.owner, cost, now)
         self._kinds.note(party.kind, cost, now, is_full)
 
-    def board(self, claims: t.Sequence[Claim], weights: Weights, now: float) -> Board:
+    def fairness(
+        self, claims: t.Sequence[WaitingRequest], weights: Weights, now: float
+    ) -> FairnessState:
         """Return the fairness state of owners and kinds for a set of waiting requests."""
         owners: dict[str, float] = {}
         kinds: dict[str, float] = {}
@@ -204,11 +206,11 @@
             owner, kind = claim.party.owner, claim.party.kind
             owners[owner] = owners.get(owner, 0.0) + claim.cost
             kinds[kind] = kinds.get(kind, 0.0) + claim.cost
-        parts = Parts(self.owners.all(now), owners, weights)
-        return Board(parts, self._kinds.over(kinds, now), claims)
+        parts = ShareAllocation(self.owners.all(now), owners, weights)
+        return FairnessState(parts, self._kinds.overused(kinds, now), claims)
 
 
-class Board:
+class FairnessState:
     """Fairness state at one moment, which determines the deprioritised requests.
 
     Parameters
@@ -223,7 +225,9 @@
 
     __slots__ = ("_min_urgency", "_over", "_compliant_waits", "kinds", "owners")
 
-    def __init__(self, owners: Parts, kinds: frozenset[str], claims: t.Sequence[Claim]) -> None:
+    def __init__(
+        self, owners: ShareAllocation, kinds: frozenset[str], claims: t.Sequence[WaitingRequest]
+    ) -> None:
         self.owners = owners
         self.kinds = kinds
         waiting = {claim.party.owner for claim in claims}
@@ -245,7 +249,7 @@
         """Return whether an owner is above its share, whether or not it has waiting requests."""
         return owner in self._over or self.owners.is_over(owner)
 
-    def yields(self, party: Party, urgency: int) -> bool:
+    def must_yield(self, party: Party, urgency: int) -> bool:
         """Return whether a request is deprioritised: its owner or kind exceeds its share while
         others wait.
         """
@@ -254,20 +258,24 @@
         return self._min_urgency <= urgency and party.kind in self.kinds
 
 
-class Order(t.Protocol):
+class SchedulingOrder(t.Protocol):
     """Order in which waiting requests receive capacity."""
 
-    def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
+    def arrange(
+        self, claims: t.Iterable[WaitingRequest], board: FairnessState
+    ) -> list[WaitingRequest]:
         """Return all requests, the first to be served first."""
         ...
 
 
-class ByBound:
+class OveruseOrder:
     """Owners above their share last; then by urgency, kinds above their usual load, and arrival."""
 
     __slots__ = ()
 
-    def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
+    def arrange(
+        self, claims: t.Iterable[WaitingRequest], board: FairnessState
+    ) -> list[WaitingRequest]:
         """Return all requests, the first to be served first."""
         waiting = list(claims)
         over = {name for name in {claim.party.owner for claim in waiting} if board.is_over(name)}
@@ -290,7 +298,9 @@
 
     __slots__ = ()
 
-    def arrange(self, claims: t.Iterable[Claim], board: Board) -> list[Claim]:
+    def arrange(
+        self, claims: t.Iterable[WaitingRequest], board: FairnessState
+    ) -> list[WaitingRequest]:
         """Return all requests, the first to be served first."""
         counters: dict[str, float] = {}
         starts: dict[int, float] = {}
@@ -303,7 +313,9 @@
         return sorted(ordered, key=lambda claim: (claim.urgency, starts[claim.number]))
 
 
-def ahead_s(left_part: float, news_s: float, end_s: float, is_claimed: bool) -> float:
+def early_send_s(
+    left_part: float, news_s: float, run_end_interval_s: float, is_claimed: bool
+) -> float:
     """Return how long before capacity is expected a request may be sent, in seconds.
 
     It applies to deprioritised requests, which are held back for as long as other requests are.
@@ -316,27 +328,29 @@
         Remaining fraction of the request's waiting time.
     news_s : float
         Age of the known engine state, in seconds.
-    end_s : float
+    run_end_interval_s : float
         Time between two ends of runs on an engine, in seconds.
     is_claimed : bool
         Whether a request with precedence waits for the same engine.
     """
-    return news_s + (end_s if left_part <= FINAL_WAIT_FRACTION or not is_claimed else 0.0)
+    return news_s + (
+        run_end_interval_s if left_part <= FINAL_WAIT_FRACTION or not is_claimed else 0.0
+    )
 
 
-def out_of_turn(left_s: t.Sequence[float], turns_per_s: float) -> list[int]:
+def requests_too_late(left_s: t.Sequence[float], sends_per_s: float) -> list[int]:
     """Return the indices of a party's requests that cannot be sent in time; never the first one.
 
     Parameters
     ----------
     left_s : sequence of float
         Remaining time of each request in sending order, in seconds.
-    turns_per_s : float
+    sends_per_s : float
         Rate at which the party's requests are sent, per second.
     """
     kept, late = 0, []
     for at, left in enumerate(left_s):
-        if kept and kept + 1 > left * turns_per_s:
+        if kept and kept + 1 > left * sends_per_s:
             late.append(at)
         else:
             kept += 1
--- a/packages/policy/src/gradelug_policy/standings.py
+++ b/packages/policy/src/gradelug_policy/standings.py
@@ -6,7 +6,7 @@
 import typing as t
 from enum import Enum
 
-from .outcomes import Ended, FailureEvidence, Source
+from .outcomes import FailureEvidence, OutcomeCounts, Source
 
 MIN_OPEN_S = 1.0
 """Time without requests after the first ejection, in seconds; connections and processes recover
@@ -86,7 +86,7 @@
         self.evidence = evidence
         self._enter(EjectionPhase.OPEN, now)
 
-    def take(self, source: Source, ended: Ended, now: float) -> None:
+    def take(self, source: Source, ended: OutcomeCounts, now: float) -> None:
         """Apply outcomes if a prober reported them."""
         if self.phase is not EjectionPhase.PROBING or source.name not in self._probers:
             return
@@ -114,7 +114,7 @@
         """Whether nothing but probes is sent to the replica."""
         return self.phase in (EjectionPhase.OPEN, EjectionPhase.PROBING)
 
-    def held_back(self, now: float) -> float:
+    def diverted_fraction(self, now: float) -> float:
         """Return the fraction of the requests to divert to other replicas."""
         if self.is_ejected:
             return 1.0
--- a/packages/policy/src/gradelug_policy/uses.py
+++ b/packages/policy/src/gradelug_policy/uses.py
@@ -29,7 +29,7 @@
 """Use below this number of tokens counts as none."""
 SEND_RATE_HALF_LIFE_S = 1.0
 """Half-life of send rates, in seconds; refusals follow changes within a second."""
-FIRST_TURNS_S = 0.5
+MIN_OBSERVED_S = 0.5
 """Time for which a new planner observes send rates before it refuses requests by them, in
 seconds."""
 MIN_SENDS_PER_S = 0.5
@@ -52,7 +52,7 @@
     kind: str = ""
 
 
-class Uses:
+class DecayedUsage:
     """Decayed use in tokens by owner or kind; bounded in size, and empty after a start.
 
     Parameters
@@ -98,13 +98,13 @@
         self._entries = {name: (usage[name], now) for name in largest}
 
 
-class Turns:
+class SendRates:
     """Recent rate at which requests of each party were sent to engines."""
 
     __slots__ = ("_started_at", "_uses")
 
     def __init__(self) -> None:
-        self._uses = Uses(SEND_RATE_HALF_LIFE_S)
+        self._uses = DecayedUsage(SEND_RATE_HALF_LIFE_S)
         self._started_at = math.inf
 
     def note(self, party: Party, requests: int, now: float) -> None:
@@ -117,7 +117,7 @@
     def rate(self, party: Party, now: float) -> float:
         """Return the sent requests per second; infinite while the observation time is too short."""
         seen_s = now - self._started_at
-        if seen_s < FIRST_TURNS_S:
+        if seen_s < MIN_OBSERVED_S:
             return math.inf
         observed_fraction = 1 - math.exp(-math.log(2) * seen_s / SEND_RATE_HALF_LIFE_S)
         return max(MIN_SENDS_PER_S, self._uses.rate(_name(party), now) / observed_fraction)
@@ -133,8 +133,8 @@
     __slots__ = ("_recent", "_baseline")
 
     def __init__(self) -> None:
-        self._recent = Uses(KIND_HALF_LIFE_S)
-        self._baseline = Uses(BASELINE_HALF_LIFE_S)
+        self._recent = DecayedUsage(KIND_HALF_LIFE_S)
+        self._baseline = DecayedUsage(BASELINE_HALF_LIFE_S)
 
     def note(self, kind: str, cost: float, now: float, is_full: bool) -> None:
         """Add a use, in tokens; a negative one takes it back."""
@@ -142,7 +142,7 @@
         if not is_full:
             self._baseline.note(kind, cost, now)
 
-    def over(self, wanted: t.Mapping[str, float], now: float) -> frozenset[str]:
+    def overused(self, wanted: t.Mapping[str, float], now: float) -> frozenset[str]:
         """Return the kinds that use more than usual, relative to the other kinds.
 
         Fractions of the total are compared by their odds, since these grow in proportion to a
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -17,9 +17,9 @@
 from .outcomes import (
     ALL_HALLS,
     MIN_FAILURES,
-    Ended,
     FailureEvidence,
     OutcomeBatch,
+    OutcomeCounts,
     ReplicaOutcomes,
     Source,
     failure_rate,
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Finding:
+class ReplicaHealth:
     """Health of a replica as found from reported outcomes.
 
     Parameters
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class EjectionChange:
     """Ejection or return of a replica, for the log.
 
     Parameters
@@ -136,7 +136,7 @@
         self.ejections: dict[str, ReplicaEjection] = {}
         """Ejections by hall; under `ALL_HALLS` the one for all gateways."""
 
-    def note(self, source: Source, ended: Ended, now: float) -> None:
+    def note(self, source: Source, ended: OutcomeCounts, now: float) -> None:
         """Add outcomes."""
         if ended.took_s or ended.full:
             self.outcomes.times.note(ended, now)
@@ -169,7 +169,7 @@
         )
 
 
-class VerdictPool:
+class OutlierDetector:
     """Aggregates the outcomes that gateways report and ejects failing replicas.
 
     Parameters
@@ -188,14 +188,14 @@
         self._activity: Counter[str] = Counter()
         """Number of requests that each source reported since it was last the prober."""
 
-    def hear(self, source: Source, requests: int, now: float) -> None:
+    def record_activity(self, source: Source, requests: int, now: float) -> None:
         """Record that a source has requests, at any replica, so that it may be the prober."""
         self._sources[source] = now
         self._activity[source.name] += requests
 
-    def note(self, replica: str, source: Source, ended: Ended, now: float) -> None:
+    def note(self, replica: str, source: Source, ended: OutcomeCounts, now: float) -> None:
         """Add the outcomes that a source reports of its requests at a replica."""
-        self.hear(source, ended.good + ended.bad, now)
+        self.record_activity(source, ended.good + ended.bad, now)
         record = self._records.get(replica)
         if record is None:
             record = self._records[replica] = _Record()
@@ -205,7 +205,7 @@
         """Remove a replica that is gone or has a new incarnation."""
         self._records.pop(replica, None)
 
-    def leave(self, name: str) -> None:
+    def remove_source(self, name: str) -> None:
         """Remove a source that has disconnected."""
         for source in [source for source in self._sources if source.name == name]:
             del self._sources[source]
@@ -213,7 +213,7 @@
 
     def step(
         self, members: t.Mapping[str, t.Collection[str]], gather_s: float, now: float
-    ) -> list[Change]:
+    ) -> list[EjectionChange]:
         """Judge all replicas; return the ejected and the returned ones.
 
         Parameters
@@ -235,7 +235,7 @@
             source.hall for source, at in self._sources.items() if now - at <= SOURCE_ACTIVE_S
         )
         halls = sorted(set(active_halls))
-        changes: list[Change] = []
+        changes: list[EjectionChange] = []
         span_s, report_delay_s = gather_s + MIN_FAILURE_SPAN_S, JUDGEMENT_DELAY_INTERVALS * gather_s
         has_halls = len(halls) > 1
         for replicas in members.values():
@@ -247,9 +247,9 @@
                 changes.extend(self._judge(view, list(replicas), max_ejected, now))
         return changes
 
-    def findings(
+    def health_of_replicas(
         self, members: t.Mapping[str, t.Collection[str]], now: float
-    ) -> t.Iterator[Finding]:
+    ) -> t.Iterator[ReplicaHealth]:
         """Yield the health of each replica with relevant state."""
         for replicas in members.values():
             known_names = [name for name in replicas if name in self._records]
@@ -260,7 +260,7 @@
                     yield self._health_overall(name, mean_s, now)
                     yield from self._health_by_hall(name, now)
 
-    def _advance_ejections(self, name: str, now: float) -> t.Iterator[Change]:
+    def _advance_ejections(self, name: str, now: float) -> t.Iterator[EjectionChange]:
         record = self._records.get(name)
         if record is None:
             return
@@ -270,7 +270,7 @@
 
     def _judge(
         self, view: _View, members: t.Sequence[str], max_ejected: int, now: float
-    ) -> t.Iterator[Change]:
+    ) -> t.Iterator[EjectionChange]:
         hall = view.hall
         known_names = [name for name in members if name in self._records]
         counts = {name: self._records[name].outcomes.counts(hall) for name in known_names}
@@ -354,7 +354,7 @@
         number = sum(item.number for item in times)
         return sum(item.total_s for item in times) / number if number >= 1 else 0.0
 
-    def _health_overall(self, name: str, mean_s: float, now: float) -> Finding:
+    def _health_overall(self, name: str, mean_s: float, now: float) -> ReplicaHealth:
         record = self._records[name]
         outcomes = record.outcomes
         took_s = outcomes.times.mean_s(mean_s) if mean_s else 0.0
@@ -362,27 +362,27 @@
         failing = failure_rate(*outcomes.counts()) if outcomes.is_suspected else 0.0
         ejection = record.ejections.get(ALL_HALLS)
         if ejection is None or ejection.phase is EjectionPhase.CLOSED:
-            return Finding(name, ALL_HALLS, failing, 0.0, outcomes.sources(), "", took_s)
-        return Finding(
+            return ReplicaHealth(name, ALL_HALLS, failing, 0.0, outcomes.sources(), "", took_s)
+        return ReplicaHealth(
             name,
             ALL_HALLS,
             failing,
-            ejection.held_back(now),
+            ejection.diverted_fraction(now),
             ejection.evidence.sources,
             ejection.prober(lambda last: self._next_prober(ALL_HALLS, last, now), now),
             took_s,
         )
 
-    def _health_by_hall(self, name: str, now: float) -> t.Iterator[Finding]:
+    def _health_by_hall(self, name: str, now: float) -> t.Iterator[ReplicaHealth]:
         for hall, ejection in self._records[name].ejections.items():
             if hall == ALL_HALLS or ejection.phase is EjectionPhase.CLOSED:
                 continue
             choose = lambda last, hall=hall: self._next_prober(hall, last, now)  # noqa: E731
-            yield Finding(
+            yield ReplicaHealth(
                 name,
                 hall,
                 failure_rate(*self._records[name].outcomes.counts(hall)),
-                ejection.held_back(now),
+                ejection.diverted_fraction(now),
                 ejection.evidence.sources,
                 ejection.prober(choose, now),
             )
@@ -403,7 +403,9 @@
         return chosen
 
 
-def _change(name: str, hall: str, ejection: ReplicaEjection, ejected: bool, now: float) -> Change:
+def _change(
+    name: str, hall: str, ejection: ReplicaEjection, ejected: bool, now: float
+) -> EjectionChange:
     seen = ejection.evidence
     strikes = ejection.strikes(now)
-    return Change(name, hall, ejected, seen.sources, seen.good, seen.bad, strikes)
+    return EjectionChange(name, hall, ejected, seen.sources, seen.good, seen.bad, strikes)
--- a/packages/scheduler/src/gradelug_scheduler/authority.py
+++ b/packages/scheduler/src/gradelug_scheduler/authority.py
@@ -11,7 +11,7 @@
 import typing as t
 
 from gradelug_coordination.ownership import Held
-from gradelug_policy import VALID_S
+from gradelug_policy import CREDIT_TTL_S
 
 TRUST_S = 2.0
 """How long an engine's word that nobody later owns it is relied on."""
@@ -119,11 +119,11 @@
     def grant_valid_s(self) -> float:
         """Return how long a grant issued now may be valid."""
         if self._trusted():
-            return VALID_S
+            return CREDIT_TTL_S
         left_s = self._lease.remaining_s()
         if not self._checks:
             left_s = max(left_s, self._lease.valid_until + self._outage_s - self._clock())
-        return min(VALID_S, left_s)
+        return min(CREDIT_TTL_S, left_s)
 
     def predecessors_over_at(self, claimed_at: float) -> float:
         """Return when every grant of a former owner is over.
@@ -135,9 +135,9 @@
             the engine was taken.
         """
         if self._checks:
-            return claimed_at + TRUST_S + VALID_S
+            return claimed_at + TRUST_S + CREDIT_TTL_S
         lapsed_s = 0.0 if self.held.clean else self._outage_s
-        return claimed_at + max(lapsed_s, self.held.doubt_s) + VALID_S
+        return claimed_at + max(lapsed_s, self.held.doubt_s) + CREDIT_TTL_S
 
     def _leased(self) -> bool:
         return self._lease.remaining_s() > 0
--- a/packages/scheduler/src/gradelug_scheduler/keeper.py
+++ b/packages/scheduler/src/gradelug_scheduler/keeper.py
@@ -17,7 +17,7 @@
 from gradelug_config.model import Engine, Pool
 from gradelug_coordination import Account, GrantBook, Observation
 from gradelug_policy import (
-    VALID_S,
+    CREDIT_TTL_S,
     Demand,
     Popularity,
     Resident,
@@ -98,7 +98,7 @@
         self.authority = authority
         self._parts = parts
         self._claimed = self._took_over = not engine.checks_fences
-        self.book = GrantBook(float("inf"), VALID_S, authority.next_token())
+        self.book = GrantBook(float("inf"), CREDIT_TTL_S, authority.next_token())
         if self._claimed:
             over_at = authority.predecessors_over_at(authority.held.taken_at)
             self.book.set_predecessors_over(over_at)
--- a/packages/scheduler/src/gradelug_scheduler/store.py
+++ b/packages/scheduler/src/gradelug_scheduler/store.py
@@ -64,7 +64,7 @@
 
     def end(self, number: int) -> None:
         """Take a permit back."""
-        self._permits.end(number)
+        self._permits.release(number)
         self._serve()
 
     def _serve(self) -> None:
@@ -77,14 +77,14 @@
             waiting = next(item for item in self._waiting if item.request is chosen)
             self._waiting.remove(waiting)
             if waiting.fut.done():
-                self._permits.end(number)
+                self._permits.release(number)
                 continue
             waiting.fut.set_result(number)
 
     def _serve_later(self) -> None:
         if self._timer is not None and not self._timer.cancelled():
             return
-        delay_s = max(RETRY_S, self._permits.next_at(self._clock()))
+        delay_s = max(RETRY_S, self._permits.next_token_s(self._clock()))
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/tests/limit_load.py
+++ b/tests/limit_load.py
@@ -7,7 +7,12 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from gradelug_policy.replica_room import OWN_PART, Applicant, OwnTurns, ReplicaRoom
+from gradelug_policy.replica_room import (
+    LOCAL_LIMIT_FRACTION,
+    CapacityRequest,
+    LocalSendSlots,
+    ReplicaRateLimiter,
+)
 
 WINDOW_S = 4.0
 ROUND_TRIP_S = 0.008
@@ -74,7 +79,10 @@
 def turns(instances, rate, load):
     """Each instance has its own send slots, which expire unless they are used."""
     figures, rng = Figures(), random.Random(7)
-    own = [OwnTurns(OWN_PART * rate / instances, rng.random(), 0.0) for _ in range(instances)]
+    own = [
+        LocalSendSlots(LOCAL_LIMIT_FRACTION * rate / instances, rng.random(), 0.0)
+        for _ in range(instances)
+    ]
     for at, instance in load:
         if own[instance].take(at):
             figures.sent.append(at)
@@ -110,7 +118,7 @@
 
 def asked(instances, rate, load, patience_s=0.0):
     """Each request is sent to a planner for a grant."""
-    figures, room = Figures(), ReplicaRoom(rate, 0.0)
+    figures, room = Figures(), ReplicaRateLimiter(rate, 0.0)
     came = {}
 
     def settle(rulings, now):
@@ -125,7 +133,7 @@
         figures.messages += 2
         figures.moved += ASK_BYTES + ANSWER_BYTES
         came[number] = at
-        settle(room.apply(Applicant(number, now + patience_s), now), now)
+        settle(room.enqueue(CapacityRequest(number, now + patience_s), now), now)
     return figures
 
 
--- a/tests/quota_load.py
+++ b/tests/quota_load.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass, field
 
-from gradelug_policy.quotas import QuotaBucket, QuotaHome
+from gradelug_policy.quotas import QuotaBucket, QuotaCoordinator
 from gradelug_policy.refusals import Caller
 
 INSTANCES = 85
@@ -88,10 +88,10 @@
 
 
 class Home:
-    """Requests grants from a `QuotaHome`."""
+    """Requests grants from a `QuotaCoordinator`."""
 
     def __init__(self, urgent_first):
-        self.home = QuotaHome(0.0, urgent_first=urgent_first)
+        self.home = QuotaCoordinator(0.0, urgent_first=urgent_first)
         for number in range(INSTANCES):
             self.home.join(f"g{number}", {}, 0.0)
 
--- a/tests/share_load.py
+++ b/tests/share_load.py
@@ -12,8 +12,14 @@
 )
 from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S, expected_first_event_s, has_capacity
 from gradelug_policy.prefill import RequestWork
-from gradelug_policy.shares import Claim, EqualWeights, Shares, ahead_s, out_of_turn
-from gradelug_policy.uses import Party, Turns
+from gradelug_policy.shares import (
+    EqualWeights,
+    UsageShares,
+    WaitingRequest,
+    early_send_s,
+    requests_too_late,
+)
+from gradelug_policy.uses import Party, SendRates
 
 SIZES = (0.2, 0.2, 0.15, 0.15, 0.1, 0.1, 0.1)
 """Usual fractions of organisations; the flooding one is that of `FLOODER`."""
@@ -66,7 +72,7 @@
     def __init__(self, flood, order=None, seed=1, shape=SHAPE, weights=None):
         self.flood, self.order = flood, order
         self.weights_of = weights or EqualWeights()
-        self.shares, self.turns = Shares(), Turns()
+        self.shares, self.turns = UsageShares(), SendRates()
         self.untold = []
         self.refused = 0
         self._full = set()
@@ -108,26 +114,29 @@
             return super()._in_order(due)
         self._take_told()
         if self.now >= self.flood.lost_at:
-            self.shares, self.turns = Shares(), Turns()
+            self.shares, self.turns = UsageShares(), SendRates()
             self.flood = Flood(self.flood.times, self.flood.owner, self.flood.kind)
         claims = [
-            Claim(req.party, self.cost(req), req.rank, req.at, at) for at, req in enumerate(due)
+            WaitingRequest(req.party, self.cost(req), req.rank, req.at, at)
+            for at, req in enumerate(due)
         ]
-        self.board = self.shares.board(claims, self.weights_of, self.now)
-        self._claimed = {req.adapter for req in due if not self.board.yields(req.party, req.rank)}
+        self.board = self.shares.fairness(claims, self.weights_of, self.now)
+        self._claimed = {
+            req.adapter for req in due if not self.board.must_yield(req.party, req.rank)
+        }
         ordered = [due[claim.number] for claim in self.order.arrange(claims, self.board)]
         return self._without_late(ordered)
 
     def _without_late(self, ordered):
         by_party = {}
         for req in ordered:
-            if self.board.yields(req.party, req.rank):
+            if self.board.must_yield(req.party, req.rank):
                 by_party.setdefault(req.party, []).append(req)
         late = set()
         for party, reqs in by_party.items():
             left = [req.at + req.target_s - self.now for req in reqs]
             rate = self.turns.rate(party, self.now)
-            late.update(reqs[at].number for at in out_of_turn(left, rate))
+            late.update(reqs[at].number for at in requests_too_late(left, rate))
         for req in ordered:
             if req.number in late:
                 self._refuse(req)
@@ -151,7 +160,7 @@
                 self.shares.note(req.party, self.cost(req), self.now, bool(self.line))
 
     def _place(self, req, now):
-        if self.order is None or not self.board.yields(req.party, req.rank):
+        if self.order is None or not self.board.must_yield(req.party, req.rank):
             super()._place(req, now)
             return
         if now > req.at + req.target_s:
@@ -170,7 +179,9 @@
         least = expected_first_event_s(busy, work, self.terms, pace)
         is_claimed = any(key in self.held[best] for key in self._claimed)
         left_part = (req.at + req.target_s - now) / req.target_s
-        ahead = ahead_s(left_part, self.rules.news_s, pace.hold_s / self.terms.slots, is_claimed)
+        ahead = early_send_s(
+            left_part, self.rules.news_s, pace.hold_s / self.terms.slots, is_claimed
+        )
         if has_capacity(busy, work, self.terms, pace, ahead):
             self._send(req, best, work, now + least > req.at + req.target_s, now)
             return
--- a/tests/share_pool.py
+++ b/tests/share_pool.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass
 
-from gradelug_policy.shares import Claim, EqualWeights, Shares, out_of_turn
-from gradelug_policy.uses import Party, Turns
+from gradelug_policy.shares import EqualWeights, UsageShares, WaitingRequest, requests_too_late
+from gradelug_policy.uses import Party, SendRates
 
 SLOTS = 360
 SPEED = 19_200.0
@@ -73,7 +73,7 @@
         self.load, self.order = load, order
         self.weights = weights or EqualWeights()
         self.rng = random.Random(seed)
-        self.shares, self.turns = Shares(), Turns()
+        self.shares, self.turns = UsageShares(), SendRates()
         self.queue, self.items = [], []
         self.ends = []
         self.tokens = self.refused = 0
@@ -86,7 +86,7 @@
         for step in range(round((FLOOD[1] + 2) / STEP_S)):
             now = step * STEP_S
             if self.load.lost_at <= now < self.load.lost_at + STEP_S:
-                self.shares, self.turns = Shares(), Turns()
+                self.shares, self.turns = UsageShares(), SendRates()
             due += RATE * STEP_S
             while due >= 1:
                 due -= 1
@@ -127,20 +127,22 @@
 
     def _arrange(self, now):
         claims = [self._claim(item, at) for at, item in enumerate(self.queue)]
-        board = self.shares.board(claims, self.weights, now)
+        board = self.shares.fairness(claims, self.weights, now)
         self.queue = [self.queue[claim.number] for claim in self.order.arrange(claims, board)]
         lines = {}
         free = SLOTS - len(self.ends)
         for item in self.queue[max(0, free) :]:
-            if board.yields(_party(item), self.load.urgency(item)):
+            if board.must_yield(_party(item), self.load.urgency(item)):
                 lines.setdefault(_party(item), []).append(item)
         for party, items in lines.items():
             left = [item.at + KINDS[item.kind][2] - now for item in items]
-            for at in out_of_turn(left, self.turns.rate(party, now)):
+            for at in requests_too_late(left, self.turns.rate(party, now)):
                 self._give_up(items[at], now)
 
     def _claim(self, item, number):
-        return Claim(_party(item), self._cost(item), self.load.urgency(item), item.at, number)
+        return WaitingRequest(
+            _party(item), self._cost(item), self.load.urgency(item), item.at, number
+        )
 
     def _cost(self, item):
         return item.prompt + self.load.token_weight * item.answer
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,7 +10,7 @@
 import copy
 
 import pytest
-from gradelug_policy.connections import IDLE_CONNECTION_FRACTION, idle_share
+from gradelug_policy.connections import IDLE_CONNECTION_FRACTION, max_idle_connections
 from limit_world import LimitWorld
 from run_world import run
 
@@ -52,6 +52,6 @@
     )
     def test_all_instances_together_leave_half_for_new_connections(self, most, instances):
         draws = [(number + 0.5) / max(1, instances) for number in range(max(1, instances))]
-        kept = sum(idle_share(most, instances, draw) for draw in draws)
+        kept = sum(max_idle_connections(most, instances, draw) for draw in draws)
         assert kept <= IDLE_CONNECTION_FRACTION * most + 1
         assert kept >= 0.8 * IDLE_CONNECTION_FRACTION * most
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -17,14 +17,14 @@
     QuotaArbiter,
     RetryState,
 )
-from gradelug_policy.quotas import QuotaHome, QuotaTerms
+from gradelug_policy.quotas import QuotaCoordinator, QuotaLimit
 from gradelug_policy.refusals import MAX_REFUSALS, Caller, Refusals
 from gradelug_wire import placement_pb2 as pb
 from quota_load import KINDS, play
 
 ASKED = sum(kind.per_s * kind.tokens for kind in KINDS)
-THIRD = QuotaTerms(ASKED / 3, ASKED / 3)
-MOST = QuotaTerms(ASKED / 1.5, ASKED / 1.5)
+THIRD = QuotaLimit(ASKED / 3, ASKED / 3)
+MOST = QuotaLimit(ASKED / 1.5, ASKED / 1.5)
 UNTIL = 30.0
 RATE, CAPACITY = 10_000.0, 10_000.0
 
@@ -81,15 +81,15 @@
         assert result.granted >= 0.99 * THIRD.rate * 30.0
 
     def test_an_organisation_within_its_quota_is_not_refused(self):
-        terms = QuotaTerms(ASKED * 1.3, ASKED * 1.3)
+        terms = QuotaLimit(ASKED * 1.3, ASKED * 1.3)
         result = play("levels", terms, steadily, abuse=0.0)
         assert sum(req.refused for req in result.requests) <= 0.001 * len(result.requests)
 
     def test_urgent_go_first_after_a_load_jump_and_a_lower_limit(self):
-        terms = QuotaTerms(ASKED / 2, ASKED / 2)
+        terms = QuotaLimit(ASKED / 2, ASKED / 2)
 
         def limits(at, terms):
-            return terms if at < 12.0 else QuotaTerms(terms.rate / 2, terms.burst / 2)
+            return terms if at < 12.0 else QuotaLimit(terms.rate / 2, terms.burst / 2)
 
         result = play("levels", terms, lambda at: 0.3 if at < 5.0 else 1.0, limits=limits)
         # Grants under the old limit are forgotten within some seconds.
@@ -245,8 +245,8 @@
 
 class TestSwitchedOff:
     def test_first_come_first_served(self):
-        terms = QuotaTerms(1_000.0, 1_000.0)
-        home = QuotaHome(0.0, urgent_first=False)
+        terms = QuotaLimit(1_000.0, 1_000.0)
+        home = QuotaCoordinator(0.0, urgent_first=False)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", terms, 900.0, 5.0, Caller(7)).granted
         results = [home.ask("g", "o", terms, 500.0, 5.0, Caller(0, 0.0)) for _ in range(3)]
@@ -267,7 +267,7 @@
     organisations = Organisations([(Organisation("o", None, Quota(1_000.0, 4_000.0)), ["k"])])
     state = FleetState()
     state.snapshot = Snapshot(1, (), {}, ServerLimits(), organisations)
-    arbiter = QuotaDesk(QuotaHome(0.0, urgent_first=urgent_first), state, lambda: True)
+    arbiter = QuotaDesk(QuotaCoordinator(0.0, urgent_first=urgent_first), state, lambda: True)
     follower = Follower()
     arbiter.take(follower, pb.FromGateway(instance="g"), 0.0)
     return arbiter, follower
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -10,7 +10,7 @@
 from gradelug_http import ResponseHead
 from gradelug_platform.dialect import PlatformDialect
 from gradelug_platform.entries import PlatformEntries
-from gradelug_policy.departures import MOST_LIVES, Departures
+from gradelug_policy.departures import MAX_INCARNATIONS, DrainingReplicas
 from limit_world import LimitWorld
 from run_world import run
 
@@ -198,11 +198,11 @@
         assert self.feed.state.is_leaving(chosen)
 
     def test_the_number_of_departures_is_bounded(self):
-        departures = Departures()
-        for number in range(MOST_LIVES + 1):
+        departures = DrainingReplicas()
+        for number in range(MAX_INCARNATIONS + 1):
             departures.note("r", number)
         assert not departures.has("r", 0)
-        assert departures.has("r", MOST_LIVES)
+        assert departures.has("r", MAX_INCARNATIONS)
 
 
 class TestHeader:
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -13,7 +13,7 @@
 from gradelug_gateway.share_tally import MOST_UNTOLD, NOBODY, ShareTally, ShareTeller, party_of
 from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S
 from gradelug_policy.prefill import RequestWork
-from gradelug_policy.uses import FIRST_TURNS_S, Party
+from gradelug_policy.uses import MIN_OBSERVED_S, Party
 from gradelug_wire import placement_pb2 as pb
 from test_planner import run
 from test_planner_capacity import ASK, BATCH, RoomBench
@@ -35,7 +35,7 @@
         self.report_usage("flood", 900_000, turns)
         self.report_usage("small", 10_000)
         self.report_usage("other", 10_000)
-        await asyncio.sleep(FIRST_TURNS_S)
+        await asyncio.sleep(MIN_OBSERVED_S)
         self.report_all_loads(BATCH)
         return holder
 
@@ -272,7 +272,7 @@
 
 
 def test_log_line_shows_the_shares_of_a_request():
-    standing = pb.Standing(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
+    standing = pb.FairShare(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
     with logbook.TestHandler() as handler:
         tell_standing("q1", Party("o", "k"), 2, pb.Answer(standing=standing))
     (record,) = handler.records
--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -10,7 +10,7 @@
 from gradelug_gateway.limits import Demand, Denial, GrantsUnavailable, ReplicaLimits
 from gradelug_gateway.model import FleetState, Replica
 from gradelug_gateway.pending import merge_news
-from gradelug_policy.replica_limits import LimitFact, LimitWord
+from gradelug_policy.replica_limits import LimitFact, ReportedLimit
 from gradelug_wire import placement_pb2 as pb
 from run_world import run
 
@@ -87,7 +87,7 @@
             await asyncio.sleep(0.01)
 
     def set_limit(self, at, rate, replica="e0"):
-        self.gateways[at].limits.hear(replica, LimitWord(rate), self.clock())
+        self.gateways[at].limits.hear(replica, ReportedLimit(rate), self.clock())
 
     def request(self, at, replica="e0", wait_s=0.0, **demand):
         found = Demand(self.clock() + wait_s, **demand)
@@ -336,7 +336,7 @@
         async def scenario():
             limits = ReplicaLimits(asyncio.get_running_loop().time)
             limits.share_among(7)
-            limits.hear("e0", LimitWord(1.4), 0.0)
+            limits.hear("e0", ReportedLimit(1.4), 0.0)
             rep, sent = Replica("e0", "plain", "", "h"), 0
             loop = asyncio.get_running_loop()
             until = loop.time() + 60.0
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -7,13 +7,13 @@
 import pytest
 from gradelug_policy.pace import (
     CACHED_LOAD_SPEEDUP,
-    FIRST_LOAD_S,
+    INITIAL_LOAD_TIME_S,
     INITIAL_PARALLEL_LOADS,
     LATE_LOAD_MARGIN,
     MAX_LOAD_TIME_INCREASE_FACTOR,
     MIN_PARALLEL_LOADS,
     UNLOADED_MAX_LOADS,
-    StorePace,
+    StoreConcurrencyLimit,
 )
 
 AGAIN_S = 0.06
@@ -36,7 +36,7 @@
 
     def __init__(self, store, noise=0.0, report_s=0.005, share=1.0):
         self.store = store
-        self.pace = StorePace(0.0)
+        self.pace = StoreConcurrencyLimit(0.0)
         self.rng = random.Random(7)
         self.noise = noise
         self.report_s = report_s
@@ -58,11 +58,11 @@
         self.now = until
 
     def _begin(self):
-        while self.under_way < self.pace.at_once:
+        while self.under_way < self.pace.max_concurrent_loads:
             self.under_way += 1
             took_s = self.store.time_s(self.under_way + self.others)
             took_s *= 1 + self.noise * self.rng.random()
-            at_limit = self.under_way >= self.pace.at_once
+            at_limit = self.under_way >= self.pace.max_concurrent_loads
             load = (self.now, took_s, self.under_way, at_limit, False)
             self._push(self.now + self.pace.load_s, load)
 
@@ -73,14 +73,14 @@
         began, took_s, under_way, at_limit, again = load
         if self.now < began + took_s - 1e-9:
             self.late += not again
-            self.pace.note_late(under_way, self.now + self.report_s - began, self.now)
+            self.pace.record_late(under_way, self.now + self.report_s - began, self.now)
             self._push(max(self.now + AGAIN_S, began + self.pace.load_s), (*load[:4], True))
             return
         self.under_way -= 1
         self.done.append(self.now)
         if again:
             return
-        self.pace.note_in_time(under_way, at_limit, self.now)
+        self.pace.record_success(under_way, at_limit, self.now)
 
     def throughput(self, since):
         return sum(at >= since for at in self.done) / (self.now - since)
@@ -107,7 +107,7 @@
         run.go(found_s + max(4.0, 8 * store.alone_s))
         best = store.full / store.alone_s
         assert run.throughput(found_s) >= (0.75 if store.full <= 240 else 0.5) * best
-        assert run.pace.at_once <= 2 * store.full + 2 * UNLOADED_MAX_LOADS
+        assert run.pace.max_concurrent_loads <= 2 * store.full + 2 * UNLOADED_MAX_LOADS
 
     @pytest.mark.parametrize(
         "store", [s for s in STORES if UNLOADED_MAX_LOADS <= s.full <= 240], ids=named
@@ -147,40 +147,44 @@
         assert run.throughput(since) >= part * store.full / store.alone_s
 
     def test_simultaneous_late_loads_raise_the_estimate_once(self):
-        pace = StorePace(0.0)
+        pace = StoreConcurrencyLimit(0.0)
         for _ in range(50):
-            pace.note_late(8, 0.35, 0.0)
+            pace.record_late(8, 0.35, 0.0)
         assert pace.load_s == pytest.approx(0.35 * LATE_LOAD_MARGIN)
 
     def test_the_known_capacity_is_the_initial_limit(self):
-        assert StorePace(0.0, 80.0).at_once == 80
-        assert StorePace(0.0, 2.0).at_once == INITIAL_PARALLEL_LOADS
+        assert StoreConcurrencyLimit(0.0, 80.0).max_concurrent_loads == 80
+        assert StoreConcurrencyLimit(0.0, 2.0).max_concurrent_loads == INITIAL_PARALLEL_LOADS
 
     def test_a_faster_store_is_detected_soon(self):
-        pace = StorePace(0.0)
-        pace.note_in_time(1, False, 1.0)
-        assert pace.load_s < 0.7 * FIRST_LOAD_S
+        pace = StoreConcurrencyLimit(0.0)
+        pace.record_success(1, False, 1.0)
+        assert pace.load_s < 0.7 * INITIAL_LOAD_TIME_S
 
     def test_one_delayed_report_has_a_bounded_effect(self):
-        pace = StorePace(0.0)
-        pace.note_late(8, 5.0, 0.0)
-        assert pace.load_s == FIRST_LOAD_S * MAX_LOAD_TIME_INCREASE_FACTOR
+        pace = StoreConcurrencyLimit(0.0)
+        pace.record_late(8, 5.0, 0.0)
+        assert pace.load_s == INITIAL_LOAD_TIME_S * MAX_LOAD_TIME_INCREASE_FACTOR
 
     def test_slower_loads_lower_the_limit_but_not_to_zero(self):
-        pace = StorePace(0.0)
+        pace = StoreConcurrencyLimit(0.0)
         for step in range(1, 200):
-            pace.note_late(11, 3.0, step * 0.1)
-            pace.note_in_time(11, True, step * 0.1)
-        assert pace.at_once == MIN_PARALLEL_LOADS
+            pace.record_late(11, 3.0, step * 0.1)
+            pace.record_success(11, True, step * 0.1)
+        assert pace.max_concurrent_loads == MIN_PARALLEL_LOADS
 
     def test_an_unused_limit_stays(self):
-        pace = StorePace(0.0)
+        pace = StoreConcurrencyLimit(0.0)
         for step in range(50):
-            pace.note_in_time(8, False, step * 0.1)
-        assert pace.at_once == INITIAL_PARALLEL_LOADS
+            pace.record_success(8, False, step * 0.1)
+        assert pace.max_concurrent_loads == INITIAL_PARALLEL_LOADS
 
     def test_a_load_from_host_memory_is_faster(self):
-        pace = StorePace(0.0)
-        assert pace.cached_s == pytest.approx(FIRST_LOAD_S / CACHED_LOAD_SPEEDUP)
-        pace.note_late(1, 0.35, 0.0)
-        assert pace.cached_s == pytest.approx(0.35 * LATE_LOAD_MARGIN / CACHED_LOAD_SPEEDUP)
+        pace = StoreConcurrencyLimit(0.0)
+        assert pace.expected_cached_load_s == pytest.approx(
+            INITIAL_LOAD_TIME_S / CACHED_LOAD_SPEEDUP
+        )
+        pace.record_late(1, 0.35, 0.0)
+        assert pace.expected_cached_load_s == pytest.approx(
+            0.35 * LATE_LOAD_MARGIN / CACHED_LOAD_SPEEDUP
+        )
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -9,9 +9,9 @@
 import pytest
 from gradelug_gateway.health import SharedVerdict
 from gradelug_gateway.model import Repeat
-from gradelug_policy.outcomes import Ended, Source
+from gradelug_policy.outcomes import OutcomeCounts, Source
 from gradelug_policy.plain import PlainShares, PlainView, replica_weights
-from gradelug_policy.verdicts import Finding, VerdictPool
+from gradelug_policy.verdicts import OutlierDetector, ReplicaHealth
 from test_serving import FULL, MISDIRECTED, OK, Bench, route, run, status
 
 GATEWAYS = 85
@@ -68,12 +68,12 @@
         hall = SOURCES[gateway].hall
         allowed = []
         for rep in REPLICAS:
-            found = simulation.found.get(rep, Finding(rep))
+            found = simulation.found.get(rep, ReplicaHealth(rep))
             if found.prober == SOURCES[gateway].name:
                 return rep
             if simulation.rng.random() >= found.held_back:
                 allowed.append(found)
-        allowed = allowed or [simulation.found.get(rep, Finding(rep)) for rep in REPLICAS]
+        allowed = allowed or [simulation.found.get(rep, ReplicaHealth(rep)) for rep in REPLICAS]
         views = [
             PlainView(
                 found.replica,
@@ -102,7 +102,7 @@
         self.reporting = [Counter() for _ in range(GATEWAYS)]
         self.reported = Counter()
         self.found = {}
-        self.pool = VerdictPool()
+        self.pool = OutlierDetector()
         self.ended = [{} for _ in range(GATEWAYS)]
         self.running, self.queued = Counter(), {rep: [] for rep in REPLICAS}
         self.sent, self.full, self.failed, self.late = Counter(), 0, 0, 0
@@ -153,8 +153,8 @@
             self._start(now, rep, *self.queued[rep].pop(0))
 
     def _note(self, gateway, rep, good=0, bad=0, took_s=0.0, full=0):
-        previous = self.ended[gateway].get(rep, Ended(0, 0))
-        self.ended[gateway][rep] = Ended(
+        previous = self.ended[gateway].get(rep, OutcomeCounts(0, 0))
+        self.ended[gateway][rep] = OutcomeCounts(
             previous.good + good, previous.bad + bad, previous.took_s + took_s, previous.full + full
         )
 
@@ -170,7 +170,7 @@
         members = {"plain": REPLICAS}
         changes = self.pool.step(members, GATHER_INTERVAL_S, now)
         self.ejected |= {change.replica for change in changes if change.ejected}
-        self.found = {found.replica: found for found in self.pool.findings(members, now)}
+        self.found = {found.replica: found for found in self.pool.health_of_replicas(members, now)}
         self._at(now + PROPAGATION_INTERVAL_S, self._propagate)
 
     @property
@@ -232,14 +232,14 @@
         assert simulation.full < 0.6 * own.full
 
     def test_replica_that_falsely_reports_full_receives_less(self):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         for step in range(20):
             now = step * PROPAGATION_INTERVAL_S
             for rep in REPLICAS:
                 full = 3 if rep == "p0" else 0
-                pool.note(rep, SOURCES[0], Ended(7, 0, 7 * SERVICE_S, full), now)
+                pool.note(rep, SOURCES[0], OutcomeCounts(7, 0, 7 * SERVICE_S, full), now)
             pool.step({"plain": REPLICAS}, GATHER_INTERVAL_S, now)
-        found = {f.replica: f for f in pool.findings({"plain": REPLICAS}, now)}
+        found = {f.replica: f for f in pool.health_of_replicas({"plain": REPLICAS}, now)}
         views = [PlainView(rep, found[rep].took_s, 0.0, 0, False) for rep in REPLICAS]
         assert replica_weights(views)[0] < 0.7 * replica_weights(views)[1]
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -19,7 +19,7 @@
 )
 from gradelug_gateway.placement import Duty
 from gradelug_gateway.planner import Planner
-from gradelug_policy.pace import FIRST_LOAD_S
+from gradelug_policy.pace import INITIAL_LOAD_TIME_S
 from gradelug_policy.residency import LoadRateLimiter
 from gradelug_wire import placement_pb2 as pb
 from hypothesis import given, settings
@@ -136,7 +136,7 @@
             bench = Bench()
             await asyncio.sleep(0.5)
             tickets = [bench.ask("a1"), bench.ask("a1")]
-            await asyncio.sleep(FIRST_LOAD_S + 0.1)
+            await asyncio.sleep(INITIAL_LOAD_TIME_S + 0.1)
             answers = bench.collect()
             names = {answers[ticket].replica for ticket in tickets}
             assert len(names) == 1
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -23,7 +23,7 @@
 from gradelug_gateway.poison_desk import REPEAT_INTERVAL_S, PoisonDesk, PoisonReporter
 from gradelug_gateway.poison_record import KEY, PoisonRecord
 from gradelug_http import HttpPool, ServerLimits
-from gradelug_policy.poison import BEGUN, GATHER_S, WAITING, EndLedger
+from gradelug_policy.poison import END_GATHER_S, QUEUED_WEIGHT, STARTED_WEIGHT, EndLedger
 from gradelug_standins.kv import MemoryKv
 from gradelug_wire import placement_pb2 as pb
 from run_world import run
@@ -100,15 +100,15 @@
     def test_a_connected_planner_alone_decides(self):
         guard = self.guard()
         for number in range(5):
-            guard.note_end(f"e{number}", {A: BEGUN})
+            guard.note_end(f"e{number}", {A: STARTED_WEIGHT})
         guard.check(A)
         assert self.flush_count == 5
 
     def test_a_suspect_is_refused_while_the_planner_is_lost(self):
         guard = self.guard(BlockAuthority.UNKNOWN)
-        guard.note_end("e1", {A: BEGUN})
+        guard.note_end("e1", {A: STARTED_WEIGHT})
         guard.check(A)
-        guard.note_end("e2", {A: BEGUN})
+        guard.note_end("e2", {A: STARTED_WEIGHT})
         with pytest.raises(Refused) as caught:
             guard.check(A)
         assert caught.value.retry_after_s == SUSPECT_RETRY_S
@@ -120,15 +120,15 @@
         guard = self.guard(BlockAuthority.SELF)
         for number in range(3):
             guard.check(A)
-            guard.note_end(f"e{number}", {A: BEGUN, B: WAITING})
+            guard.note_end(f"e{number}", {A: STARTED_WEIGHT, B: QUEUED_WEIGHT})
         with pytest.raises(Blocked):
             guard.check(A)
         guard.check(B)
 
     def test_a_suspect_that_completes_is_cleared_and_reported(self):
         guard = self.guard(BlockAuthority.UNKNOWN)
-        guard.note_end("e1", {A: BEGUN})
-        guard.note_end("e2", {A: BEGUN})
+        guard.note_end("e1", {A: STARTED_WEIGHT})
+        guard.note_end("e2", {A: STARTED_WEIGHT})
         guard.note_served(A)
         guard.check(A)
         assert not guard.observations
@@ -140,14 +140,14 @@
     def test_a_request_that_completed_here_is_never_suspected(self):
         guard = self.guard()
         guard.note_served(A)
-        guard.note_end("e1", {A: BEGUN, B: BEGUN})
+        guard.note_end("e1", {A: STARTED_WEIGHT, B: STARTED_WEIGHT})
         assert [observation.fingerprint for observation in guard.observations] == [B]
 
     def test_memory_is_bounded(self):
         guard = self.guard()
         for number in range(2 * MAX_SERVED):
             guard.note_served(b"%d" % number)
-            guard.note_end("e", {b"x%d" % number: WAITING})
+            guard.note_end("e", {b"x%d" % number: QUEUED_WEIGHT})
         assert len(guard._served) == MAX_SERVED
         assert len(guard.observations) == MAX_OBSERVATIONS
 
@@ -175,12 +175,12 @@
     def test_a_replica_that_refuses_connections_ended_with_its_requests(self):
         async def scenario():
             ends = Ends()
-            ends.detector.note_broken(ends.replica, A, BEGUN)
-            ends.detector.note_broken(ends.replica, B, WAITING)
+            ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
+            ends.detector.note_broken(ends.replica, B, QUEUED_WEIGHT)
             await asyncio.sleep(0.1)
-            assert ends.found == [("e1@7", {A: BEGUN, B: WAITING})]
-            ends.detector.note_broken(ends.replica, b"late", WAITING)
-            assert ends.found[1] == ("e1@7", {b"late": WAITING})
+            assert ends.found == [("e1@7", {A: STARTED_WEIGHT, B: QUEUED_WEIGHT})]
+            ends.detector.note_broken(ends.replica, b"late", QUEUED_WEIGHT)
+            assert ends.found[1] == ("e1@7", {b"late": QUEUED_WEIGHT})
             assert ends.detector.ended == 1
 
         run(scenario)
@@ -189,7 +189,7 @@
         async def scenario():
             ends = Ends(replies=[])
             for _ in range(3):
-                ends.detector.note_broken(ends.replica, A, BEGUN)
+                ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
                 await asyncio.sleep(0.1)
             ends.detector.poll()
             assert ends.found == []
@@ -203,7 +203,7 @@
             ends = Ends(leaving=is_announced)
             if not is_announced:
                 del ends.state.replicas["e1"]
-            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
             await asyncio.sleep(0.1)
             assert ends.found == []
 
@@ -214,7 +214,7 @@
         async def scenario():
             ends = Ends()
             ends.detector._pool._dial = ends.never
-            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
             await asyncio.sleep(3.0)
             ends.detector.poll()
             assert ends.found == []
@@ -222,7 +222,7 @@
             if is_restarted:
                 ends.state.replicas["e1"] = Replica("e1", "llm", "10.0.1.1:80", "h", born=8)
             ends.detector.poll()
-            assert ends.found == [("e1@7", {A: BEGUN})]
+            assert ends.found == [("e1@7", {A: STARTED_WEIGHT})]
 
         run(scenario)
 
@@ -230,7 +230,7 @@
         async def scenario():
             ends = Ends()
             ends.detector._pool._dial = ends.never
-            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
             await asyncio.sleep(REMOVAL_REPORT_S + 0.1)
             ends.detector.poll()
             assert not ends.detector._checks
@@ -242,9 +242,9 @@
         async def scenario():
             ends = Ends()
             ends.detector._pool._dial = ends.never
-            ends.detector.note_broken(ends.replica, A, BEGUN)
+            ends.detector.note_broken(ends.replica, A, STARTED_WEIGHT)
             ends.detector.note_refused(ends.replica)
-            assert ends.found == [("e1@7", {A: BEGUN})]
+            assert ends.found == [("e1@7", {A: STARTED_WEIGHT})]
 
         run(scenario)
 
@@ -269,7 +269,7 @@
     def ended(self, number, *marks):
         end = pb.ReplicaEnd(life=f"e{number}")
         for mark in marks:
-            end.suspects.add(mark=mark, weight=BEGUN)
+            end.suspects.add(mark=mark, weight=STARTED_WEIGHT)
         return pb.FromGateway(ended=[end])
 
     def test_observations_of_gateways_are_aggregated(self):
@@ -278,7 +278,7 @@
             aggregator.take(Follower, self.ended(number, A), 1.0)
             aggregator.take(Follower, self.ended(number, b"x%d" % number), 1.0)
         news = pb.FromPlanner()
-        aggregator.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * END_GATHER_S)
         assert list(news.poison.blocked) == [A]
 
     def test_findings_are_repeated_for_joining_gateways(self):
@@ -293,12 +293,12 @@
 
     def test_a_successor_restores_earlier_findings(self):
         aggregator = self.aggregator()
-        suspects = {A.hex(): {"e1@0": BEGUN, "e2@0": BEGUN}}
-        value = json.dumps({"blocked": {B.hex(): BEGUN}, "suspects": suspects}).encode()
+        suspects = {A.hex(): {"e1@0": STARTED_WEIGHT, "e2@0": STARTED_WEIGHT}}
+        value = json.dumps({"blocked": {B.hex(): STARTED_WEIGHT}, "suspects": suspects}).encode()
         self.mirror.entries[KEY] = KvEntry(KEY, value, 5)
         aggregator.take(Follower, self.ended(3, A), 1.0)
         news = pb.FromPlanner()
-        aggregator.fill(news, 1.0 + 2 * GATHER_S)
+        aggregator.fill(news, 1.0 + 2 * END_GATHER_S)
         assert set(news.poison.blocked) == {A, B}
 
     def test_suspects_are_published_and_cleared(self):
@@ -330,7 +330,7 @@
         now = [10.0]
         guard = PoisonGuard(lambda: now[0], lambda: BlockAuthority.PLANNER)
         reporter = PoisonReporter(guard, lambda: True, lambda: now[0])
-        guard.note_end("e1", {A: BEGUN, B: WAITING})
+        guard.note_end("e1", {A: STARTED_WEIGHT, B: QUEUED_WEIGHT})
         now[0] = 12.0
         for _ in range(2):
             reporter.begin_stream()
@@ -339,8 +339,8 @@
             (end,) = message.ended
             assert (end.life, end.age_ms) == ("e1", 2000)
             assert {suspect.mark: suspect.weight for suspect in end.suspects} == {
-                A: BEGUN,
-                B: WAITING,
+                A: STARTED_WEIGHT,
+                B: QUEUED_WEIGHT,
             }
             message = pb.FromGateway()
             reporter.fill(message)
@@ -366,9 +366,9 @@
             kv = MemoryKv()
             (writer, _), (reader, mirror) = self.records(kv)
             ledger = EndLedger()
-            ledger.block(A, BEGUN, 0.0)
+            ledger.block(A, STARTED_WEIGHT, 0.0)
             for number in range(2):
-                ledger.note_end(f"e{number}", B, BEGUN, 0.0)
+                ledger.note_end(f"e{number}", B, STARTED_WEIGHT, 0.0)
             task = asyncio.create_task(writer.run())
             writer.save(ledger)
             await asyncio.sleep(0.1)
@@ -379,7 +379,7 @@
             reader.restore(successor, 1.0)
             # Repeated reports of an end count once, and one more end is enough.
             for number in range(3):
-                successor.note_end(f"e{number}", B, BEGUN, 1.0)
+                successor.note_end(f"e{number}", B, STARTED_WEIGHT, 1.0)
             assert [found.mark for found in successor.judge(2.0)] == [B]
             task.cancel()
 
@@ -391,7 +391,7 @@
             (writer, mirror), (reader, other) = self.records(kv)
             copied = kv.copy()
             ledger = EndLedger()
-            ledger.block(A, BEGUN, 0.0)
+            ledger.block(A, STARTED_WEIGHT, 0.0)
             task = asyncio.create_task(writer.run())
             writer.save(ledger)
             await asyncio.sleep(0.1)
@@ -427,14 +427,14 @@
             kv = MemoryKv()
             ((writer, _),) = self.records(kv, 1)
             ledger = EndLedger()
-            ledger.block(A, BEGUN, 0.0)
+            ledger.block(A, STARTED_WEIGHT, 0.0)
             task = asyncio.create_task(writer.run())
             kv.faults.lose_answers = 1
             writer.save(ledger)
             await asyncio.sleep(2.0)
             assert A.hex() in json.loads(kv.entries()[KEY].value)["blocked"]
             kv.set_down(True)
-            ledger.block(B, BEGUN, 0.0)
+            ledger.block(B, STARTED_WEIGHT, 0.0)
             writer.save(ledger)
             await asyncio.sleep(2.0)
             kv.set_down(False)
@@ -452,7 +452,7 @@
             (first, _), (second, mirror) = self.records(kv)
             tasks = [asyncio.create_task(record.run()) for record in (first, second)]
             known = EndLedger()
-            known.block(A, BEGUN, 0.0)
+            known.block(A, STARTED_WEIGHT, 0.0)
             first.save(known)
             await asyncio.sleep(0.1)
             ledger = EndLedger()
@@ -476,7 +476,7 @@
             tasks = []
             for (record, _), mark in zip(records, (A, B), strict=True):
                 ledger = EndLedger()
-                ledger.block(mark, BEGUN, 0.0)
+                ledger.block(mark, STARTED_WEIGHT, 0.0)
                 record.save(ledger)
                 tasks.append(asyncio.create_task(record.run()))
             await asyncio.sleep(1.0)
--- a/tests/test_poison_policy.py
+++ b/tests/test_poison_policy.py
@@ -4,18 +4,18 @@
 
 import pytest
 from gradelug_policy.poison import (
-    BEGUN,
     BLOCK_SCORE,
     BLOCK_TTL_S,
     CERTAIN_BLOCK_SCORE,
-    GATHER_S,
+    END_GATHER_S,
+    END_TTL_S,
     MAX_BLOCKED,
     MAX_ENDS,
     MAX_REQUESTS_PER_END,
     MAX_SUSPECTS,
-    REMEMBERED_S,
-    RUNNING,
-    WAITING,
+    QUEUED_WEIGHT,
+    STARTED_WEIGHT,
+    STREAMING_WEIGHT,
     EndLedger,
 )
 from hypothesis import given, settings
@@ -40,76 +40,80 @@
 
 class TestOneRequest:
     def test_three_unexplained_ends_block_and_two_do_not(self):
-        assert found(ledger_of({A: BEGUN}, {A: BEGUN})) == []
-        ledger = ledger_of({A: BEGUN, B: BEGUN}, {A: BEGUN}, {A: BEGUN, C: WAITING})
+        assert found(ledger_of({A: STARTED_WEIGHT}, {A: STARTED_WEIGHT})) == []
+        ledger = ledger_of(
+            {A: STARTED_WEIGHT, B: STARTED_WEIGHT},
+            {A: STARTED_WEIGHT},
+            {A: STARTED_WEIGHT, C: QUEUED_WEIGHT},
+        )
         assert found(ledger) == [A]
         assert set(ledger.blocked) == {A}
         assert found(ledger) == []
 
     def test_an_end_reported_by_several_gateways_counts_once(self):
-        ledger = ledger_of({A: BEGUN})
+        ledger = ledger_of({A: STARTED_WEIGHT})
         for _ in range(4):
-            ledger.note_end("e0", A, WAITING, 0.0)
-        assert ledger.score(A) == BEGUN
+            ledger.note_end("e0", A, QUEUED_WEIGHT, 0.0)
+        assert ledger.score(A) == STARTED_WEIGHT
 
     def test_queued_and_streaming_requests_need_more_ends(self):
-        assert found(ledger_of(*[{A: RUNNING}] * 4)) == []
-        assert found(ledger_of(*[{A: RUNNING}] * 5)) == [A]
-        assert found(ledger_of(*[{A: WAITING}] * 5)) == []
-        assert found(ledger_of(*[{A: WAITING}] * 6)) == [A]
+        assert found(ledger_of(*[{A: STREAMING_WEIGHT}] * 4)) == []
+        assert found(ledger_of(*[{A: STREAMING_WEIGHT}] * 5)) == [A]
+        assert found(ledger_of(*[{A: QUEUED_WEIGHT}] * 5)) == []
+        assert found(ledger_of(*[{A: QUEUED_WEIGHT}] * 6)) == [A]
 
     def test_a_completely_answered_request_is_never_blocked(self):
-        ledger = ledger_of({A: BEGUN}, {A: BEGUN}, {A: BEGUN})
+        ledger = ledger_of({A: STARTED_WEIGHT}, {A: STARTED_WEIGHT}, {A: STARTED_WEIGHT})
         assert ledger.note_served(A)
         assert found(ledger) == []
         assert not ledger.note_served(A)
 
     def test_a_blocked_request_is_released_when_it_is_answered(self):
-        ledger = ledger_of(*[{A: BEGUN}] * 3)
+        ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
         found(ledger)
         assert ledger.note_served(A)
         assert not ledger.blocked
 
     def test_recent_ends_wait_for_reports_of_other_gateways(self):
-        ledger = ledger_of(*[{A: BEGUN}] * 3)
-        assert ledger.judge(2.0 + GATHER_S / 2, GATHER_S) == []
-        assert ledger.is_gathering(2.0 + GATHER_S / 2, GATHER_S)
-        assert [one.mark for one in ledger.judge(2.0 + GATHER_S * 2, GATHER_S)] == [A]
+        ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
+        assert ledger.judge(2.0 + END_GATHER_S / 2, END_GATHER_S) == []
+        assert ledger.is_gathering(2.0 + END_GATHER_S / 2, END_GATHER_S)
+        assert [one.mark for one in ledger.judge(2.0 + END_GATHER_S * 2, END_GATHER_S)] == [A]
 
 
 class TestBystanders:
     def test_the_next_end_separates_requests_with_equal_scores(self):
-        ends = [{A: BEGUN, B: BEGUN}] * 3
+        ends = [{A: STARTED_WEIGHT, B: STARTED_WEIGHT}] * 3
         assert found(ledger_of(*ends)) == []
-        ledger = ledger_of(*ends, {A: BEGUN})
+        ledger = ledger_of(*ends, {A: STARTED_WEIGHT})
         assert found(ledger) == [A]
         assert ledger.score(B) == 0.0
 
     def test_inseparable_requests_are_blocked_at_the_certain_score(self):
-        ends = [{A: BEGUN, B: BEGUN}] * round(CERTAIN_BLOCK_SCORE)
+        ends = [{A: STARTED_WEIGHT, B: STARTED_WEIGHT}] * round(CERTAIN_BLOCK_SCORE)
         assert sorted(found(ledger_of(*ends))) == [A, B]
 
     def test_ends_of_a_blocked_request_count_against_no_other(self):
-        ledger = ledger_of(*[{A: BEGUN}] * 3)
+        ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
         found(ledger)
         for number in range(10):
-            ledger.note_end(f"later{number}", A, BEGUN, 50.0)
-            ledger.note_end(f"later{number}", B, BEGUN, 50.0)
+            ledger.note_end(f"later{number}", A, STARTED_WEIGHT, 50.0)
+            ledger.note_end(f"later{number}", B, STARTED_WEIGHT, 50.0)
         assert found(ledger) == []
 
     def test_a_blocked_request_that_had_not_started_explains_no_end(self):
-        ledger = ledger_of(*[{A: BEGUN}] * 3)
+        ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
         found(ledger)
         for number in range(3):
-            ledger.note_end(f"later{number}", A, WAITING, 50.0)
-            ledger.note_end(f"later{number}", B, BEGUN, 50.0)
+            ledger.note_end(f"later{number}", A, QUEUED_WEIGHT, 50.0)
+            ledger.note_end(f"later{number}", B, STARTED_WEIGHT, 50.0)
         assert found(ledger) == [B]
 
 
 class Load:
     """Requests at engines that end every 0.6 s; interrupted ones are retried at another engine."""
 
-    STAGES = (BEGUN, *[WAITING] * 9, *[RUNNING] * 10)
+    STAGES = (STARTED_WEIGHT, *[QUEUED_WEIGHT] * 9, *[STREAMING_WEIGHT] * 10)
 
     def __init__(self, seed, engines, poisons):
         self.rng = random.Random(seed)
@@ -136,7 +140,7 @@
     def end(self, poison=None):
         batch = self._fill()
         if poison is not None:
-            batch[poison] = BEGUN
+            batch[poison] = STARTED_WEIGHT
             self.ended_by[poison] += 1
         self.ends += 1
         self.now += 0.6
@@ -192,29 +196,31 @@
         ledger = EndLedger()
         for number in range(3 * MAX_ENDS):
             for other in range(MAX_REQUESTS_PER_END + 20):
-                ledger.note_end(f"e{number}", b"%d %d" % (number, other), WAITING, 1.0)
+                ledger.note_end(f"e{number}", b"%d %d" % (number, other), QUEUED_WEIGHT, 1.0)
         assert len(ledger._ends) == MAX_ENDS
         assert all(len(end.weights) == MAX_REQUESTS_PER_END for end in ledger._ends.values())
         for number in range(MAX_BLOCKED + 5):
-            ledger.block(b"%d" % number, BEGUN, 1.0)
+            ledger.block(b"%d" % number, STARTED_WEIGHT, 1.0)
         assert len(ledger.blocked) == MAX_BLOCKED
         assert b"4" not in ledger.blocked
 
     def test_requests_of_greatest_weight_are_kept_per_end(self):
         ledger = EndLedger()
-        ledger.note_end("e", A, BEGUN, 1.0)
+        ledger.note_end("e", A, STARTED_WEIGHT, 1.0)
         for number in range(2 * MAX_REQUESTS_PER_END):
-            ledger.note_end("e", b"%d" % number, WAITING, 1.0)
-        assert ledger.score(A) == BEGUN
+            ledger.note_end("e", b"%d" % number, QUEUED_WEIGHT, 1.0)
+        assert ledger.score(A) == STARTED_WEIGHT
 
     def test_suspects_are_bounded(self):
-        ledger = ledger_of(*[{b"%d" % number: BEGUN for number in range(MAX_REQUESTS_PER_END)}] * 2)
+        ledger = ledger_of(
+            *[{b"%d" % number: STARTED_WEIGHT for number in range(MAX_REQUESTS_PER_END)}] * 2
+        )
         assert len(ledger.suspects()) == MAX_SUSPECTS
 
     def test_ends_and_blocks_expire(self):
-        ledger = ledger_of(*[{A: BEGUN}] * 3)
+        ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
         found(ledger)
-        ledger.judge(100.0 + REMEMBERED_S)
+        ledger.judge(100.0 + END_TTL_S)
         assert not ledger._ends
         ledger.judge(100.0 + BLOCK_TTL_S)
         assert A in ledger.blocked
@@ -227,7 +233,7 @@
     st.lists(
         st.dictionaries(
             st.sampled_from([b"%d" % number for number in range(6)]),
-            st.sampled_from([BEGUN, RUNNING, WAITING]),
+            st.sampled_from([STARTED_WEIGHT, STREAMING_WEIGHT, QUEUED_WEIGHT]),
             max_size=6,
         ),
         max_size=12,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -104,7 +104,7 @@
             assert len(live) <= 2
             assert started <= 2.0 * now + 2
             if len(live) == 2:
-                permits.end(live.pop(0))
+                permits.release(live.pop(0))
 
 
 class TestCredits:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -12,8 +12,8 @@
     SHARE_TTL_S,
     LocalShares,
     QuotaBucket,
-    QuotaHome,
-    QuotaTerms,
+    QuotaCoordinator,
+    QuotaLimit,
 )
 from gradelug_policy.refusals import UNKNOWN_CALLER, Caller
 from gradelug_wire import placement_pb2 as pb
@@ -22,7 +22,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from world import new_loop
 
-TERMS = QuotaTerms(1_000.0, 1_000.0)
+TERMS = QuotaLimit(1_000.0, 1_000.0)
 WINDOW_S = 8.0
 OVERAGE = 0.1
 SLACK = 17_000.0
@@ -41,7 +41,7 @@
         bucket = QuotaBucket(TERMS, 0.0)
         granted = sum(100.0 for tenth in range(1, 1001) if bucket.try_take(100.0, tenth / 20))
         assert granted == pytest.approx(TERMS.rate * 50, rel=0.01)
-        bucket.settle(100.0)
+        bucket.refill(100.0)
         assert sum(bucket.try_take(100.0, 100.0) for _ in range(50)) == 10
 
     def test_a_request_larger_than_the_bucket_runs_and_the_next_ones_wait(self):
@@ -51,8 +51,8 @@
         assert bucket.try_take(100.0, 8.2)
 
     def test_without_a_burst_two_simultaneous_requests_are_granted(self):
-        bucket = QuotaBucket(QuotaTerms(1_000.0, 0.0), 0.0)
-        bucket.settle(10.0)
+        bucket = QuotaBucket(QuotaLimit(1_000.0, 0.0), 0.0)
+        bucket.refill(10.0)
         assert bucket.capacity == 1_000.0 * MIN_BURST_S
         assert bucket.try_take(250.0, 10.0)
         assert bucket.try_take(250.0, 10.0)
@@ -67,16 +67,16 @@
     def test_refunds_are_available_up_to_the_capacity(self):
         bucket = QuotaBucket(TERMS, 0.0)
         assert bucket.try_take(1_000.0, 1.0)
-        bucket.give_back(5_000.0, 1.0)
+        bucket.refund(5_000.0, 1.0)
         assert bucket.try_take(1_000.0, 1.0)
         assert not bucket.try_take(1.0, 1.0)
 
     def test_a_lower_limit_applies_at_once(self):
-        home = QuotaHome(0.0)
+        home = QuotaCoordinator(0.0)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", TERMS, 100.0, 10.0).granted
         assert home.ask("g", "o", TERMS, 100.0, 11.0).granted
-        lower = QuotaTerms(100.0, 50.0)
+        lower = QuotaLimit(100.0, 50.0)
         assert home.ask("g", "o", lower, 50.0, 11.0).granted
         assert not home.ask("g", "o", lower, 50.0, 11.4).granted
         assert home.ask("g", "o", lower, 50.0, 11.5).granted
@@ -85,12 +85,12 @@
 class TestQuotaHome:
     def test_the_bucket_of_an_idle_organisation_is_full(self):
         """Guards against refusing the first requests of an organisation after an idle period."""
-        home = QuotaHome(0.0)
+        home = QuotaCoordinator(0.0)
         home.join("g", {}, 0.0)
         assert home.ask("g", "o", TERMS, 900.0, 5.0).granted
 
     def test_shares_follow_what_instances_use_and_add_up_to_the_rate(self):
-        home = QuotaHome(0.0)
+        home = QuotaCoordinator(0.0)
         names = [f"g{number}" for number in range(10)]
         for name in names:
             home.join(name, {}, 0.0)
@@ -102,7 +102,7 @@
         assert sum(shares.values()) <= TERMS.rate * 1.000001
 
     def test_a_successor_withholds_the_shares_of_missing_instances(self):
-        home = QuotaHome(0.0, expected=10)
+        home = QuotaCoordinator(0.0, expected=10)
         for number in range(5):
             home.join(f"g{number}", {}, 0.0)
         home.ask("g0", "o", TERMS, 1.0, 0.0)
@@ -118,7 +118,7 @@
         assert later >= 0.95 * TERMS.rate * 10.0
 
     def test_an_instance_that_leaves_keeps_its_share_for_a_while(self):
-        home = QuotaHome(0.0)
+        home = QuotaCoordinator(0.0)
         for name in ("g0", "g1"):
             home.join(name, {}, 0.0)
         for step in range(1, 100):
@@ -139,24 +139,24 @@
     def test_a_share_fills_from_the_loss_of_the_coordinator(self):
         shares = LocalShares()
         assert not shares.try_take("o", 1.0, 5.0)
-        shares.note_told("o", 100.0, 5.0)
+        shares.set_share("o", 100.0, 5.0)
         assert not shares.try_take("o", 1.0, 7.0)
-        shares.note_lost(7.0)
-        shares.note_lost(7.3)
+        shares.mark_coordinator_lost(7.0)
+        shares.mark_coordinator_lost(7.3)
         assert not shares.try_take("o", 50.0, 7.4)
         assert shares.try_take("o", 50.0, 7.5)
         assert not shares.try_take("o", 1.0, 7.5)
-        shares.note_told("o", 100.0, 8.0)
-        shares.note_lost(8.1)
+        shares.set_share("o", 100.0, 8.0)
+        shares.mark_coordinator_lost(8.1)
         assert not shares.try_take("o", 20.0, 8.2)
 
     def test_a_share_expires(self):
         shares = LocalShares()
-        shares.note_told("o", 100.0, 0.0)
-        shares.note_lost(0.0)
-        assert shares.holding(5.0) == {"o": 100.0}
+        shares.set_share("o", 100.0, 0.0)
+        shares.mark_coordinator_lost(0.0)
+        assert shares.valid_shares(5.0) == {"o": 100.0}
         assert not shares.try_take("o", 1.0, SHARE_TTL_S)
-        assert not shares.holding(SHARE_TTL_S)
+        assert not shares.valid_shares(SHARE_TTL_S)
 
 
 class Fleet(RuleBasedStateMachine):
@@ -170,10 +170,10 @@
 
     INSTANCES = 6
     SIZE = 10_000.0
-    TERMS = QuotaTerms(100_000.0, 100_000.0)
+    TERMS = QuotaLimit(100_000.0, 100_000.0)
     """So high that the slack of the rule is negligible."""
-    LOWER = QuotaTerms(30_000.0, 30_000.0)
-    HIGHER = QuotaTerms(200_000.0, 100_000.0)
+    LOWER = QuotaLimit(30_000.0, 30_000.0)
+    HIGHER = QuotaLimit(200_000.0, 100_000.0)
 
     def __init__(self):
         super().__init__()
@@ -193,7 +193,7 @@
         return [f"g{number}" for number in range(self.INSTANCES)]
 
     def begin(self, expected):
-        self.home = QuotaHome(self.now, expected)
+        self.home = QuotaCoordinator(self.now, expected)
         self.known = set()
         self.meet()
 
@@ -201,17 +201,17 @@
         for name in self.names():
             if name not in self.cut and name not in self.known:
                 self.known.add(name)
-                self.home.join(name, self.shares[name].holding(self.now), self.now)
+                self.home.join(name, self.shares[name].valid_shares(self.now), self.now)
 
     def ask(self, name):
         caller, size = self.mix[self.asked % len(self.mix)]
         self.asked += 1
         if self.home is not None and name not in self.cut:
             verdict = self.home.ask(name, "o", self.terms, size, self.now, caller)
-            self.shares[name].note_told("o", verdict.share, self.now)
+            self.shares[name].set_share("o", verdict.share, self.now)
             granted = verdict.granted
         else:
-            self.shares[name].note_lost(self.now)
+            self.shares[name].mark_coordinator_lost(self.now)
             granted = self.shares[name].try_take("o", size, self.now)
         if granted:
             self.spent.append((self.now, size))
@@ -444,11 +444,11 @@
 
     def test_messages_are_small_and_coordinator_state_is_bounded(self):
         instances, organisations, per_s = 370, 2_000, 27
-        home = QuotaHome(0.0)
+        home = QuotaCoordinator(0.0)
         for number in range(instances):
             home.join(f"edge-hall-{number}", {}, 0.0)
         rng = random.Random(3)
-        terms = QuotaTerms(50_000.0, 50_000.0)
+        terms = QuotaLimit(50_000.0, 50_000.0)
         sent = received = granted = 0
         for tick in range(10 * instances):
             now = 2.0 + tick / (instances * per_s)
--- a/tests/test_refill.py
+++ b/tests/test_refill.py
@@ -17,7 +17,7 @@
     Refill,
 )
 from gradelug_gateway.settings import Feature
-from gradelug_policy.pace import FIRST_LOAD_S
+from gradelug_policy.pace import INITIAL_LOAD_TIME_S
 from gradelug_policy.refill import refill_gain_s
 from gradelug_policy.residency import STORE_COST_S
 from gradelug_wire import placement_pb2 as pb
@@ -56,7 +56,7 @@
 
     async def place(self, adapter, only=""):
         ticket = self.ask(adapter, only=only)
-        await asyncio.sleep(FIRST_LOAD_S + 0.15)
+        await asyncio.sleep(INITIAL_LOAD_TIME_S + 0.15)
         return self.collect()[ticket].replica
 
     def report_requests(self, replica, adapter, count):
@@ -95,7 +95,7 @@
         holder = await bench.place("a")
         bench.report_requests(holder, "a", count)
         bench.announce_departure(holder)
-        await asyncio.sleep(FIRST_LOAD_S + 0.2)
+        await asyncio.sleep(INITIAL_LOAD_TIME_S + 0.2)
         found = bench.holders("a")
         await bench.stop()
         return found
@@ -125,7 +125,7 @@
             await asyncio.sleep(1.0)
             assert (bench.holders("a"), bench.load_count()) == ([holder], before)
             del bench.state.replicas[holder]
-            await asyncio.sleep(LOSS_CONFIRMATION_S + FIRST_LOAD_S + 0.2)
+            await asyncio.sleep(LOSS_CONFIRMATION_S + INITIAL_LOAD_TIME_S + 0.2)
             assert len(bench.holders("a")) == 1
             assert bench.load_count() == before + 1
             await bench.stop()
@@ -171,7 +171,9 @@
             for i, adapter in enumerate(adapters):
                 await bench.place(adapter, only=f"e{i // 3}")
                 bench.report_requests(f"e{i // 3}", adapter, 40)
-            max_loads = math.ceil(SPARE_STORE_FRACTION * bench.planner.loader.pace.at_once)
+            max_loads = math.ceil(
+                SPARE_STORE_FRACTION * bench.planner.loader.pace.max_concurrent_loads
+            )
             assert 1 < max_loads < MAX_LOADS_PER_PASS
             for name in [f"e{i}" for i in range(8)]:
                 bench.announce_departure(name)
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -6,7 +6,7 @@
 from gradelug_gateway.directory import Directory, Wish
 from gradelug_gateway.model import AdapterKey, Holding, Repeat
 from gradelug_gateway.search import PlannerAddress
-from gradelug_policy.pace import FIRST_LOAD_S
+from gradelug_policy.pace import INITIAL_LOAD_TIME_S
 from gradelug_wire import placement_pb2 as pb
 from run_engines import EVENTS
 from run_engines import KEY as RUN_KEY
@@ -87,7 +87,7 @@
             engine = bench.transport.engines["e0"]
             await asyncio.sleep(0.5)
             first = bench.ask("a")
-            await asyncio.sleep(FIRST_LOAD_S + 0.2)
+            await asyncio.sleep(INITIAL_LOAD_TIME_S + 0.2)
             assert bench.collect()[first].replica == "e0"
             # The request on it has ended.
             bench.load("e0", 0)
--- a/tests/test_replica_room.py
+++ b/tests/test_replica_room.py
@@ -6,12 +6,12 @@
 
 import pytest
 from gradelug_policy.replica_room import (
-    LEAST_RATE,
-    LONGEST_RETRY_S,
-    OWN_PART,
-    Applicant,
-    OwnTurns,
-    ReplicaRoom,
+    LOCAL_LIMIT_FRACTION,
+    MAX_RETRY_S,
+    MIN_RATE,
+    CapacityRequest,
+    LocalSendSlots,
+    ReplicaRateLimiter,
 )
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -53,7 +53,7 @@
 
 class TestQueue:
     def room(self, rate=1.0):
-        return ReplicaRoom(rate, 0.0)
+        return ReplicaRateLimiter(rate, 0.0)
 
     def test_initial_capacity_is_zero(self):
         room = self.room()
@@ -63,87 +63,87 @@
 
     def test_most_valuable_requests_go_first(self):
         room = self.room()
-        assert not room.apply(Applicant("late", 9.0, rank=2), 0.0)
-        assert not room.apply(Applicant("dear", 9.0, rank=1, value=3.0), 0.0)
-        assert not room.apply(Applicant("cheap", 9.0, rank=1), 0.0)
-        assert not room.apply(Applicant("begun", 9.0, rank=5, begun=True), 0.0)
+        assert not room.apply(CapacityRequest("late", 9.0, rank=2), 0.0)
+        assert not room.apply(CapacityRequest("dear", 9.0, rank=1, value=3.0), 0.0)
+        assert not room.apply(CapacityRequest("cheap", 9.0, rank=1), 0.0)
+        assert not room.apply(CapacityRequest("begun", 9.0, rank=5, begun=True), 0.0)
         order = [room.rule(float(at))[0].applicant.ticket for at in range(1, 5)]
         assert order == ["begun", "dear", "cheap", "late"]
 
     def test_requests_that_would_be_late_are_refused_at_once(self):
         room = self.room()
-        room.apply(Applicant(1, 1.2), 0.0)
-        (refused,) = room.apply(Applicant(2, 1.2), 0.0)
+        room.apply(CapacityRequest(1, 1.2), 0.0)
+        (refused,) = room.apply(CapacityRequest(2, 1.2), 0.0)
         assert (refused.applicant.ticket, refused.granted) == (2, False)
         assert refused.retry_s == pytest.approx(2.0)
 
     def test_requests_displaced_beyond_their_time_are_refused_at_once(self):
         room = self.room()
-        room.apply(Applicant("slow", 1.5, rank=2), 0.0)
-        (refused,) = room.apply(Applicant("urgent", 1.5, rank=0), 0.0)
+        room.apply(CapacityRequest("slow", 1.5, rank=2), 0.0)
+        (refused,) = room.apply(CapacityRequest("urgent", 1.5, rank=0), 0.0)
         assert refused.applicant.ticket == "slow"
 
     def test_retry_times_of_refused_requests_are_consecutive(self):
         room = self.room()
-        retries_s = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(3)]
+        retries_s = [room.apply(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(3)]
         assert retries_s == sorted(retries_s)
         assert len(set(retries_s)) == 3
 
     def test_requests_that_did_not_wait_delay_no_retry(self):
         room = self.room()
         for at in range(5):
-            room.apply(Applicant(at, 0.0), 0.0)
-        assert room.apply(Applicant("last", 0.5), 0.0)[0].retry_s == pytest.approx(1.0)
+            room.apply(CapacityRequest(at, 0.0), 0.0)
+        assert room.apply(CapacityRequest("last", 0.5), 0.0)[0].retry_s == pytest.approx(1.0)
 
     def test_retry_times_are_bounded(self):
         room = self.room(0.0)
-        retries_s = [room.apply(Applicant(at, 0.5), 0.0)[0].retry_s for at in range(9)]
-        assert max(retries_s) == LONGEST_RETRY_S
+        retries_s = [room.apply(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(9)]
+        assert max(retries_s) == MAX_RETRY_S
 
     def test_a_limit_of_zero_permits_probes(self):
         room = self.room(0.0)
-        assert not room.try_take(0.9 / LEAST_RATE)
-        assert room.try_take(1.1 / LEAST_RATE)
+        assert not room.try_take(0.9 / MIN_RATE)
+        assert room.try_take(1.1 / MIN_RATE)
 
     def test_all_are_granted_when_the_limit_ends(self):
         room = self.room()
-        room.apply(Applicant(1, 9.0), 0.0)
+        room.apply(CapacityRequest(1, 9.0), 0.0)
         assert [ruling.granted for ruling in room.release()] == [True]
         assert room.waiting == 0
 
     def test_a_cancelled_request_takes_no_capacity(self):
         room = self.room()
-        room.apply(Applicant(1, 9.0), 0.0)
-        room.apply(Applicant(2, 9.0), 0.0)
-        room.withdraw({1})
+        room.apply(CapacityRequest(1, 9.0), 0.0)
+        room.apply(CapacityRequest(2, 9.0), 0.0)
+        room.cancel({1})
         assert [ruling.applicant.ticket for ruling in room.rule(1.0)] == [2]
 
 
 class TestSendSlots:
     def test_an_unused_slot_expires(self):
-        own = OwnTurns(0.1, 0.0, 0.0)
+        own = LocalSendSlots(0.1, 0.0, 0.0)
         assert own.is_due(0.5)
         assert not own.is_due(2.0)
         assert own.take(10.5)
         assert not own.take(10.6)
 
     def test_a_kept_slot_does_not_expire(self):
-        own = OwnTurns(0.1, 0.0, 0.0, keeps=True)
+        own = LocalSendSlots(0.1, 0.0, 0.0, keeps=True)
         assert own.take(7.0)
         assert not own.take(8.0)
         assert own.take(17.0)
 
     def test_a_returned_slot_is_available_again(self):
-        own = OwnTurns(0.01, 0.0, 0.0, keeps=True)
+        own = LocalSendSlots(0.01, 0.0, 0.0, keeps=True)
         assert own.take(1.0)
-        own.give_back(3.0)
+        own.restore(3.0)
         assert not own.is_due(2.0)
         assert own.is_due(3.0)
 
     @pytest.mark.parametrize("share", [0.001, 0.3, 5.0])
     def test_never_more_than_the_share(self, share):
         rng = random.Random(1)
-        own = OwnTurns(share, rng.random(), 0.0)
+        own = LocalSendSlots(share, rng.random(), 0.0)
         taken, now = 0, 0.0
         while now < 400.0:
             now += rng.expovariate(20.0)
@@ -152,7 +152,9 @@
 
     def test_many_instances_keep_the_limit_in_any_interval_after_idling(self):
         rng, rate = random.Random(2), 1.4
-        own = [OwnTurns(OWN_PART * rate / 370, rng.random(), 0.0) for _ in range(370)]
+        own = [
+            LocalSendSlots(LOCAL_LIMIT_FRACTION * rate / 370, rng.random(), 0.0) for _ in range(370)
+        ]
         # All of them have many requests after a long idle time.
         sent = [
             at for at in (600 + step / 20 for step in range(400)) for one in own if one.take(at)
@@ -167,7 +169,7 @@
     def __init__(self):
         super().__init__()
         self.now, self.rate = 0.0, 1.0
-        self.room = ReplicaRoom(self.rate, 0.0)
+        self.room = ReplicaRateLimiter(self.rate, 0.0)
         self.numbers = itertools.count()
         self.waiting = {}
         self.granted = []
@@ -179,20 +181,20 @@
             if ruling.granted:
                 self.granted.append(self.now)
             else:
-                assert 0 <= ruling.retry_s <= LONGEST_RETRY_S
+                assert 0 <= ruling.retry_s <= MAX_RETRY_S
                 assert applicant.until < math.inf
 
     @rule(step=st.floats(0.0, 3.0))
     def pass_time(self, step):
         self.now += step
-        self.budget += step * max(LEAST_RATE, self.rate)
-        self.settle(self.room.rule(self.now))
+        self.budget += step * max(MIN_RATE, self.rate)
+        self.settle(self.room.decide(self.now))
 
     @rule(wait=st.sampled_from([0.0, 0.5, 5.0, math.inf]), rank=st.integers(0, 3))
     def ask(self, wait, rank):
-        applicant = Applicant(next(self.numbers), self.now + wait, rank)
+        applicant = CapacityRequest(next(self.numbers), self.now + wait, rank)
         self.waiting[applicant.ticket] = applicant
-        self.settle(self.room.apply(applicant, self.now))
+        self.settle(self.room.enqueue(applicant, self.now))
 
     @rule()
     def take(self):
@@ -204,13 +206,13 @@
     @rule(rate=st.sampled_from([0.0, 0.2, 1.4, 50.0]))
     def rename(self, rate):
         self.rate = rate
-        self.room.rename(rate, self.now)
+        self.room.set_rate(rate, self.now)
 
     @rule()
     def leave(self):
         if self.waiting:
             ticket = next(iter(self.waiting))
-            self.room.withdraw({ticket})
+            self.room.cancel({ticket})
             del self.waiting[ticket]
 
     @invariant()
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -10,7 +10,7 @@
 from gradelug_gateway.settings import Feature
 from gradelug_http import ResponseHead
 from gradelug_platform.dialect import PlatformDialect
-from gradelug_policy.rests import RETURN_S, Rests, RestWord
+from gradelug_policy.rests import RETURN_JITTER_S, ReplicaBackoffs, ReportedBackoff
 from limit_world import LimitWorld
 from run_world import run
 
@@ -125,7 +125,7 @@
                 rejected = [one for one in world.results if one.status == 503]
                 assert len(rejected) > 0.95 * len(world.results)
                 assert max(one.took_s for one in rejected) < 0.5
-                assert max(one.retry_s for one in rejected) <= 3.0 + RETURN_S
+                assert max(one.retry_s for one in rejected) <= 3.0 + RETURN_JITTER_S
                 assert min(one.retry_s for one in rejected) > 0
                 assert statistics.median(one.retry_s for one in rejected) > 1.0
 
@@ -158,16 +158,16 @@
 
 class TestBackoffs:
     def test_the_backoff_that_expires_last_applies(self):
-        rests = Rests(random.Random(1))
+        rests = ReplicaBackoffs(random.Random(1))
         assert rests.note("r", 5.0, 0.0)
         assert not rests.note("r", 1.0, 1.0)
         assert rests.left_s("r", 4.9) > 0
         assert not rests.note("r", 3.0, 4.0)
         assert rests.left_s("r", 6.9) > 0
-        assert rests.left_s("r", 7.0 + RETURN_S) == 0
+        assert rests.left_s("r", 7.0 + RETURN_JITTER_S) == 0
 
     def test_a_backoff_of_a_day_is_kept(self):
-        rests = Rests(random.Random(1))
+        rests = ReplicaBackoffs(random.Random(1))
         rests.note("r", 86_400.0, 0.0)
         rests.keep(86_000.0)
         assert rests.left_s("r", 86_399.0) > 0
@@ -176,22 +176,22 @@
     def test_jitter_spreads_the_return_of_instances(self, instances):
         ends = []
         for number in range(instances):
-            rests = Rests(random.Random(f"g{number}"))
+            rests = ReplicaBackoffs(random.Random(f"g{number}"))
             rests.note("r", 3.0, 0.0)
             ends.append(rests.left_s("r", 0.0))
-        assert all(3.0 <= end <= 3.0 + RETURN_S for end in ends)
+        assert all(3.0 <= end <= 3.0 + RETURN_JITTER_S for end in ends)
         tenths = [sum(0.05 * at <= end - 3.0 < 0.05 * (at + 1) for end in ends) for at in range(10)]
         assert max(tenths) <= max(4, 0.2 * instances)
 
     def test_jitter_at_most_doubles_a_short_backoff(self):
-        rests = Rests(random.Random(1))
+        rests = ReplicaBackoffs(random.Random(1))
         rests.note("r", 0.1, 0.0)
         assert rests.left_s("r", 0.2) == 0
 
     def test_a_backoff_applies_to_one_incarnation(self):
         now = [0.0]
         rests = ReplicaRests(lambda: now[0])
-        rests.hear(REPLICA, RestWord(3.0))
+        rests.hear(REPLICA, ReportedBackoff(3.0))
         assert rests.left_s(REPLICA) >= 3.0
         assert rests.left_s(Replica("r", "s", "10.0.0.1:80", "z", born=8)) == 0
         assert rests.resting == 1
@@ -202,10 +202,10 @@
     def test_the_minimum_remaining_backoff_of_replicas(self):
         rests = ReplicaRests(lambda: 0.0)
         other = Replica("o", "s", "10.0.0.2:80", "z")
-        rests.hear(REPLICA, RestWord(3.0))
+        rests.hear(REPLICA, ReportedBackoff(3.0))
         assert rests.least_left_s([REPLICA, other]) == 0
-        rests.hear(other, RestWord(60.0))
-        assert 3.0 <= rests.least_left_s([REPLICA, other]) <= 3.0 + RETURN_S
+        rests.hear(other, ReportedBackoff(60.0))
+        assert 3.0 <= rests.least_left_s([REPLICA, other]) <= 3.0 + RETURN_JITTER_S
         assert rests.least_left_s([]) == 0
 
 
@@ -224,7 +224,7 @@
         ],
     )
     def test_seconds_at_a_503_or_429(self, status, values, rest_s):
-        assert PlatformDialect().rest(answer(status, values)) == RestWord(rest_s)
+        assert PlatformDialect().rest(answer(status, values)) == ReportedBackoff(rest_s)
 
     @pytest.mark.parametrize(
         "value",
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -6,10 +6,10 @@
 import pytest
 from gradelug_gateway.fleet import FAILURE_COST_REQUESTS
 from gradelug_gateway.health import Health
-from gradelug_policy.doubts import OUTCOME_HOLD_S, SUSPICION_TTL_S, Doubts, Telling
-from gradelug_policy.outcomes import Ended, FailureEvidence, Source, failure_rate
+from gradelug_policy.doubts import OUTCOME_HOLD_S, SUSPICION_TTL_S, ReportAction, SuspectTracker
+from gradelug_policy.outcomes import FailureEvidence, OutcomeCounts, Source, failure_rate
 from gradelug_policy.standings import MAX_OPEN_S, MIN_OPEN_S, EjectionPhase, ReplicaEjection
-from gradelug_policy.verdicts import MAX_EJECTED_FRACTION, VerdictPool
+from gradelug_policy.verdicts import MAX_EJECTED_FRACTION, OutlierDetector
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -83,7 +83,7 @@
 
     def __init__(self):
         super().__init__()
-        self.pool = VerdictPool()
+        self.pool = OutlierDetector()
         self.found = {}
         self.reports = Counter()
         self.changes = []
@@ -122,12 +122,12 @@
 
     def tell(self, now):
         for (source, replica, failed), count in self.reports.items():
-            ended = Ended(0, count) if failed else Ended(count, 0)
+            ended = OutcomeCounts(0, count) if failed else OutcomeCounts(count, 0)
             self.pool.note(replica, source, ended, now)
         self.reports.clear()
         members = {"llm": REPLICAS}
         self.changes += [(now, change) for change in self.pool.step(members, GATHER_S, now)]
-        found = self.pool.findings(members, now)
+        found = self.pool.health_of_replicas(members, now)
         self.found = {(finding.replica, finding.hall): finding for finding in found}
 
     def ejected(self):
@@ -139,8 +139,8 @@
 
     def __init__(self):
         super().__init__()
-        self.pool = VerdictPool(lambda replica: True)
-        self.doubts = {source: Doubts() for source in SOURCES}
+        self.pool = OutlierDetector(lambda replica: True)
+        self.doubts = {source: SuspectTracker() for source in SOURCES}
         self.unreported = {source: {} for source in SOURCES}
         self.entries = 0
 
@@ -152,23 +152,23 @@
     def tell(self, now):
         for source, unreported in self.unreported.items():
             if unreported:
-                self.pool.hear(source, len(unreported), now)
+                self.pool.record_activity(source, len(unreported), now)
             for replica, (good, bad) in list(unreported.items()):
                 if bad:
-                    self.doubts[source].doubt(replica, now)
+                    self.doubts[source].suspect(replica, now)
                 telling = self.doubts[source].decide(replica, now)
-                if telling is Telling.KEEP:
+                if telling is ReportAction.KEEP:
                     continue
                 del unreported[replica]
-                if telling is Telling.TELL:
+                if telling is ReportAction.TELL:
                     self.entries += 1
-                    self.pool.note(replica, source, Ended(good, bad), now)
+                    self.pool.note(replica, source, OutcomeCounts(good, bad), now)
         super().tell(now)
         for finding in self.found.values():
             if finding.failing or finding.held_back:
                 for source in SOURCES:
                     if finding.hall in ("", source.hall):
-                        self.doubts[source].doubt(finding.replica, now)
+                        self.doubts[source].suspect(finding.replica, now)
 
 
 @pytest.fixture(params=[Pooled, SuspectsOnly])
@@ -242,27 +242,27 @@
 
     @pytest.mark.parametrize("others_bad", [0, 1])
     def test_a_faulty_gateway_and_chance_failures_at_two_others_eject_nothing(self, others_bad):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         sources = [Source(f"g{number}", "a") for number in range(3)]
         changes = []
         for step in range(10):
             now = step * NEWS_S
-            pool.note("e0", sources[0], Ended(0, 1), now)
+            pool.note("e0", sources[0], OutcomeCounts(0, 1), now)
             if step == 5:
                 for source in sources[1:]:
-                    pool.note("e0", source, Ended(1 - others_bad, others_bad), now)
+                    pool.note("e0", source, OutcomeCounts(1 - others_bad, others_bad), now)
             changes += pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert not changes
 
     def test_a_gateway_with_a_third_of_the_requests_ejects_nothing(self):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         rng = random.Random(2)
         changes = []
         for step in range(100):
             now = step * NEWS_S
-            pool.note("e0", SOURCES[0], Ended(0, 4), now)
+            pool.note("e0", SOURCES[0], OutcomeCounts(0, 4), now)
             for source in rng.sample(SOURCES[1:], 8):
-                pool.note("e0", source, Ended(1, 0), now)
+                pool.note("e0", source, OutcomeCounts(1, 0), now)
             changes += pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert not changes
 
@@ -276,9 +276,11 @@
         assert method.ejected() == {("e4", "b")}
 
     def test_simultaneous_resets_are_no_evidence(self):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         for source in SOURCES:
-            pool.note("e0", source, Ended(0, 1), 1.0 + 0.2 * random.Random(source.name).random())
+            pool.note(
+                "e0", source, OutcomeCounts(0, 1), 1.0 + 0.2 * random.Random(source.name).random()
+            )
         for step in range(20):
             assert not pool.step({"llm": REPLICAS}, GATHER_S, 1.0 + step * NEWS_S)
 
@@ -339,12 +341,12 @@
         assert open_times_s[3] < 1.1 * MIN_OPEN_S
 
     def test_a_replica_without_probes_returns(self):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         now = 0.0
         for step in range(20):
             now = step * NEWS_S
             for source in SOURCES[step * 4 : step * 4 + 4]:
-                pool.note("e0", source, Ended(0, 1), now)
+                pool.note("e0", source, OutcomeCounts(0, 1), now)
             pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert _held_back(pool, now) == 1.0
         for step in range(200):
@@ -365,14 +367,14 @@
         st.integers(1, 10),
     )
     def test_half_of_a_service_stays_usable_for_any_reports(self, reports, size):
-        pool = VerdictPool()
+        pool = OutlierDetector()
         members = {"llm": REPLICAS[:size]}
         now = 0.0
         for replica, number, good, bad, passed_s in reports:
             now += passed_s
-            pool.note(f"e{replica}", SOURCES[number], Ended(good, bad), now)
+            pool.note(f"e{replica}", SOURCES[number], OutcomeCounts(good, bad), now)
             pool.step(members, GATHER_S, now)
-            findings = list(pool.findings(members, now))
+            findings = list(pool.health_of_replicas(members, now))
             for hall in HALLS:
                 out = {f.replica for f in findings if f.hall in ("", hall) and f.held_back == 1.0}
                 assert len(out) <= MAX_EJECTED_FRACTION * size
@@ -388,39 +390,44 @@
         assert method.entries == 0
 
     def test_successes_are_reported_together_with_failures(self):
-        doubts = Doubts()
-        assert doubts.decide("e0", 1.0) is Telling.KEEP
-        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S - 0.1) is Telling.KEEP
-        doubts.doubt("e0", 1.0 + OUTCOME_HOLD_S)
-        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S) is Telling.TELL
-        assert doubts.decide("e1", 1.0 + OUTCOME_HOLD_S) is Telling.KEEP
+        doubts = SuspectTracker()
+        assert doubts.decide("e0", 1.0) is ReportAction.KEEP
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S - 0.1) is ReportAction.KEEP
+        doubts.suspect("e0", 1.0 + OUTCOME_HOLD_S)
+        assert doubts.decide("e0", 1.0 + OUTCOME_HOLD_S) is ReportAction.TELL
+        assert doubts.decide("e1", 1.0 + OUTCOME_HOLD_S) is ReportAction.KEEP
 
     def test_old_successes_are_dropped_and_newer_ones_kept(self):
-        doubts = Doubts()
+        doubts = SuspectTracker()
         reports = [
             doubts.decide("e0", at) for at in (0.0, 1.0, OUTCOME_HOLD_S, OUTCOME_HOLD_S + 0.1)
         ]
-        assert reports == [Telling.KEEP, Telling.KEEP, Telling.DROP, Telling.KEEP]
+        assert reports == [
+            ReportAction.KEEP,
+            ReportAction.KEEP,
+            ReportAction.DROP,
+            ReportAction.KEEP,
+        ]
 
     def test_a_replica_is_reported_until_its_last_failure_expires(self):
-        doubts = Doubts()
-        doubts.doubt("e0", 0.0)
-        doubts.doubt("e0", 5.0)
-        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S - 0.1) is Telling.TELL
-        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S) is Telling.KEEP
+        doubts = SuspectTracker()
+        doubts.suspect("e0", 0.0)
+        doubts.suspect("e0", 5.0)
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S - 0.1) is ReportAction.TELL
+        assert doubts.decide("e0", 5.0 + SUSPICION_TTL_S) is ReportAction.KEEP
 
     def test_a_new_planner_receives_no_earlier_suspects(self):
-        doubts = Doubts()
-        doubts.doubt("e0", 0.0)
-        assert doubts.decide("e1", 0.0) is Telling.KEEP
-        doubts.begin()
-        assert doubts.decide("e0", OUTCOME_HOLD_S) is Telling.KEEP
-        assert doubts.decide("e1", OUTCOME_HOLD_S) is Telling.KEEP
+        doubts = SuspectTracker()
+        doubts.suspect("e0", 0.0)
+        assert doubts.decide("e1", 0.0) is ReportAction.KEEP
+        doubts.reset()
+        assert doubts.decide("e0", OUTCOME_HOLD_S) is ReportAction.KEEP
+        assert doubts.decide("e1", OUTCOME_HOLD_S) is ReportAction.KEEP
 
     @pytest.mark.parametrize("is_used", [True, False])
     def test_unsuspected_replicas_set_the_usual_failure_rate(self, is_used):
         """Six of twenty replicas fail; no outcomes of the others are reported."""
-        pool = VerdictPool(lambda replica: is_used)
+        pool = OutlierDetector(lambda replica: is_used)
         replicas = [f"e{number}" for number in range(20)]
         rng, changes = random.Random(4), []
         for step in range(20):
@@ -428,37 +435,39 @@
             for replica in replicas[:6]:
                 for source in rng.sample(SOURCES, 4):
                     bad = rng.random() < 0.45
-                    pool.note(replica, source, Ended(1 - bad, bad), now)
+                    pool.note(replica, source, OutcomeCounts(1 - bad, bad), now)
             changes += pool.step({"llm": replicas}, GATHER_S, now)
         ejected = {change.replica for change in changes if change.ejected}
         assert ejected == (set(replicas[:6]) if is_used else set())
 
     def test_failures_reported_before_successes_are_not_judged_alone(self):
         """One source is faulty; four others had one failure each and many unreported successes."""
-        pool, changes = VerdictPool(lambda replica: True), []
+        pool, changes = OutlierDetector(lambda replica: True), []
         sources = [Source(f"g{number}", "a") for number in range(40)]
         for step in range(10):
             now = step * NEWS_S
-            pool.note("e0", sources[0], Ended(0, 4), now)
+            pool.note("e0", sources[0], OutcomeCounts(0, 4), now)
             if step == 5:
                 for source in sources[1:5]:
-                    pool.note("e0", source, Ended(0, 1), now)
+                    pool.note("e0", source, OutcomeCounts(0, 1), now)
             if step > 5:
                 for source in sources[5:]:
-                    pool.note("e0", source, Ended(1, 0), now)
+                    pool.note("e0", source, OutcomeCounts(1, 0), now)
             changes += pool.step({"llm": REPLICAS}, GATHER_S, now)
         assert not changes
 
     def test_a_gateway_without_suspects_may_be_the_prober(self):
-        pool = VerdictPool(lambda replica: True)
+        pool = OutlierDetector(lambda replica: True)
         for step in range(20):
             now = step * NEWS_S
             for source in SOURCES[step * 4 : step * 4 + 4]:
-                pool.note("e0", source, Ended(0, 1), now)
+                pool.note("e0", source, OutcomeCounts(0, 1), now)
             pool.step({"llm": REPLICAS}, GATHER_S, now)
-        pool.hear(SOURCES[84], 9, now + 8.0)
+        pool.record_activity(SOURCES[84], 9, now + 8.0)
         pool.step({"llm": REPLICAS}, GATHER_S, now + 8.0)
-        (found,) = [each for each in pool.findings({"llm": REPLICAS}, now + 8.0) if not each.hall]
+        (found,) = [
+            each for each in pool.health_of_replicas({"llm": REPLICAS}, now + 8.0) if not each.hall
+        ]
         assert found.prober == "g84"
 
 
--- a/tools/limit_capacity.py
+++ b/tools/limit_capacity.py
@@ -13,7 +13,7 @@
 from gradelug_gateway.followers import Follower
 from gradelug_gateway.limits import ReplicaLimits
 from gradelug_gateway.model import FleetState, Replica
-from gradelug_policy.replica_limits import LimitWord
+from gradelug_policy.replica_limits import ReportedLimit
 from gradelug_wire import placement_pb2 as pb
 
 GATEWAYS, REPLICAS, ROUNDS = 370, 600, 20_000
@@ -47,7 +47,7 @@
     tracemalloc.start()
     limits = ReplicaLimits(clock)
     for name in NAMES:
-        limits.hear(name, LimitWord(20.0), clock.now)
+        limits.hear(name, ReportedLimit(20.0), clock.now)
         limits.is_open(name)
     gateway_kb = tracemalloc.get_traced_memory()[0] / 1e3
     desk = limit_desk.LimitDesk("", state, clock, lambda: True)
