--- a/packages/gateway/src/gradelug_gateway/authentication.py
+++ b/packages/gateway/src/gradelug_gateway/authentication.py
@@ -44,7 +44,7 @@
     return Principal(owner, key_digest)
 
 
-def renew(principal: Principal, organisations: Organisations) -> Principal:
+def reauthenticate(principal: Principal, organisations: Organisations) -> Principal:
     """Look up a principal's key in a later configuration; raises `Unauthenticated` if absent."""
     owner = organisations.owner(principal.digest)
     if owner is None:
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -30,7 +30,7 @@
 from .admission import AdmissionControl
 from .budgets import GatewayCount, RetryBudgets
 from .config_freshness import ConfigFreshness
-from .departures import DepartureDesk, DepartureTeller
+from .departures import DepartureForwarder, DepartureReporter
 from .directory import Directory
 from .engine_speeds import PauseTally, SpeedReporter
 from .executing import Executor
@@ -40,7 +40,7 @@
 from .handover import Handover
 from .idle_connections import IdleConnections
 from .limit_facts import planner_for
-from .limit_teller import LimitTeller
+from .limit_teller import LimitClient
 from .limits import ReplicaLimits
 from .metrics import Meters
 from .model import EngineSpec, FleetState, Replica
@@ -53,7 +53,7 @@
 from .prefix_cache import PrefixCache
 from .quotas import Quotas
 from .relay import OrderRelay
-from .rests import ReplicaRests
+from .rests import BackoffTracker
 from .runs import RunRecovery
 from .search import PlannerAddress
 from .sending import Sender
@@ -161,8 +161,8 @@
             random.Random(settings.name),
             Feature.REPLICA_LIMITS in settings.features,
         )
-        limits.find_desk = self._find_limit_client
-        backoffs = ReplicaRests(
+        limits.find_client = self._find_limit_client
+        backoffs = BackoffTracker(
             self._clock,
             random.Random(settings.name),
             Feature.REPLICA_RESTS in settings.features,
@@ -177,7 +177,7 @@
             limits,
             backoffs,
         )
-        self._limit_clients: dict[str, LimitTeller] = {}
+        self._limit_clients: dict[str, LimitClient] = {}
         self._duties: dict[str, Duty] = {}
         self._ownership = None if settings.bounds.fenced else self._new_ownership()
         executor = None
@@ -194,7 +194,7 @@
         )
         has_poison_guard = Feature.POISON_GUARD in settings.features
         if has_poison_guard:
-            self._mirror.subscribe(self._poison.look)
+            self._mirror.subscribe(self._poison.poll)
         self._directory = Directory(
             settings.name,
             settings.addresses.peers,
@@ -402,18 +402,18 @@
         if Feature.FAIR_SHARES in self.settings.features:
             yield ShareTeller(service, self._usage_tally, self._clock)
         if Feature.POISON_GUARD in self.settings.features:
-            yield self._poison.teller(service)
+            yield self._poison.reporter(service)
         if Feature.REPLICA_LIMITS in self.settings.features:
             yield self._new_limit_client(service)
         if Feature.SAID_DEPARTURES in self.settings.features:
-            yield DepartureTeller(service, self._feed, lambda: self._directory.link_to(service))
+            yield DepartureReporter(service, self._feed, lambda: self._directory.link_to(service))
 
     def _mark_leaving(self, replica: Replica) -> None:
         if Feature.SAID_DEPARTURES in self.settings.features:
             self._feed.mark_leaving(replica.name, replica.born, "answer")
 
-    def _new_limit_client(self, service: str) -> LimitTeller:
-        client = self._limit_clients[service] = LimitTeller(
+    def _new_limit_client(self, service: str) -> LimitClient:
+        client = self._limit_clients[service] = LimitClient(
             service,
             self._fleet.limits,
             self._state,
@@ -422,7 +422,7 @@
         )
         return client
 
-    def _find_limit_client(self, service: str) -> LimitTeller | None:
+    def _find_limit_client(self, service: str) -> LimitClient | None:
         """Return the client of the planner that grants capacity on replicas of a service.
 
         None if that planner has no live link.
@@ -499,7 +499,7 @@
         )
         poison = None
         if Feature.POISON_GUARD in self.settings.features:
-            poison = self._poison.desk(service)
+            poison = self._poison.aggregator(service)
         transport = self._transport if bounds.fenced else OrderRelay(self._transport)
         return Planner(
             service,
@@ -522,10 +522,10 @@
             self._new_departure_forwarder(service),
         )
 
-    def _new_departure_forwarder(self, service: str) -> DepartureDesk | None:
+    def _new_departure_forwarder(self, service: str) -> DepartureForwarder | None:
         if Feature.SAID_DEPARTURES not in self.settings.features:
             return None
-        return DepartureDesk(service, self._feed)
+        return DepartureForwarder(service, self._feed)
 
     def _engine_spec(self, service: str) -> EngineSpec:
         snapshot = self._state.snapshot
@@ -563,7 +563,7 @@
             followed_gateways = self._directory.gateways if self._follows_planner() else 0
             count = self._gateway_count.note(followed_gateways, self._clock())
             self._budgets.share_among(count)
-            self._fleet.limits.share_among(count)
+            self._fleet.limits.set_instance_count(count)
 
     def _follows_planner(self) -> bool:
         return any(self._directory.is_followed(service) for service in self._duties)
--- a/packages/gateway/src/gradelug_gateway/departures.py
+++ b/packages/gateway/src/gradelug_gateway/departures.py
@@ -12,7 +12,7 @@
 from .limit_teller import ReportLink
 
 
-class DepartureTeller:
+class DepartureReporter:
     """Reports leaving replicas to a planner; implements `parts.GatewayPart`.
 
     Parameters
@@ -56,10 +56,10 @@
         self._unreported.add(replica)
         link = self._link()
         if link is not None:
-            link.hurry()
+            link.flush_soon()
 
 
-class DepartureDesk:
+class DepartureForwarder:
     """Forwards reports of leaving replicas to all gateways; implements `parts.PlannerPart`.
 
     Parameters
--- a/packages/gateway/src/gradelug_gateway/error_responses.py
+++ b/packages/gateway/src/gradelug_gateway/error_responses.py
@@ -12,7 +12,7 @@
 
 from .admission import AdmissionControl
 from .exceptions import GATEWAY_TIMEOUT, Blocked, Failed, Limited, Refused
-from .fingerprints import shown
+from .fingerprints import format_fingerprint
 from .job import Job
 from .metrics import Meters
 from .model import Request, Route
@@ -74,7 +74,7 @@
         log.info(
             "refused",
             id=job.req.id,
-            fingerprint=shown(job.fingerprint),
+            fingerprint=format_fingerprint(job.fingerprint),
             weights=job.req.key.text if job.req.key is not None else "",
             why=str(exc),
             waited_s=round(waited_s, 3),
@@ -122,7 +122,7 @@
         log.info(
             "failed",
             id=job.req.id,
-            fingerprint=shown(job.fingerprint),
+            fingerprint=format_fingerprint(job.fingerprint),
             why=str(exc),
             sends=job.sends,
             last_event=job.events.last_event,
--- a/packages/gateway/src/gradelug_gateway/fingerprints.py
+++ b/packages/gateway/src/gradelug_gateway/fingerprints.py
@@ -37,6 +37,6 @@
     return digest.digest()
 
 
-def shown(mark: bytes) -> str:
+def format_fingerprint(mark: bytes) -> str:
     """Return the prefix of a fingerprint that is written to logs."""
     return mark.hex()[:LOGGED_HEX_DIGITS]
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -29,7 +29,7 @@
 from .pacing import FRESH_S, NEWS_S
 from .prefix_cache import PrefixCache
 from .replica_load import ReplicaLoad
-from .rests import ReplicaRests
+from .rests import BackoffTracker
 
 FAILURE_COST_REQUESTS = 12.0
 """Cost of a replica that fails all requests, as a number of additional queued requests."""
@@ -67,7 +67,7 @@
         Prompt prefixes cached by engines; None to ignore them.
     limits : ReplicaLimits or None
         Request limits that replicas announced.
-    rests : ReplicaRests or None
+    rests : BackoffTracker or None
         Replicas that asked this instance to send nothing for some time.
     """
 
@@ -104,10 +104,10 @@
         has_room: bool = False,
         kept: PrefixCache | None = None,
         limits: ReplicaLimits | None = None,
-        rests: ReplicaRests | None = None,
+        rests: BackoffTracker | None = None,
     ) -> None:
         self.state = state
-        self.rests = rests or ReplicaRests(clock)
+        self.rests = rests or BackoffTracker(clock)
         self.limits = limits or ReplicaLimits(clock)
         self.hall = hall
         self.prefix_cache = kept or PrefixCache(clock, False)
@@ -301,13 +301,13 @@
             Shortest remaining rest, in seconds.
         """
         found = self.usable(service)
-        if only is None and self.rests.most_resting < len(found):
+        if only is None and self.rests.max_active_count < len(found):
             return 0.0
-        return self.rests.least_left_s(rep for rep in found if only is None or rep.name in only)
+        return self.rests.min_remaining_s(rep for rep in found if only is None or rep.name in only)
 
     def resting(self, service: str, key: AdapterKey) -> list[str]:
         """Return names of some resting replicas of a service, those that hold weights first."""
-        if not self.rests.most_resting:
+        if not self.rests.max_active_count:
             return []
         candidates = itertools.chain(self.holders(service, key), self.usable(service))
         names = (rep.name for rep in candidates if self.rests.left_s(rep))
@@ -427,7 +427,7 @@
 
     def allows(self, replica: Replica, now: float) -> bool:
         """Return whether a replica's health and request limit allow another request."""
-        if not self.limits.is_open(replica.name):
+        if not self.limits.may_offer(replica.name):
             return False
         health = self.health(replica.name)
         # A random number is drawn only where it decides.
@@ -523,8 +523,8 @@
     def forget_gone(self) -> None:
         """Drop the records of removed replicas; loads only where no request runs."""
         known = self.state.replicas
-        self.limits.forget_gone(known)
-        self.rests.drop_over()
+        self.limits.forget_removed(known)
+        self.rests.drop_expired()
         for name in [name for name in self._health if name not in known]:
             del self._health[name]
         self.prefix_cache.parts.forget_gone(known, self._clock())
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -125,22 +125,22 @@
     gauge(
         "sendings_blocked",
         "Attempts suppressed since startup because their request is blocked",
-        lambda: sources.poison.guard.refused,
+        lambda: sources.poison.guard.refused_count,
     )
     gauge(
         "replicas_limited",
         "Replicas that announce a request rate limit",
-        lambda: len(sources.fleet.limits.named()),
+        lambda: len(sources.fleet.limits.limited_replicas()),
     )
     gauge(
         "sent_to_limited",
         "Maximum number of requests sent to one rate-limited replica in 4 s",
-        lambda: max(sources.fleet.limits.sent().values(), default=0),
+        lambda: max(sources.fleet.limits.recent_sends().values(), default=0),
     )
     gauge(
         "sendings_limited",
         "Attempts suppressed since startup by the rate limit of their replica",
-        lambda: sources.fleet.limits.denied,
+        lambda: sources.fleet.limits.denied_count,
     )
     gauge(
         "waiting_for_limited",
@@ -155,12 +155,12 @@
     gauge(
         "replicas_resting",
         "Replicas with a backoff in effect at this instance",
-        lambda: sources.fleet.rests.resting,
+        lambda: sources.fleet.rests.active_count,
     )
     gauge(
         "sendings_rested",
         "Attempts suppressed since startup by a backoff of their replica",
-        lambda: sources.fleet.rests.denied,
+        lambda: sources.fleet.rests.denied_count,
     )
     gauge("slow_engines", "Engines classified as slow", lambda: _count_slow(sources.fleet, clock))
     gauge(
--- a/packages/gateway/src/gradelug_gateway/job.py
+++ b/packages/gateway/src/gradelug_gateway/job.py
@@ -189,7 +189,7 @@
     def give_back(self) -> None:
         """Refund its quota charge if it has not run."""
         if self.charge is not None and self.is_unrun:
-            self.charge.give_back()
+            self.charge.refund()
 
     def may_repeat(self) -> bool:
         """Return whether the route allows a retry after the request may have run."""
--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -61,7 +61,7 @@
     published_at: float = float("-inf")
 
 
-class LimitDesk:
+class LimitAllocator:
     """Grants gateways capacity at replicas with a limit; implements `parts.PlannerPart`.
 
     Parameters
@@ -159,7 +159,7 @@
             return 0.0
         return limited.limiter.ready_s(now)
 
-    def home_s(self, replica: str) -> float:
+    def load_penalty_s(self, replica: str) -> float:
         """Return the penalty for loading an adapter on an engine with a limit, in seconds."""
         limited = self._limited.get(replica)
         rate = limited.record.rate if limited is not None else None
@@ -167,7 +167,7 @@
             0.0 if rate is None else min(MAX_LOAD_PENALTY_S, 1 / max(rate, 1 / MAX_LOAD_PENALTY_S))
         )
 
-    def put_urgent_first(self, waiters: list[Waiter]) -> list[Waiter]:
+    def sort_by_urgency(self, waiters: list[Waiter]) -> list[Waiter]:
         """Return waiters for a weight slot in the order in which capacity is granted."""
         if all(limited.limiter is None for limited in self._limited.values()):
             return waiters
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -33,16 +33,16 @@
         """Longest time that reports are batched, in seconds."""
         ...
 
-    def hurry(self) -> None:
+    def flush_soon(self) -> None:
         """Send pending reports at once."""
         ...
 
-    def tell_soon(self) -> None:
+    def queue_flush(self) -> None:
         """Send pending reports with the next message."""
         ...
 
 
-class LimitTeller:
+class LimitClient:
     """Reports limits to one planner and asks it for capacity.
 
     Implements `parts.GatewayPart` and `CapacityClient`.
@@ -118,7 +118,7 @@
             replica=replica,
             rank=demand.rank,
             value=demand.value,
-            begun=demand.begun,
+            begun=demand.has_started,
             wait_ms=round(min(wait_s * MS, MAX_AGE_MS)),
         )
         fut = self._futures[ticket] = asyncio.get_running_loop().create_future()
@@ -145,7 +145,7 @@
         self._abandoned.clear()
         self._unsent.clear()
         self._cancelled.clear()
-        self._unreported.update(self._limits.named())
+        self._unreported.update(self._limits.limited_replicas())
 
     def fill(self, message: pb.FromGateway) -> None:
         """Add changed limits, capacity requests and cancellations to a message."""
@@ -169,7 +169,9 @@
         for report in message.limits:
             rep = self._state.replicas.get(report.replica)
             if rep is not None and rep.born == report.born:
-                self._limits.take(report.replica, decode_limit(report, self._clock()), "planner")
+                self._limits.apply_fact(
+                    report.replica, decode_limit(report, self._clock()), "planner"
+                )
         for answer in message.room_answers:
             replica = self._abandoned.pop(answer.ticket, "")
             fut = self._futures.pop(answer.ticket, None)
@@ -184,7 +186,7 @@
             self._unreported.add(replica)
             link = self._link()
             if link is not None:
-                link.hurry()
+                link.flush_soon()
 
     def _schedule_send(self, now: float) -> float:
         """Schedule pending requests; return how long they may be batched, in seconds."""
@@ -197,9 +199,9 @@
                 LocalSendSlots(MAX_URGENT_ASKS_PER_S / instance_count, 0.0, now, keeps=True),
             )
         if self._urgent_turns[1].take(now):
-            link.hurry()
+            link.flush_soon()
             return 0.0
-        link.tell_soon()
+        link.queue_flush()
         return link.flush_s
 
     def _abandon(self, ask: pb.RoomAsk) -> None:
--- a/packages/gateway/src/gradelug_gateway/limits.py
+++ b/packages/gateway/src/gradelug_gateway/limits.py
@@ -55,7 +55,7 @@
     until: float = 0.0
     rank: int = 0
     value: float = 1.0
-    begun: bool = False
+    has_started: bool = False
 
 
 class Denial(t.NamedTuple):
@@ -109,8 +109,8 @@
         "_recent_sends",
         "_offer_turns",
         "_logged_unreadable",
-        "denied",
-        "find_desk",
+        "denied_count",
+        "find_client",
         "instance_count",
     )
 
@@ -123,7 +123,7 @@
         self._clock = clock
         self._rng = rng or random.Random(0)
         self._is_on = is_on
-        self.find_desk: t.Callable[[str], CapacityClient | None] = lambda service: None
+        self.find_client: t.Callable[[str], CapacityClient | None] = lambda service: None
         """Returns the client of the planner that grants capacity at replicas of a service, None
         while there is no such planner."""
         self._listeners: list[t.Callable[[str], None]] = []
@@ -140,7 +140,7 @@
         """Time and replica of each request that this instance sent to a replica with a limit."""
         self._logged_unreadable: set[str] = set()
         """Replicas whose invalid limit has been logged."""
-        self.denied = 0
+        self.denied_count = 0
         """Attempts since the start that were rejected for lack of capacity."""
 
     # Known limits.
@@ -149,18 +149,18 @@
         """Call `listener` with a replica's name when a response received here changes its limit."""
         self._listeners.append(listener)
 
-    def hear(self, replica: str, word: ReportedLimit, sent_at: float) -> None:
+    def update_from_answer(self, replica: str, word: ReportedLimit, sent_at: float) -> None:
         """Apply the limit in a response to a request that was sent at `sent_at`."""
         if word.invalid_text:
             self._log_unreadable_limit(replica, word)
             return
         if word.rate is None and replica not in self._records:
             return
-        if self.take(replica, LimitFact(word.rate, sent_at, self._clock()), "answer"):
+        if self.apply_fact(replica, LimitFact(word.rate, sent_at, self._clock()), "answer"):
             for listener in self._listeners:
                 listener(replica)
 
-    def take(self, replica: str, fact: LimitFact, source: str) -> bool:
+    def apply_fact(self, replica: str, fact: LimitFact, source: str) -> bool:
         """Apply a report of a limit; return whether the limit has changed."""
         record = self._records.setdefault(replica, ReplicaLimit())
         before, since = record.rate, record.since
@@ -188,18 +188,18 @@
         record = self._records.get(replica)
         return record.rate if record is not None else None
 
-    def named(self) -> list[str]:
+    def limited_replicas(self) -> list[str]:
         """Return the names of the replicas that have a limit."""
         return [name for name, record in self._records.items() if record.rate is not None]
 
-    def share_among(self, instances: int) -> None:
+    def set_instance_count(self, instances: int) -> None:
         """Set the number of instances that send requests to replicas."""
         if instances != self.instance_count:
             self.instance_count = max(1, instances)
             self._offer_turns.clear()
             self._fallback_turns.clear()
 
-    def forget_gone(self, known: t.Container[str]) -> None:
+    def forget_removed(self, known: t.Container[str]) -> None:
         """Remove the limits of replicas that are not in `known`."""
         for name in [name for name in self._records if name not in known]:
             self.forget(name)
@@ -212,7 +212,7 @@
 
     # Choice of a replica.
 
-    def is_open(self, replica: str) -> bool:
+    def may_offer(self, replica: str) -> bool:
         """Return whether to offer a replica a request that other replicas could take.
 
         A limited replica is offered only its share of the requests, because each request beyond
@@ -224,7 +224,7 @@
     def delay_s(self, replica: str) -> float:
         """Return the approximate wait for capacity at a replica, in seconds."""
         rate = self.rate(replica)
-        if rate is None or not self._is_on or self.is_open(replica):
+        if rate is None or not self._is_on or self.may_offer(replica):
             return 0.0
         return min(MAX_DELAY_S, 1 / max(rate, 1 / MAX_DELAY_S))
 
@@ -254,18 +254,18 @@
         denial = await self._ask(replica, demand)
         if denial is None:
             return None
-        self.denied += 1
+        self.denied_count += 1
         if turns is not None and has_turn:
             # Spreads the retries of requests that were rejected together.
             turns.restore(self._clock() + denial.retry_s * (1 + self._rng.random()))
         return denial
 
-    def note_sent(self, replica: str) -> None:
+    def count_send(self, replica: str) -> None:
         """Count a request sent to a replica, if the replica has a limit."""
         if self.rate(replica) is not None:
             self._recent_sends.append((self._clock(), replica))
 
-    def sent(self) -> Counter[str]:
+    def recent_sends(self) -> Counter[str]:
         """Return the requests sent to each replica with a limit within the counting window."""
         while (
             self._recent_sends and self._recent_sends[0][0] <= self._clock() - SEND_COUNT_WINDOW_S
@@ -275,7 +275,7 @@
 
     async def _ask(self, replica: Replica, demand: Demand) -> Denial | None:
         while True:
-            desk = self.find_desk(replica.service)
+            desk = self.find_client(replica.service)
             try:
                 if desk is not None:
                     return await desk.ask(replica.name, demand)
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -24,7 +24,7 @@
 from .model import AdapterKey, ReportedLoad
 from .pacing import FLUSH_S, NEWS_S
 from .parts import GatewayPart
-from .quotas import Applicant, QuotaQuestions
+from .quotas import QuotaApplicant, QuotaClient
 from .search import PlannerAddress
 from .store_updates import StoreSubscriber
 
@@ -181,19 +181,19 @@
         self._sent_loads: dict[str, ReportedLoad] = {}
         self._wake = asyncio.Event()
         self._flush_requested = asyncio.Event()
-        self._quotas = QuotaQuestions(clock, self.hurry)
+        self._quotas = QuotaClient(clock, self.hurry)
         self._parts: tuple[GatewayPart, ...] = (self._quotas, *parts)
         """Extensions of the messages on the stream."""
 
     async def ask_quota(
-        self, organisation: str, tokens: int, until: float, applicant: Applicant
+        self, organisation: str, tokens: int, until: float, applicant: QuotaApplicant
     ) -> pb.QuotaAnswer:
         """Send a quota request and return the answer; raises `TimeoutError`."""
         return await self._quotas.ask(organisation, tokens, until, applicant)
 
     def return_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
         """Refund a quota granted at a given time to a request that did not run."""
-        self._quotas.give_back(organisation, tokens, granted_at)
+        self._quotas.refund(organisation, tokens, granted_at)
 
     @property
     def news_age_s(self) -> float:
--- a/packages/gateway/src/gradelug_gateway/organisations.py
+++ b/packages/gateway/src/gradelug_gateway/organisations.py
@@ -25,20 +25,20 @@
         Size of a burst, in tokens or requests.
     counts_tokens : bool
         Whether requests count by their tokens, or each as one.
-    plain_tokens : float
+    default_tokens : float
         Tokens counted for a request that states none.
     """
 
     rate: float
     burst: float
     counts_tokens: bool = True
-    plain_tokens: float = 1.0
+    default_tokens: float = 1.0
 
     def charge(self, prompt_tokens: int, max_answer_tokens: int) -> float:
         """Return the amount to charge for a request; 0 tokens mean that it states none."""
         if not self.counts_tokens:
             return 1.0
-        return float(prompt_tokens + max_answer_tokens) or self.plain_tokens
+        return float(prompt_tokens + max_answer_tokens) or self.default_tokens
 
 
 @dataclass(slots=True, frozen=True)
@@ -109,7 +109,7 @@
     def __bool__(self) -> bool:
         return bool(self._by_name)
 
-    def named(self, name: str) -> Organisation | None:
+    def by_name(self, name: str) -> Organisation | None:
         """Return the organisation with a name, None if there is none."""
         return self._by_name.get(name)
 
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -27,24 +27,24 @@
 from gradelug_wire import placement_pb2 as pb
 
 from .adapter_replication import AdapterReplication
-from .departures import DepartureDesk
+from .departures import DepartureForwarder
 from .engine_index import EngineIndex, reports_any
 from .engine_speeds import SpeedAggregator
 from .engines import Engine, Phase, WeightSlot
 from .fair_queue import FairQueue
 from .fleet import engine_capacity_of
 from .followers import Follower, Followers, encode_load
-from .limit_desk import LimitDesk
+from .limit_desk import LimitAllocator
 from .load_targets import LoadTargets
 from .loader import DEFAULT_VERSION, Loader, PlannedLoad
 from .maintenance import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
 from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
 from .pacing import FRESH_S
 from .parts import PlannerPart
-from .poison_desk import PoisonDesk
+from .poison_desk import PoisonAggregator
 from .ports import OrderTransport
 from .prefix_cache import PrefixCache, sample_holders
-from .quota_desk import QuotaDesk
+from .quota_desk import QuotaServer
 from .refill import Refill
 from .relay import OrderRelay
 from .settings import Feature
@@ -119,9 +119,9 @@
     room : EngineEstimator or None
         Estimates engine capacity and speed; None to ignore batch slots, memory and the speed of
         single engines.
-    poison : PoisonDesk or None
+    poison : PoisonAggregator or None
         Detects requests that crash replicas, if given.
-    departures : DepartureDesk or None
+    departures : DepartureForwarder or None
         Distributes which replicas have announced that they are leaving, if given.
     """
 
@@ -139,8 +139,8 @@
         expected: int = 0,
         features: frozenset[Feature] = frozenset(Feature),
         room: EngineEstimator | None = None,
-        poison: PoisonDesk | None = None,
-        departures: DepartureDesk | None = None,
+        poison: PoisonAggregator | None = None,
+        departures: DepartureForwarder | None = None,
     ) -> None:
         self.service = service
         self.term: Term | None = None
@@ -158,14 +158,14 @@
         )
         self._health = health if Feature.SHARED_HEALTH in features else None
         quotas = QuotaCoordinator(clock(), expected, urgent_first=Feature.URGENT_QUOTAS in features)
-        self.limits = LimitDesk(service, state, clock, lambda: self.term is not None)
+        self.limits = LimitAllocator(service, state, clock, lambda: self.term is not None)
         """Grants capacity of replicas with a limit on requests per second."""
         speeds = speeds or PrefillSpeeds()
         is_fair = Feature.FAIR_SHARES in features and room is not None
         self.fair_queue = FairQueue(state, lambda: self.followers.pacing.flush_s, is_fair)
         """Orders requests by fair share while engines are full."""
         self.parts: tuple[PlannerPart, ...] = (
-            QuotaDesk(quotas, state, lambda: self.term is not None),
+            QuotaServer(quotas, state, lambda: self.term is not None),
             self.fair_queue,
             *((self._health,) if self._health is not None else ()),
             *((poison,) if poison is not None else ()),
@@ -460,7 +460,7 @@
         now = self._clock()
         self._queue.waiters = [
             waiter
-            for waiter in self.limits.put_urgent_first(
+            for waiter in self.limits.sort_by_urgency(
                 self.fair_queue.arrange(self._queue.waiters, now)
             )
             if now < waiter.until
@@ -713,7 +713,7 @@
                 target.engine.is_cached(key, version),
                 self.wait_s(target.engine, work)
                 + self._ejection_penalty_s(name)
-                + self.limits.home_s(name),
+                + self.limits.load_penalty_s(name),
             )
             for name, target in targets.candidates(key, version, may_use)
         ]
--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -10,7 +10,7 @@
 from gradelug_policy.poison import END_TTL_S, SUSPECT_SCORE, EndLedger
 
 from .exceptions import Blocked, Refused
-from .fingerprints import shown
+from .fingerprints import format_fingerprint
 
 log = logbook.Logger("poison")
 MAX_SERVED = 2048
@@ -90,7 +90,7 @@
         "_number",
         "_served",
         "cleared",
-        "refused",
+        "refused_count",
         "observations",
         "stored_findings",
         "planner_findings",
@@ -117,7 +117,7 @@
         """Findings received from the planner."""
         self.stored_findings = NO_FINDINGS
         """Findings read from the platform's store."""
-        self.refused = 0
+        self.refused_count = 0
         """Number of requests that were blocked before being sent."""
 
     @property
@@ -136,13 +136,13 @@
             fingerprint in self.planner_findings.blocked
             or fingerprint in self.stored_findings.blocked
         ):
-            self.refused += 1
+            self.refused_count += 1
             raise Blocked("it crashes the replicas that run it", BLOCKED_RETRY_S)
         authority = self._authority()
         if authority is BlockAuthority.PLANNER:
             return
         if fingerprint in self._ledger.blocked:
-            self.refused += 1
+            self.refused_count += 1
             raise Blocked("it crashed the replicas that ran it for this gateway", BLOCKED_RETRY_S)
         if authority is BlockAuthority.UNKNOWN and self._is_suspect(fingerprint):
             # Another gateway may have observed its third end.
@@ -162,7 +162,9 @@
             self._ledger.note_end(end, fingerprint, weight, now)
         for found in self._ledger.judge(now):
             log.info(
-                "local ledger would block request", fingerprint=shown(found.mark), ends=found.ends
+                "local ledger would block request",
+                fingerprint=format_fingerprint(found.mark),
+                ends=found.ends,
             )
         while self.observations and now - self.observations[0].at > END_TTL_S:
             self.observations.popleft()
@@ -189,7 +191,7 @@
         ):
             self._number += 1
             self.cleared.append((self._number, fingerprint))
-            log.info("cleared", fingerprint=shown(fingerprint))
+            log.info("cleared", fingerprint=format_fingerprint(fingerprint))
             self._hurry()
 
     def _is_suspect(self, fingerprint: bytes) -> bool:
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -11,7 +11,7 @@
 from .link import REPLACED_S, PlannerLink
 from .model import FleetState
 from .poison import BlockAuthority, PoisonGuard
-from .poison_desk import PoisonDesk, PoisonReporter
+from .poison_desk import PoisonAggregator, PoisonReporter
 from .poison_record import PoisonRecord
 
 
@@ -52,21 +52,21 @@
         self.record = PoisonRecord(kv, mirror, clock)
         self.ends = EndDetector(pool, state, clock, self.guard.note_end)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Read the record from the store, and check for replicas that are gone."""
         if self.record.poll():
             self.guard.stored_findings = self.record.findings
         self.ends.poll()
 
-    def teller(self, service: str) -> PoisonReporter:
+    def reporter(self, service: str) -> PoisonReporter:
         """Return the reporter for the planner of a service; active while that one coordinates."""
         return PoisonReporter(
             self.guard, lambda: self._state.coordinating_service == service, self._clock
         )
 
-    def desk(self, service: str) -> PoisonDesk:
+    def aggregator(self, service: str) -> PoisonAggregator:
         """Return the aggregator for a planner of a service at this instance."""
-        return PoisonDesk(service, self._state, self.record)
+        return PoisonAggregator(service, self._state, self.record)
 
     def _authority(self) -> BlockAuthority:
         link = self._coordinator()
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -11,7 +11,7 @@
 from gradelug_policy.poison import END_GATHER_S, EndLedger
 from gradelug_wire import placement_pb2 as pb
 
-from .fingerprints import shown
+from .fingerprints import format_fingerprint
 from .followers import Follower
 from .model import FleetState
 from .poison import PoisonFindings, PoisonGuard
@@ -84,7 +84,7 @@
         )
 
 
-class PoisonDesk:
+class PoisonAggregator:
     """Aggregates the observations of all gateways at a planner; implements `parts.PlannerPart`.
 
     Parameters
@@ -127,7 +127,11 @@
                 ledger.note_end(end.life, suspect.mark, suspect.weight, at)
         for fingerprint in message.cleared:
             if ledger.note_served(fingerprint):
-                log.info("cleared", fingerprint=shown(fingerprint), gateway=follower.instance)
+                log.info(
+                    "cleared",
+                    fingerprint=format_fingerprint(fingerprint),
+                    gateway=follower.instance,
+                )
         self._has_changed = True
 
     def leave(self, follower: Follower, now: float) -> None:
@@ -150,7 +154,7 @@
         for found in ledger.judge(now, END_GATHER_S):
             log.warning(
                 "blocked",
-                fingerprint=shown(found.mark),
+                fingerprint=format_fingerprint(found.mark),
                 ends=found.ends,
                 score=round(found.score, 2),
             )
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -14,7 +14,7 @@
 from .quotas import MAX_WAIT_S
 
 
-class QuotaDesk:
+class QuotaServer:
     """Answers quota requests of gateways; implements `parts.PlannerPart`.
 
     Parameters
@@ -58,7 +58,7 @@
 
     def _answer(self, follower: Follower, ask: pb.QuotaAsk, now: float) -> pb.QuotaAnswer:
         snapshot = self._state.snapshot
-        organisation = snapshot.organisations.named(ask.organisation) if snapshot else None
+        organisation = snapshot.organisations.by_name(ask.organisation) if snapshot else None
         if not self._may_grant() or organisation is None:
             # Another planner may grant, or the organisation is not in the configuration here yet.
             return pb.QuotaAnswer(ticket=ask.ticket)
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -21,7 +21,7 @@
 from .organisations import Organisation
 
 log = logbook.Logger("quotas")
-ANSWER_S = 0.25
+ANSWER_TIMEOUT_S = 0.25
 """Response timeout of the coordinator, in seconds. A response takes a round trip of milliseconds,
 or some tens if the coordinator pauses after a decision; beyond the timeout it may be lost."""
 UNAVAILABLE_RETRY_S = 0.05
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Applicant:
+class QuotaApplicant:
     """Priority of a request for quota, as sent to the coordinator.
 
     Parameters
@@ -60,24 +60,24 @@
     mark: int = 0
 
 
-ANYBODY = Applicant()
+DEFAULT_APPLICANT = QuotaApplicant()
 
 
 class QuotaLink(t.Protocol):
     """The link to the coordinator of the quotas."""
 
     @property
-    def is_quiet(self) -> bool:
+    def is_update_overdue(self) -> bool:
         """Whether the coordinator may be lost."""
         ...
 
     async def ask_quota(
-        self, organisation: str, tokens: int, until: float, applicant: Applicant
+        self, organisation: str, tokens: int, until: float, applicant: QuotaApplicant
     ) -> pb.QuotaAnswer:
         """Return the coordinator's answer; raises `TimeoutError`."""
         ...
 
-    def return_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
+    def refund_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
         """Refund tokens granted at `granted_at` to a request that has not run."""
         ...
 
@@ -103,10 +103,10 @@
     link: QuotaLink | None
     granted_at: float
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Refund the charge of a request that has not run and will not."""
         if self.link is not None:
-            self.link.return_quota(self.organisation, self.tokens, self.granted_at)
+            self.link.refund_quota(self.organisation, self.tokens, self.granted_at)
 
 
 class Quotas:
@@ -142,7 +142,7 @@
         prompt_tokens: int,
         max_answer_tokens: int,
         until: float,
-        applicant: Applicant = ANYBODY,
+        applicant: QuotaApplicant = DEFAULT_APPLICANT,
     ) -> Charge | None:
         """Charge a request to its organisation's quota, or raise.
 
@@ -187,13 +187,13 @@
                 raise Refused(f"the quota of {name} cannot be asked for", UNAVAILABLE_RETRY_S)
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _ask(self, name: str, tokens: int, applicant: Applicant) -> Charge | None:
+    async def _ask(self, name: str, tokens: int, applicant: QuotaApplicant) -> Charge | None:
         """Ask the coordinator; return None if it is unavailable or grants nothing at present."""
         link = self._find_link()
-        if link is None or link.is_quiet:
+        if link is None or link.is_update_overdue:
             return None
         try:
-            answer = await link.ask_quota(name, tokens, self._clock() + ANSWER_S, applicant)
+            answer = await link.ask_quota(name, tokens, self._clock() + ANSWER_TIMEOUT_S, applicant)
         except TimeoutError:
             log.info("quota coordinator did not answer", organisation=name)
             return None
@@ -221,7 +221,7 @@
         return None
 
 
-class QuotaQuestions:
+class QuotaClient:
     """Sends quota requests to the coordinator and awaits the answers; a `parts.GatewayPart`.
 
     Parameters
@@ -252,7 +252,11 @@
         self._ticket = 0
 
     async def ask(
-        self, organisation: str, tokens: int, until: float, applicant: Applicant = ANYBODY
+        self,
+        organisation: str,
+        tokens: int,
+        until: float,
+        applicant: QuotaApplicant = DEFAULT_APPLICANT,
     ) -> pb.QuotaAnswer:
         """Return the coordinator's answer; raises `TimeoutError`."""
         self._ticket += 1
@@ -276,7 +280,7 @@
             if not fut.done() or fut.cancelled():
                 self._abandon(ask)
 
-    def give_back(self, organisation: str, tokens: int, granted_at: float) -> None:
+    def refund(self, organisation: str, tokens: int, granted_at: float) -> None:
         """Refund tokens of a request that has not run; a grant of an earlier coordinator lapses."""
         if granted_at < self._stream_started_at:
             return
@@ -326,4 +330,4 @@
     def _return_late(self, ask: pb.QuotaAsk, done: asyncio.Future[pb.QuotaAnswer]) -> None:
         if done.cancelled() or done.exception() is not None or not done.result().granted:
             return
-        self.give_back(ask.organisation, ask.tokens, self._clock())
+        self.refund(ask.organisation, ask.tokens, self._clock())
--- a/packages/gateway/src/gradelug_gateway/rests.py
+++ b/packages/gateway/src/gradelug_gateway/rests.py
@@ -21,7 +21,7 @@
 """Maximum number of replicas whose invalid value is logged, once each."""
 
 
-class ReplicaRests:
+class BackoffTracker:
     """Backoffs requested by replicas, by incarnation: a new incarnation starts without one.
 
     Parameters
@@ -34,7 +34,7 @@
         Whether backoffs are enforced; otherwise they are only logged.
     """
 
-    __slots__ = ("_clock", "_is_on", "_rests", "_logged_unreadable", "denied")
+    __slots__ = ("_clock", "_is_on", "_rests", "_logged_unreadable", "denied_count")
 
     def __init__(
         self,
@@ -46,10 +46,10 @@
         self._is_on = is_on
         self._rests = ReplicaBackoffs(rng or random.Random(0))
         self._logged_unreadable: set[tuple[str, int]] = set()
-        self.denied = 0
+        self.denied_count = 0
         """Attempts since the start that were not made because of their replica's backoff."""
 
-    def hear(self, replica: Replica, word: ReportedBackoff) -> None:
+    def update_from_answer(self, replica: Replica, word: ReportedBackoff) -> None:
         """Apply the backoff in a response of a replica."""
         if word.unreadable:
             self._log_unreadable_value(replica, word)
@@ -67,7 +67,7 @@
             return 0.0
         return self._rests.left_s(_incarnation(replica), self._clock())
 
-    def least_left_s(self, replicas: t.Iterable[Replica]) -> float:
+    def min_remaining_s(self, replicas: t.Iterable[Replica]) -> float:
         """Return the shortest remaining backoff among replicas, in seconds; 0 if one has none."""
         if not self._rests:
             return 0.0
@@ -78,17 +78,17 @@
                 break
         return 0.0 if math.isinf(min_s) else min_s
 
-    def drop_over(self) -> None:
+    def drop_expired(self) -> None:
         """Remove expired backoffs."""
         self._rests.keep(self._clock())
 
     @property
-    def resting(self) -> int:
+    def active_count(self) -> int:
         """Number of replicas with an active backoff."""
         return self._rests.count(self._clock())
 
     @property
-    def most_resting(self) -> int:
+    def max_active_count(self) -> int:
         """Upper bound of the replicas with an active backoff, including expired, unremoved ones."""
         return len(self._rests) if self._is_on else 0
 
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -27,7 +27,7 @@
 from .end_detection import EndDetector
 from .exceptions import GATEWAY_TIMEOUT, Refused
 from .exchange import Exchange
-from .fingerprints import shown
+from .fingerprints import format_fingerprint
 from .fleet import Fleet
 from .job import Job, Outcome
 from .limits import Demand
@@ -224,7 +224,7 @@
         log.info(
             "placed",
             id=job.req.id,
-            fingerprint=shown(job.fingerprint),
+            fingerprint=format_fingerprint(job.fingerprint),
             route=job.route.name,
             replica=replica.name,
             weights=key.text if key is not None else "",
@@ -261,7 +261,7 @@
             log.info(
                 "broken",
                 id=job.req.id,
-                fingerprint=shown(job.fingerprint),
+                fingerprint=format_fingerprint(job.fingerprint),
                 replica=replica.name,
                 why=str(exc),
                 stage=exchange.stage.value,
@@ -332,7 +332,7 @@
         rest_s = self._fleet.rests.left_s(replica)
         if not rest_s:
             return None
-        self._fleet.rests.denied += 1
+        self._fleet.rests.denied_count += 1
         job.capacity_retry_s, job.has_capacity_elsewhere = rest_s, False
         log.info(
             "not sent", id=job.req.id, replica=replica.name, why="it rests", rest_s=round(rest_s, 3)
@@ -392,7 +392,7 @@
             return Outcome.NOT_SENT
         job.sends += 1
         job.tried.add(replica.name)
-        self._fleet.limits.note_sent(replica.name)
+        self._fleet.limits.count_send(replica.name)
         sent_at = self._clock()
         may_have_run_before, job.may_have_run = job.may_have_run, True
         log.debug("sent", id=job.req.id, replica=replica.name, left_s=round(attempt.left_s, 3))
@@ -428,10 +428,10 @@
         sent_at : float
             When the request was sent, by the event loop's clock.
         """
-        self._fleet.limits.hear(replica.name, self._dialect.limit(head), sent_at)
+        self._fleet.limits.update_from_answer(replica.name, self._dialect.limit(head), sent_at)
         if self._dialect.leaves(head):
             self._note_leaving(replica)
-        self._fleet.rests.hear(replica, self._dialect.rest(head))
+        self._fleet.rests.update_from_answer(replica, self._dialect.rest(head))
 
     def _attempt(self, job: Job, replica: Replica, work: RequestWork) -> Attempt:
         left_s = job.deadline_at - self._clock()
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -15,7 +15,7 @@
 from gradelug_http import ClientGone, Incoming
 
 from .admission import OTHER_INSTANCE_RETRY_AFTER_S, AdmissionControl
-from .authentication import renew
+from .authentication import reauthenticate
 from .backoff_check import check_backoff
 from .budgets import RetryBudgets
 from .directory import Directory, Wish
@@ -27,7 +27,7 @@
 from .model import AdapterKey, KvCopy, KvCopyKind, Repeat, Replica, Request, Service
 from .plain_placement import PlainPlacer
 from .ports import BadRequest, Dialect
-from .quotas import Applicant, Quotas
+from .quotas import QuotaApplicant, Quotas
 from .routing import RouteTable, choose_service
 from .runs import RunRecovery
 from .sending import Sender
@@ -262,7 +262,7 @@
             return
         req, route = job.req, job.route
         # Requests of one organisation are ordered by their routes' ranks, not by its own rank.
-        applicant = Applicant(
+        applicant = QuotaApplicant(
             route.rank,
             self._values.value(route, route.rank, req),
             req.arrived_at + req.wait_s,
@@ -312,7 +312,7 @@
             return
         job.config = snapshot.version
         try:
-            job.principal = renew(job.principal, snapshot.organisations)
+            job.principal = reauthenticate(job.principal, snapshot.organisations)
         except Unauthenticated as exc:
             if not job.is_unrun:
                 raise Failed(str(exc)) from exc
--- a/tests/limit_world.py
+++ b/tests/limit_world.py
@@ -129,7 +129,7 @@
         """Return the maximum number of times that lie in one window."""
         return max((sum(at - window_s < one <= at for one in times) for at in times), default=0)
 
-    def got(self, replica, since):
+    def received_since(self, replica, since):
         """Return the number of requests that reached a replica from `since` on."""
         return sum(name == replica and at >= since for at, _, name in self.arrived)
 
--- a/tests/poison_world.py
+++ b/tests/poison_world.py
@@ -255,7 +255,7 @@
         return self.daemon._fleet.limits
 
     @property
-    def plans(self):
+    def is_planner(self):
         """Whether this instance is the planner."""
         return any(duty.planner is not None for duty in self.daemon._duties.values())
 
--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -5,7 +5,7 @@
 
 import pytest
 from gradelug_coordination import KvEntry
-from gradelug_gateway.authentication import MAX_HEADER_BYTES, authenticate, renew
+from gradelug_gateway.authentication import MAX_HEADER_BYTES, authenticate, reauthenticate
 from gradelug_gateway.exceptions import Unauthenticated
 from gradelug_gateway.feed import MalformedEntry
 from gradelug_gateway.model import Repeat, Snapshot
@@ -72,9 +72,9 @@
     def test_a_later_configuration_changes_the_owner_of_a_key(self):
         principal = authenticate([b"Bearer key-a"], BOTH)
         moved = Organisations([(BETA, ["key-a"])])
-        assert renew(principal, moved).organisation is BETA
+        assert reauthenticate(principal, moved).organisation is BETA
         with pytest.raises(Unauthenticated):
-            renew(principal, Organisations([(ALPHA, ["key-a2"])]))
+            reauthenticate(principal, Organisations([(ALPHA, ["key-a2"])]))
 
     def test_two_organisations_cannot_have_one_key(self):
         with pytest.raises(DuplicateKey, match="alpha and beta"):
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -7,7 +7,7 @@
 import pytest
 from gradelug_gateway.model import FleetState, Snapshot
 from gradelug_gateway.organisations import Organisation, Organisations, Quota
-from gradelug_gateway.quota_desk import QuotaDesk
+from gradelug_gateway.quota_desk import QuotaServer
 from gradelug_http import ServerLimits
 from gradelug_policy.contention import (
     MAX_KINDS,
@@ -267,7 +267,7 @@
     organisations = Organisations([(Organisation("o", None, Quota(1_000.0, 4_000.0)), ["k"])])
     state = FleetState()
     state.snapshot = Snapshot(1, (), {}, ServerLimits(), organisations)
-    arbiter = QuotaDesk(QuotaCoordinator(0.0, urgent_first=urgent_first), state, lambda: True)
+    arbiter = QuotaServer(QuotaCoordinator(0.0, urgent_first=urgent_first), state, lambda: True)
     follower = Follower()
     arbiter.take(follower, pb.FromGateway(instance="g"), 0.0)
     return arbiter, follower
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -69,7 +69,7 @@
                 world.replica("e1").leaves = True
                 began = world.clock()
                 await asyncio.sleep(2.0)
-                next(one for one in world.gateways if one.plans).kill()
+                next(one for one in world.gateways if one.is_planner).kill()
                 other = next(one for one in world.gateways if not one.process.dead)
                 other.kill()
                 await asyncio.sleep(0.5)
@@ -107,7 +107,7 @@
                 await asyncio.sleep(0.3)
                 states = [one.daemon._state for one in world.gateways]
                 assert all(state.replicas["e1"].leaving for state in states)
-                planner = next(one for one in world.gateways if one.plans)
+                planner = next(one for one in world.gateways if one.is_planner)
                 (duty,) = planner.daemon._duties.values()
                 assert "e1" not in duty.planner.engines
 
--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -4,9 +4,9 @@
 
 import pytest
 from gradelug_gateway.followers import Follower
-from gradelug_gateway.limit_desk import MIN_REPORT_INTERVAL_S, REPEAT_INTERVAL_S, LimitDesk
+from gradelug_gateway.limit_desk import MIN_REPORT_INTERVAL_S, REPEAT_INTERVAL_S, LimitAllocator
 from gradelug_gateway.limit_facts import decode_limit, encode_limit
-from gradelug_gateway.limit_teller import MAX_URGENT_ASKS_PER_S, LimitTeller
+from gradelug_gateway.limit_teller import MAX_URGENT_ASKS_PER_S, LimitClient
 from gradelug_gateway.limits import Demand, Denial, GrantsUnavailable, ReplicaLimits
 from gradelug_gateway.model import FleetState, Replica
 from gradelug_gateway.pending import merge_news
@@ -40,9 +40,9 @@
         self.link = RecordingLink()
         self.follower = Follower(number, f"g{number}", "")
         self.limits = ReplicaLimits(world.clock)
-        self.limits.share_among(world.instance_count)
-        self.client = LimitTeller(SERVICE, self.limits, world.state, world.clock, lambda: self.link)
-        self.limits.find_desk = lambda service: self.client
+        self.limits.set_instance_count(world.instance_count)
+        self.client = LimitClient(SERVICE, self.limits, world.state, world.clock, lambda: self.link)
+        self.limits.find_client = lambda service: self.client
 
 
 class LimitFleet:
@@ -60,7 +60,7 @@
 
     def replace_planner(self):
         """Replace the planner by a new one."""
-        self.allocator = LimitDesk(SERVICE, self.state, self.clock, lambda: self.holds_term)
+        self.allocator = LimitAllocator(SERVICE, self.state, self.clock, lambda: self.holds_term)
         for one in self.gateways:
             one.client.begin_stream()
 
@@ -113,7 +113,7 @@
             await asyncio.sleep(1.0)
             world.set_limit(1, None)
             world.exchange_messages()
-            assert not world.gateways[0].limits.named()
+            assert not world.gateways[0].limits.limited_replicas()
 
         run(scenario)
 
@@ -141,7 +141,7 @@
             world.gateways.append(late)
             late.client.begin_stream()
             world.exchange_messages()
-            assert not late.limits.named()
+            assert not late.limits.limited_replicas()
 
         run(scenario)
 
@@ -335,8 +335,8 @@
     def test_instances_send_on_their_local_share(self):
         async def scenario():
             limits = ReplicaLimits(asyncio.get_running_loop().time)
-            limits.share_among(7)
-            limits.hear("e0", ReportedLimit(1.4), 0.0)
+            limits.set_instance_count(7)
+            limits.update_from_answer("e0", ReportedLimit(1.4), 0.0)
             rep, sent = Replica("e0", "plain", "", "h"), 0
             loop = asyncio.get_running_loop()
             until = loop.time() + 60.0
@@ -352,10 +352,10 @@
             world = LimitFleet(instance_count=10_000)
             world.set_limit(0, 2.0)
             limits = world.gateways[0].limits
-            find_client, limits.find_desk = limits.find_desk, lambda service: None
+            find_client, limits.find_client = limits.find_client, lambda service: None
             asked = world.request(0, wait_s=5.0)
             await world.run_for(1.0)
-            limits.find_desk = find_client
+            limits.find_client = find_client
             await world.run_for(1.0)
             assert asked.done()
             assert asked.result() is None
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -122,7 +122,7 @@
 class TestLimitPropagation:
     def test_limit_holds_while_the_planner_is_lost(self):
         async def kill_planner(world):
-            next(one for one in world.gateways if one.plans).kill()
+            next(one for one in world.gateways if one.is_planner).kill()
 
         run(lambda: check_limit_during(kill_planner))
 
@@ -137,7 +137,7 @@
     def test_limit_holds_while_planner_and_store_are_unavailable(self):
         async def stop_both(world):
             world.kv.set_down(True)
-            next(one for one in world.gateways if one.plans).kill()
+            next(one for one in world.gateways if one.is_planner).kill()
             await asyncio.sleep(6.0)
             world.kv.set_down(False)
 
@@ -145,7 +145,7 @@
 
     def test_limit_holds_at_a_restarted_instance(self):
         async def restart_instance(world):
-            other = next(one for one in world.gateways if not one.plans)
+            other = next(one for one in world.gateways if not one.is_planner)
             other.kill()
             await asyncio.sleep(0.5)
             other.start()
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -96,7 +96,7 @@
                 ]
                 while len(world.ended) < 3:
                     await asyncio.sleep(0.005)
-                next(one for one in world.gateways if one.plans).kill()
+                next(one for one in world.gateways if one.is_planner).kill()
                 await asyncio.gather(*sending)
                 assert len(world.late_arrivals(POISON, PROPAGATION_S)) <= MAX_LATE_REQUESTS
 
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -20,7 +20,7 @@
     PoisonFindings,
     PoisonGuard,
 )
-from gradelug_gateway.poison_desk import REPEAT_INTERVAL_S, PoisonDesk, PoisonReporter
+from gradelug_gateway.poison_desk import REPEAT_INTERVAL_S, PoisonAggregator, PoisonReporter
 from gradelug_gateway.poison_record import KEY, PoisonRecord
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_policy.poison import END_GATHER_S, QUEUED_WEIGHT, STARTED_WEIGHT, EndLedger
@@ -264,7 +264,9 @@
     def aggregator(self, service="llm"):
         self.kv = MemoryKv()
         self.mirror = Mirror(self.kv, "", None)
-        return PoisonDesk(service, new_state(), PoisonRecord(self.kv, self.mirror, lambda: 0.0))
+        return PoisonAggregator(
+            service, new_state(), PoisonRecord(self.kv, self.mirror, lambda: 0.0)
+        )
 
     def ended(self, number, *marks):
         end = pb.ReplicaEnd(life=f"e{number}")
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -6,7 +6,7 @@
 import pytest
 from gradelug_gateway.exceptions import Limited, Refused
 from gradelug_gateway.organisations import Organisation, Quota
-from gradelug_gateway.quotas import ANSWER_S, QuotaQuestions, Quotas
+from gradelug_gateway.quotas import ANSWER_TIMEOUT_S, QuotaClient, Quotas
 from gradelug_policy.quotas import (
     MIN_BURST_S,
     SHARE_TTL_S,
@@ -349,7 +349,7 @@
     def test_answers_are_matched_by_ticket(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
-            questions = QuotaQuestions(clock, lambda: None)
+            questions = QuotaClient(clock, lambda: None)
             waiting = [asyncio.create_task(questions.ask("o", n, clock() + 1.0)) for n in (1, 2)]
             await asyncio.sleep(0)
             message = pb.FromGateway()
@@ -365,9 +365,9 @@
     def test_late_grants_are_refunded(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
-            questions = QuotaQuestions(clock, lambda: None)
+            questions = QuotaClient(clock, lambda: None)
             message = pb.FromGateway()
-            task = asyncio.create_task(questions.ask("o", 7, clock() + ANSWER_S))
+            task = asyncio.create_task(questions.ask("o", 7, clock() + ANSWER_TIMEOUT_S))
             await asyncio.sleep(0)
             questions.fill(message)
             with pytest.raises(TimeoutError):
@@ -384,11 +384,11 @@
     def test_refunds_go_to_the_granting_coordinator_only(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
-            questions = QuotaQuestions(clock, lambda: None)
+            questions = QuotaClient(clock, lambda: None)
             granted_at = clock()
             await asyncio.sleep(1.0)
             questions.begin_stream()
-            questions.give_back("o", 5, granted_at)
+            questions.refund("o", 5, granted_at)
             message = pb.FromGateway()
             questions.fill(message)
             assert not message.quota_returns
@@ -398,7 +398,7 @@
     def test_the_loss_of_a_coordinator_ends_pending_requests(self):
         async def scenario():
             clock = asyncio.get_running_loop().time
-            questions = QuotaQuestions(clock, lambda: None)
+            questions = QuotaClient(clock, lambda: None)
             task = asyncio.create_task(questions.ask("o", 1, clock() + 1.0))
             await asyncio.sleep(0)
             began = clock()
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -114,33 +114,33 @@
 class TestReceiving:
     def test_an_invalid_limit_is_logged_once_and_ignored(self):
         limits = ReplicaLimits(lambda: 1.0)
-        limits.hear("e1", ReportedLimit(1.4), 0.5)
+        limits.update_from_answer("e1", ReportedLimit(1.4), 0.5)
         with logbook.TestHandler() as logs:
-            limits.hear("e1", ReportedLimit(invalid_text="'x'"), 0.9)
-            limits.hear("e1", ReportedLimit(invalid_text="'y'"), 0.9)
+            limits.update_from_answer("e1", ReportedLimit(invalid_text="'x'"), 0.9)
+            limits.update_from_answer("e1", ReportedLimit(invalid_text="'y'"), 0.9)
         assert len(logs.records) == 1
         assert limits.rate("e1") == 1.4
 
     def test_zero_is_a_limit(self):
         limits = ReplicaLimits(lambda: 1.0)
-        limits.hear("e1", ReportedLimit(0.0), 0.5)
+        limits.update_from_answer("e1", ReportedLimit(0.0), 0.5)
         assert limits.rate("e1") == 0.0
-        assert limits.named() == ["e1"]
+        assert limits.limited_replicas() == ["e1"]
 
     def test_replicas_without_a_limit_are_not_stored(self):
         limits = ReplicaLimits(lambda: 1.0)
-        limits.hear("e1", ReportedLimit(), 0.5)
+        limits.update_from_answer("e1", ReportedLimit(), 0.5)
         assert limits.rate("e1") is None
-        assert not limits.named()
+        assert not limits.limited_replicas()
 
     def test_another_incarnation_starts_without_a_limit(self):
         limits = ReplicaLimits(lambda: 1.0)
-        limits.hear("e1", ReportedLimit(1.4), 0.5)
+        limits.update_from_answer("e1", ReportedLimit(1.4), 0.5)
         limits.forget("e1")
         assert limits.rate("e1") is None
 
     def test_a_removed_replica_is_forgotten(self):
         limits = ReplicaLimits(lambda: 1.0)
-        limits.hear("e1", ReportedLimit(1.4), 0.5)
-        limits.forget_gone({"e2"})
-        assert not limits.named()
+        limits.update_from_answer("e1", ReportedLimit(1.4), 0.5)
+        limits.forget_removed({"e2"})
+        assert not limits.limited_replicas()
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -6,7 +6,7 @@
 
 import pytest
 from gradelug_gateway.model import Replica
-from gradelug_gateway.rests import ReplicaRests
+from gradelug_gateway.rests import BackoffTracker
 from gradelug_gateway.settings import Feature
 from gradelug_http import ResponseHead
 from gradelug_platform.dialect import PlatformDialect
@@ -99,7 +99,7 @@
         lost = []
 
         async def kill_planner(world):
-            lost.append(next(one for one in world.gateways if one.plans).at)
+            lost.append(next(one for one in world.gateways if one.is_planner).at)
             world.gateways[lost[0]].kill()
 
         run(lambda: check_backoff_during(kill_planner, lost))
@@ -190,23 +190,23 @@
 
     def test_a_backoff_applies_to_one_incarnation(self):
         now = [0.0]
-        rests = ReplicaRests(lambda: now[0])
-        rests.hear(REPLICA, ReportedBackoff(3.0))
+        rests = BackoffTracker(lambda: now[0])
+        rests.update_from_answer(REPLICA, ReportedBackoff(3.0))
         assert rests.left_s(REPLICA) >= 3.0
         assert rests.left_s(Replica("r", "s", "10.0.0.1:80", "z", born=8)) == 0
-        assert rests.resting == 1
+        assert rests.active_count == 1
         now[0] = 4.0
-        rests.drop_over()
-        assert rests.resting == 0
+        rests.drop_expired()
+        assert rests.active_count == 0
 
     def test_the_minimum_remaining_backoff_of_replicas(self):
-        rests = ReplicaRests(lambda: 0.0)
+        rests = BackoffTracker(lambda: 0.0)
         other = Replica("o", "s", "10.0.0.2:80", "z")
-        rests.hear(REPLICA, ReportedBackoff(3.0))
-        assert rests.least_left_s([REPLICA, other]) == 0
-        rests.hear(other, ReportedBackoff(60.0))
-        assert 3.0 <= rests.least_left_s([REPLICA, other]) <= 3.0 + RETURN_JITTER_S
-        assert rests.least_left_s([]) == 0
+        rests.update_from_answer(REPLICA, ReportedBackoff(3.0))
+        assert rests.min_remaining_s([REPLICA, other]) == 0
+        rests.update_from_answer(other, ReportedBackoff(60.0))
+        assert 3.0 <= rests.min_remaining_s([REPLICA, other]) <= 3.0 + RETURN_JITTER_S
+        assert rests.min_remaining_s([]) == 0
 
 
 class TestHeader:
@@ -233,8 +233,8 @@
     def test_an_invalid_value_is_ignored(self, value):
         word = PlatformDialect().rest(answer(503, (value,)))
         assert word.unreadable
-        rests = ReplicaRests(lambda: 0.0)
-        rests.hear(REPLICA, word)
+        rests = BackoffTracker(lambda: 0.0)
+        rests.update_from_answer(REPLICA, word)
         assert rests.left_s(REPLICA) == 0
 
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -77,7 +77,7 @@
         return [one.daemon._state.snapshot.version for one in self.gateways]
 
     def planner(self):
-        (found,) = [one for one in self.gateways if one.plans]
+        (found,) = [one for one in self.gateways if one.is_planner]
         return found
 
     async def advance_revision(self, writes=30):
--- a/tools/limit_capacity.py
+++ b/tools/limit_capacity.py
@@ -47,10 +47,10 @@
     tracemalloc.start()
     limits = ReplicaLimits(clock)
     for name in NAMES:
-        limits.hear(name, ReportedLimit(20.0), clock.now)
-        limits.is_open(name)
+        limits.update_from_answer(name, ReportedLimit(20.0), clock.now)
+        limits.may_offer(name)
     gateway_kb = tracemalloc.get_traced_memory()[0] / 1e3
-    desk = limit_desk.LimitDesk("", state, clock, lambda: True)
+    desk = limit_desk.LimitAllocator("", state, clock, lambda: True)
     followers = [Follower(number, str(number), "") for number in range(GATEWAYS)]
     facts = [pb.LimitFact(replica=name, named=True, rate=20.0) for name in NAMES]
     desk.take(followers[0], pb.FromGateway(limits=facts), clock.now)
@@ -80,7 +80,7 @@
         "ask_us": us(ask),
         "whole_news_bytes": news.ByteSize(),
         "whole_news_ms": round(fill_ms, 2),
-        "is_open_us": us(lambda number: limits.is_open(NAMES[number % REPLICAS])),
+        "is_open_us": us(lambda number: limits.may_offer(NAMES[number % REPLICAS])),
         "ask_bytes": pb.RoomAsk(ticket=9999, replica=NAMES[0], rank=1, value=1.0).ByteSize(),
     }
     print(json.dumps(figures))
