--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -44,8 +44,8 @@
 from .limits import ReplicaLimits
 from .metrics import Meters
 from .model import EngineSpec, FleetState, Replica
-from .parts import GatewayPart
-from .placement import Duty, PlacementService
+from .parts import GatewayExtension
+from .placement import PlacementService, PlannerRole
 from .planner import Planner
 from .poison_control import PoisonControl
 from .poll_interval import store_poll_interval_s
@@ -59,7 +59,7 @@
 from .sending import Sender
 from .serving import RequestPipeline
 from .settings import Feature, GatewaySettings
-from .share_tally import ShareTally, ShareTeller
+from .share_tally import UsageReporter, UsageTally
 from .shared_health import OutcomeReporter
 from .startup_progress import StartupProgress, startup_checks
 from .store_updates import PUBLISHER_POLL_INTERVAL_S, StorePublisher, StoreSubscriber
@@ -178,7 +178,7 @@
             backoffs,
         )
         self._limit_clients: dict[str, LimitClient] = {}
-        self._duties: dict[str, Duty] = {}
+        self._duties: dict[str, PlannerRole] = {}
         self._ownership = None if settings.bounds.fenced else self._new_ownership()
         executor = None
         if self._ownership is not None:
@@ -223,7 +223,7 @@
         )
         self._gateway_count = GatewayCount(bounds.retry_window_s)
         self._meters = Meters()
-        self._usage_tally = ShareTally(self._clock, self._meters, self._has_organisations)
+        self._usage_tally = UsageTally(self._clock, self._meters, self._has_organisations)
         run_recovery = self._handover = None
         if runs is not None and Feature.LASTING_RUNS in settings.features:
             run_recovery = RunRecovery(
@@ -271,7 +271,7 @@
             self._clock,
             self._rng,
             AdmissionControl(self._freshness),
-            Quotas(self._directory.quota_home, self._clock, self._rng, shares),
+            Quotas(self._directory.quota_coordinator_link, self._clock, self._rng, shares),
             lambda: not self._mirror.is_lost,
             Feature.SHARED_HEALTH in settings.features,
             run_recovery,
@@ -281,7 +281,7 @@
             self._pipeline.serve, self._limits, self._clock, settings.unread_bytes, pool
         )
         self._status = HttpServer(self._serve_status, ServerLimits, self._clock)
-        self._peers = Server([PlacementService(self._duties, self._directory.known)])
+        self._peers = Server([PlacementService(self._duties, self._directory.newest_planner)])
         checks = startup_checks(self._state, self._mirror, self._directory, self._duties)
         self._startup_progress = StartupProgress(self._clock, checks)
         sources = GaugeSources(
@@ -378,12 +378,12 @@
             if service.engine is not None and name not in self._duties:
                 self._duties[name] = self._new_planner_role(name)
                 self._tasks.start(self._duties[name].run(), f"duty {name}")
-        self._directory.ensure(self._duties)
+        self._directory.ensure_links(self._duties)
         for role in self._duties.values():
             if role.planner is not None:
                 role.planner.refresh()
 
-    def _link_parts(self, service: str) -> t.Iterator[GatewayPart]:
+    def _link_parts(self, service: str) -> t.Iterator[GatewayExtension]:
         """Yield the components that exchange messages with the planner of a service."""
         if Feature.SHARED_HEALTH in self.settings.features:
             yield OutcomeReporter(
@@ -391,7 +391,7 @@
                 self.settings.name,
                 self._fleet,
                 self._clock,
-                lambda: self._directory.home_service == service,
+                lambda: self._directory.coordinating_service == service,
             )
         fleet = self._fleet
         if fleet.engine_estimator is not None:
@@ -400,7 +400,7 @@
                 service, tally, fleet.engine_estimator.paces, fleet.speeds, self._clock
             )
         if Feature.FAIR_SHARES in self.settings.features:
-            yield ShareTeller(service, self._usage_tally, self._clock)
+            yield UsageReporter(service, self._usage_tally, self._clock)
         if Feature.POISON_GUARD in self.settings.features:
             yield self._poison.reporter(service)
         if Feature.REPLICA_LIMITS in self.settings.features:
@@ -429,7 +429,7 @@
         """
         planner = planner_for(service, self._state)
         link = self._directory.link_to(planner)
-        if link is None or link.is_quiet:
+        if link is None or link.is_update_overdue:
             return None
         return self._limit_clients.get(planner)
 
@@ -462,13 +462,13 @@
         ]
 
     def _on_ownership_change(self) -> None:
-        self._directory.note_owned()
+        self._directory.report_ownership()
 
     @property
     def _is_strong(self) -> bool:
         return self.settings.strength >= 1
 
-    def _new_planner_role(self, service: str) -> Duty:
+    def _new_planner_role(self, service: str) -> PlannerRole:
         lease = LeaseKeeper(self._kv, LEASE_TTL_S, self._clock, self._rng)
         election = Election(
             self._kv,
@@ -485,7 +485,7 @@
             True,
             0.0 if self._is_strong else WEAK_CANDIDATE_DELAY_S,
         )
-        return Duty(election, lambda: self._new_planner(service), self.settings.strength)
+        return PlannerRole(election, lambda: self._new_planner(service), self.settings.strength)
 
     def _new_planner(self, service: str) -> Planner:
         bounds = self.settings.bounds
@@ -566,10 +566,10 @@
             self._fleet.limits.set_instance_count(count)
 
     def _follows_planner(self) -> bool:
-        return any(self._directory.is_followed(service) for service in self._duties)
+        return any(self._directory.is_connected(service) for service in self._duties)
 
     def _publishes_store(self) -> bool:
-        return any(planner.followers.tells_store for planner in self._planners())
+        return any(planner.followers.distributes_store for planner in self._planners())
 
     # Readiness and metrics.
 
--- a/packages/gateway/src/gradelug_gateway/departures.py
+++ b/packages/gateway/src/gradelug_gateway/departures.py
@@ -13,7 +13,7 @@
 
 
 class DepartureReporter:
-    """Reports leaving replicas to a planner; implements `parts.GatewayPart`.
+    """Reports leaving replicas to a planner; implements `parts.GatewayExtension`.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
 
 
 class DepartureForwarder:
-    """Forwards reports of leaving replicas to all gateways; implements `parts.PlannerPart`.
+    """Forwards reports of leaving replicas to all gateways; implements `parts.PlannerExtension`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -21,23 +21,23 @@
 from .fleet import Fleet
 from .link import PlannerLink
 from .model import AdapterKey, Replica
-from .parts import GatewayPart
+from .parts import GatewayExtension
 from .prefix_cache import encode_chain
-from .search import PLANNER_POLL_INTERVAL_S, PlannerAddress, PlannerSearch, ask_where
-from .share_log import tell_standing
+from .search import PLANNER_POLL_INTERVAL_S, PlannerAddress, PlannerSearch, query_planner_address
+from .share_log import log_share_decision
 from .store_updates import StoreSubscriber
 
 log = logbook.Logger("directory")
-RECONNECT_S = 0.1
+RECONNECT_DELAY_S = 0.1
 PEERS_PER_LOOKUP = 2
 """Number of peers queried for the planner's address in one attempt."""
 REFUSAL_RETRY_AFTER_S = 0.5
-NOBODY = Party("")
+UNKNOWN_PARTY = Party("")
 TIMEOUT_RETRY_AFTER_S = 0.5
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
+class PlacementPriority:
     """Urgency, value and deadlines of a request to be placed.
 
     Parameters
@@ -68,7 +68,7 @@
     until: float
     work: RequestWork = RequestWork()
     begun: bool = False
-    party: Party = NOBODY
+    party: Party = UNKNOWN_PARTY
     request: str = ""
 
 
@@ -131,7 +131,7 @@
         strength: float = 1.0,
         listener: StoreSubscriber | None = None,
         shares: LocalShares | None = None,
-        make_parts: t.Callable[[str], t.Iterable[GatewayPart]] = lambda service: (),
+        make_parts: t.Callable[[str], t.Iterable[GatewayExtension]] = lambda service: (),
     ) -> None:
         self._make_parts = make_parts
         self._shares = shares
@@ -157,17 +157,17 @@
         return max((link.gateways for link in self._links.values()), default=0)
 
     @property
-    def news_age_s(self) -> float:
+    def last_message_age_s(self) -> float:
         """Longest time since the last message from a connected planner, in seconds."""
-        followed = [link for link in self._links.values() if link.is_followed]
-        return max((link.news_age_s for link in followed), default=0.0)
+        followed = [link for link in self._links.values() if link.is_connected]
+        return max((link.last_message_age_s for link in followed), default=0.0)
 
     async def place(
         self,
         service: str,
         key: AdapterKey,
         *,
-        wish: Wish,
+        wish: PlacementPriority,
         excluded: t.Collection[str],
         only: t.Container[str] | None,
         absent: str,
@@ -199,7 +199,7 @@
             If the planner refuses the request, or the wait for a replica ends.
         """
         link = self._link(service)
-        if known is None and not absent and self._fleet.is_scoped and not link.is_followed:
+        if known is None and not absent and self._fleet.is_scoped and not link.is_connected:
             # No planner sends the locations of weights that were not used here; replicas report
             # them later.
             reported = self._fleet.self_reported_holders(service, key)
@@ -245,7 +245,7 @@
                     "the weights could not be placed in time", TIMEOUT_RETRY_AFTER_S
                 ) from None
             if answer.HasField("standing"):
-                tell_standing(wish.request, wish.party, wish.rank, answer)
+                log_share_decision(wish.request, wish.party, wish.rank, answer)
             if not answer.replica:
                 raise Refused(answer.reason, answer.retry_after_ms / 1000 or REFUSAL_RETRY_AFTER_S)
             replica = self._fleet.state.replicas.get(answer.replica)
@@ -259,12 +259,12 @@
                     replica.name, wish.work.chain, answer.kept_tokens
                 )
                 return replica
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     def _ms_until(self, at: float) -> int:
         return max(0, round((at - self._clock()) * 1000))
 
-    def known(self, service: str) -> PlannerAddress | None:
+    def newest_planner(self, service: str) -> PlannerAddress | None:
         """Return the newest planner of a service according to the platform store and peers."""
         from_store, from_peer = self._locate(service), self._peer_reported.get(service)
         if from_store is None or (from_peer is not None and from_peer.fence > from_store.fence):
@@ -272,10 +272,10 @@
         return from_store
 
     def _is_newest(self, service: str, planner: PlannerAddress) -> bool:
-        known = self.known(service)
+        known = self.newest_planner(service)
         return known is None or known.fence <= planner.fence
 
-    def quota_home(self) -> PlannerLink | None:
+    def quota_coordinator_link(self) -> PlannerLink | None:
         """Return the link to the planner that coordinates quotas, None if there are no links."""
         return self._links[min(self._links)] if self._links else None
 
@@ -284,19 +284,19 @@
         return self._links.get(service)
 
     @property
-    def home_service(self) -> str:
+    def coordinating_service(self) -> str:
         """Service whose planner coordinates quotas; empty if there are no links."""
         return min(self._links, default="")
 
-    def is_followed(self, service: str) -> bool:
+    def is_connected(self, service: str) -> bool:
         """Return whether a planner of a service is connected."""
         link = self._links.get(service)
-        return link is not None and link.is_followed
+        return link is not None and link.is_connected
 
-    def asks_first(self, service: str) -> bool:
+    def should_ask_planner(self, service: str) -> bool:
         """Return whether to ask the planner although a replica with the weights is known."""
         link = self._links.get(service)
-        return link is not None and link.ask_first and not link.is_quiet
+        return link is not None and link.ask_first and not link.is_update_overdue
 
     def note_begin(self, replica: Replica, key: AdapterKey, work: RequestWork) -> None:
         """Record that a request is being sent to a replica."""
@@ -308,15 +308,15 @@
         """Record that a request on a replica has ended."""
         self._note(replica, key, -1)
 
-    def ensure(self, services: t.Iterable[str]) -> None:
+    def ensure_links(self, services: t.Iterable[str]) -> None:
         """Maintain a link to the planner of each service."""
         for service in services:
             self._link(service)
 
-    def note_owned(self) -> None:
+    def report_ownership(self) -> None:
         """Report the engines that this instance owns to all planners at once."""
         for link in self._links.values():
-            link.hurry()
+            link.flush_soon()
 
     async def close(self) -> None:
         """Close all links."""
@@ -354,11 +354,11 @@
 
     async def _maintain_link(self, link: PlannerLink) -> None:
         while True:
-            planner = self.known(link.service)
+            planner = self.newest_planner(link.service)
             if planner is not None:
                 await self._follow(link, planner)
             self._poll_if_due(link)
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
             if planner is not None and self._is_newest(link.service, planner):
                 # The planner is lost, and the platform store lists no newer one.
                 await self._query_peers(link)
@@ -369,16 +369,16 @@
         try:
             while not stream_task.done():
                 await asyncio.wait([stream_task], timeout=PLANNER_POLL_INTERVAL_S)
-                newest = self.known(link.service)
+                newest = self.newest_planner(link.service)
                 if newest is not None and newest.fence > planner.fence:
-                    if link.is_quiet or newest.address != planner.address:
+                    if link.is_update_overdue or newest.address != planner.address:
                         log.info(
                             "switching to a newer planner", service=link.service, old=planner.owner
                         )
                         return
                     # The same planner was elected again.
                     planner = newest
-                if link.is_followed and not link.has_resigned:
+                if link.is_connected and not link.has_resigned:
                     self._search(link).found()
                 else:
                     # A successor may be elected at any moment, and this planner may never respond.
@@ -403,8 +403,8 @@
             *link.peers[:PEERS_PER_LOOKUP],
         ]
         for address in asked:
-            found = await ask_where(address, link.service)
-            known = self.known(link.service)
+            found = await query_planner_address(address, link.service)
+            known = self.newest_planner(link.service)
             if found is not None and (known is None or found.fence > known.fence):
                 self._peer_reported[link.service] = found
                 log.info(
--- a/packages/gateway/src/gradelug_gateway/engine_orders.py
+++ b/packages/gateway/src/gradelug_gateway/engine_orders.py
@@ -28,7 +28,7 @@
     """No instance may send orders to the engine now, so none was sent."""
 
 
-class Term:
+class PlannerTerm:
     """Period during which a planner may send orders under one fencing token.
 
     Parameters
@@ -37,11 +37,11 @@
         Fencing token of the term; never 0.
     """
 
-    __slots__ = ("fence", "is_over")
+    __slots__ = ("fence", "has_ended")
 
     def __init__(self, fence: int) -> None:
         self.fence = fence
-        self.is_over = False
+        self.has_ended = False
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/gateway/src/gradelug_gateway/engine_speeds.py
+++ b/packages/gateway/src/gradelug_gateway/engine_speeds.py
@@ -61,7 +61,7 @@
 
 
 class SpeedReporter:
-    """Reports observed pauses to the planner and receives slow engines; a `parts.GatewayPart`.
+    """Reports observed pauses to the planner and receives slow engines; a `parts.GatewayExtension`.
 
     Parameters
     ----------
@@ -111,7 +111,7 @@
 
 
 class SpeedAggregator:
-    """Aggregates the pauses that gateways report into slow engines; a `parts.PlannerPart`.
+    """Aggregates the pauses that gateways report into slow engines; a `parts.PlannerExtension`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/engines.py
+++ b/packages/gateway/src/gradelug_gateway/engines.py
@@ -23,9 +23,9 @@
     Holding,
     Order,
     OrderOutcome,
+    PlannerTerm,
     Replica,
     ReportedLoad,
-    Term,
 )
 from .ports import OrderTransport
 
@@ -432,7 +432,7 @@
         key: AdapterKey,
         version: int,
         owner: str,
-        term: Term,
+        term: PlannerTerm,
     ) -> OrderOutcome:
         """Send an order; the lock must be held. Uncertain outcomes leave the engine unsynced.
 
@@ -443,7 +443,7 @@
         order = Order(load, key, version, self.orders, owner, term.fence)
         outcome = OrderOutcome.NOT_GIVEN
         for _ in range(MAX_ORDER_ATTEMPTS):
-            if term.is_over or self.is_replaced:
+            if term.has_ended or self.is_replaced:
                 break
             outcome = await transport.order(self.replica, order)
             if outcome is not OrderOutcome.LOST:
--- a/packages/gateway/src/gradelug_gateway/executing.py
+++ b/packages/gateway/src/gradelug_gateway/executing.py
@@ -49,7 +49,7 @@
         self._transport = transport
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def owned(self, service: str) -> frozenset[str]:
+    def owned_engines(self, service: str) -> frozenset[str]:
         """Return the names of a service's engines that this instance may send orders to now."""
         replicas = self._state.replicas
         return frozenset(
@@ -72,9 +72,7 @@
         """Record how many instances cannot reach the platform store; no other is known to."""
         self._ownership.note_outage(cut_off)
 
-    def carry_out(
-        self, message: pb.EngineOrder, report: t.Callable[[pb.OrderResult], None]
-    ) -> None:
+    def execute(self, message: pb.EngineOrder, report: t.Callable[[pb.OrderResult], None]) -> None:
         """Start executing an order in the background, and report its result to a callback."""
         task = asyncio.get_running_loop().create_task(self._carry_out(message, report))
         self._tasks.add(task)
--- a/packages/gateway/src/gradelug_gateway/fair_queue.py
+++ b/packages/gateway/src/gradelug_gateway/fair_queue.py
@@ -31,7 +31,7 @@
 from .followers import Follower
 from .model import AdapterKey, FleetState
 from .organisations import Organisations
-from .share_tally import cost
+from .share_tally import token_cost
 from .weight_queue import Waiter
 
 log = logbook.Logger("shares")
@@ -61,7 +61,7 @@
 
 
 class FairQueue:
-    """Implements `parts.PlannerPart`: orders waiting requests by the shares that owners used.
+    """Implements `parts.PlannerExtension`: orders waiting requests by the shares that owners used.
 
     Parameters
     ----------
@@ -329,7 +329,7 @@
 
 def _claim(waiter: Waiter, number: int) -> WaitingRequest:
     work = waiter.work
-    tokens = cost(work.prompt_tokens, work.answer_tokens)
+    tokens = token_cost(work.prompt_tokens, work.answer_tokens)
     return WaitingRequest(_party(waiter), tokens, waiter.ask.urgency, waiter.asked_at, number)
 
 
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -26,7 +26,7 @@
 from .health import Health
 from .limits import ReplicaLimits
 from .model import AdapterKey, EngineSpec, FleetState, Holding, Replica, ReportedLoad
-from .pacing import FRESH_S, NEWS_S
+from .pacing import MAX_PLACEMENT_STATE_AGE_S, UPDATE_INTERVAL_S
 from .prefix_cache import PrefixCache
 from .replica_load import ReplicaLoad
 from .rests import BackoffTracker
@@ -130,7 +130,7 @@
         """Prefill speeds of engines as observed by this instance."""
         self.engine_estimator = EngineEstimator(self.speeds) if has_room else None
         """Estimates of slots, memory and speed of busy engines; None to ignore them."""
-        self.state_age_s = NEWS_S
+        self.state_age_s = UPDATE_INTERVAL_S
         """Maximum age of the engine state that planners report, in seconds."""
         self.pauses: dict[str, PauseTally] = {}
         """Pauses between stream events that are not reported to planners yet, by service."""
@@ -389,7 +389,7 @@
         usable = allowed or candidates
         if work is None:
             return min(usable, key=lambda rep: self.cost(rep, now), default=None)
-        if self.engine_estimator is not None and self.state_age_s > FRESH_S:
+        if self.engine_estimator is not None and self.state_age_s > MAX_PLACEMENT_STATE_AGE_S:
             return self._choose_spread(usable, work, now)
         speed = self.speeds.speed(usable[0].service) if usable else 1.0
         # Equal costs fall to the same engine each time, which keeps its prompt cache in use.
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -19,12 +19,12 @@
 from .engines import Engine, Phase
 from .model import AdapterKey, ReportedLoad
 from .pacing import Pacing
-from .pending import Pending, merge_store_updates
+from .pending import PendingUpdate, merge_store_updates
 from .scope import MAX_SCOPE_KEYS, Scopes
 from .store_updates import MIN_FOLLOWERS, StorePublisher
 
 if t.TYPE_CHECKING:
-    from .parts import PlannerPart
+    from .parts import PlannerExtension
 
 log = logbook.Logger("followers")
 TIMER_TOLERANCE_S = 0.01
@@ -70,10 +70,10 @@
         "answers",
         "echo",
         "hall",
-        "has_store",
-        "heard_at",
+        "has_full_store",
+        "last_received_at",
         "instance",
-        "is_gone",
+        "is_disconnected",
         "knows_store",
         "listed_revision",
         "number",
@@ -89,7 +89,7 @@
     )
 
     def __init__(
-        self, number: int, instance: str, address: str, pending: Pending | None = None
+        self, number: int, instance: str, address: str, pending: PendingUpdate | None = None
     ) -> None:
         self.number = number
         self.instance = instance
@@ -104,15 +104,15 @@
         clock."""
         self.outbox: list[pb.FromPlanner] = []
         """Orders and other messages sent as they are; state updates are in `pending`."""
-        self.pending = pending or Pending()
+        self.pending = pending or PendingUpdate()
         self.peers_sent_at = -math.inf
-        self.has_store = False
+        self.has_full_store = False
         """Whether the gateway received the full store listing, in addition to the changes since it
         connected."""
         self.listed_revision: int | None = None
         """Store revision up to which the listing was sent, None before the first page."""
-        self.heard_at = -math.inf
-        self.is_gone = False
+        self.last_received_at = -math.inf
+        self.is_disconnected = False
         """Whether the gateway was disconnected; its further messages are ignored."""
         self.knows_store = False
         """Whether the gateway calls the platform store continuously."""
@@ -131,25 +131,25 @@
         """Name of the process, the same for all its connections."""
         return f"{self.instance}@{self.address}"
 
-    def answer(self, answer: pb.Answer) -> None:
+    def queue_answer(self, answer: pb.Answer) -> None:
         """Queue an answer to a placement request."""
         self.answers.append(answer)
         del self.answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
-    def answer_quota(self, answer: pb.QuotaAnswer) -> None:
+    def queue_quota_answer(self, answer: pb.QuotaAnswer) -> None:
         """Queue an answer to a quota request."""
         self.quota_answers.append(answer)
         del self.quota_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
-    def answer_room(self, answer: pb.RoomAnswer) -> None:
+    def queue_capacity_answer(self, answer: pb.RoomAnswer) -> None:
         """Queue an answer to a request for replica capacity."""
         self.room_answers.append(answer)
         del self.room_answers[:-MAX_QUEUED_ANSWERS]
         self.wake.set()
 
-    def send(self, message: pb.FromPlanner) -> None:
+    def queue_message(self, message: pb.FromPlanner) -> None:
         """Queue a message to be sent without merging."""
         self.outbox.append(message)
         del self.outbox[:-MAX_QUEUED_ORDERS]
@@ -194,7 +194,7 @@
         Returns the time of the runtime's clock, in seconds.
     store : StorePublisher or None
         Collects the platform store's changes for the gateways; None to distribute none.
-    parts : sequence of PlannerPart
+    parts : sequence of PlannerExtension
         Extensions that add fields to every update.
     index : EngineIndex or None
         Finds engines by the weights they hold, and records which engines changed.
@@ -230,7 +230,7 @@
         engines: t.Mapping[str, Engine],
         clock: t.Callable[[], float],
         store: StorePublisher | None = None,
-        parts: t.Sequence[PlannerPart] = (),
+        parts: t.Sequence[PlannerExtension] = (),
         index: EngineIndex | None = None,
         may_scope: bool = True,
         cells: Cells | None = None,
@@ -262,9 +262,9 @@
     def join(self, instance: str, address: str) -> Follower:
         """Connect a gateway; in a small fleet the full state is queued for it."""
         number = next(self._numbers)
-        follower = Follower(number, instance, address, Pending(self._complete))
+        follower = Follower(number, instance, address, PendingUpdate(self._complete))
         self._by_number[number] = follower
-        self.pacing.note_gateways(len(self))
+        self.pacing.set_gateway_count(len(self))
         self._update_scoping()
         follower.queue_update(self._base_update() if self.is_scoped else self._full_update())
         return follower
@@ -278,13 +278,13 @@
 
     def leave(self, follower: Follower) -> bool:
         """Disconnect a gateway; return False if it was disconnected already."""
-        follower.is_gone = True
+        follower.is_disconnected = True
         was_connected = self._by_number.pop(follower.number, None) is not None
         self._scopes.leave(follower.number)
-        self.pacing.note_gateways(len(self))
+        self.pacing.set_gateway_count(len(self))
         return was_connected
 
-    def cut_off(self) -> int:
+    def count_store_outage(self) -> int:
         """Return how many gateways cannot reach the platform store; 0 while any of them can.
 
         Counts only gateways that call the store continuously, as others cannot detect an outage.
@@ -293,7 +293,7 @@
         reporting = [
             follower
             for follower in self._by_number.values()
-            if follower.heard_at > since and follower.knows_store
+            if follower.last_received_at > since and follower.knows_store
         ]
         return len(reporting) if all(follower.store_away for follower in reporting) else 0
 
@@ -310,7 +310,7 @@
         for follower in self._by_number.values():
             follower.queue_update(update)
 
-    def mark(self, replica: str) -> None:
+    def mark_changed(self, replica: str) -> None:
         """Record that the weights held by a replica have changed."""
         self._changed.add(replica)
 
@@ -329,15 +329,15 @@
         if is_new:
             follower.pending.keys.add(key)
 
-    def tell_news(self, active: bool) -> None:
+    def broadcast_updates(self, active: bool) -> None:
         """Queue the changes since the last call for every gateway, limited to what it uses where
         scoped."""
         now = self._clock()
-        self.pacing.step(now)
+        self.pacing.update_rates(now)
         self._update_scoping()
         update = self._base_update()
         update.active = active
-        update.cut_off = self.cut_off()
+        update.cut_off = self.count_store_outage()
         holdings_due = (
             now - self._holdings_sent_at >= self.pacing.holdings_interval_s - TIMER_TOLERANCE_S
         )
@@ -351,7 +351,7 @@
         else:
             self._add_changes(update, holdings_due)
         store = None
-        if self.tells_store and self._store is not None:
+        if self.distributes_store and self._store is not None:
             store = self._store.next_update()
         for part in self._parts:
             part.fill(update, now)
@@ -359,12 +359,12 @@
             follower.queue_update(update, store)
 
     @property
-    def behind(self) -> int:
+    def unread_count(self) -> int:
         """Number of gateways that have not read their last update."""
         return sum(follower.pending.is_waiting for follower in self._by_number.values())
 
     @property
-    def tells_store(self) -> bool:
+    def distributes_store(self) -> bool:
         """Whether enough gateways are connected for the planner to poll the store for them."""
         return self._store is not None and len(self) >= MIN_FOLLOWERS
 
@@ -373,7 +373,7 @@
     def _base_update(self) -> pb.FromPlanner:
         return pb.FromPlanner(
             gateways=len(self),
-            news_ms=round(self.pacing.news_s * 1000),
+            news_ms=round(self.pacing.update_interval_s * 1000),
             flush_ms=round(self.pacing.flush_s * 1000),
             ask_first=self.pacing.ask_first,
             resigned=self.has_resigned,
@@ -487,7 +487,7 @@
         if peers:
             message.peers.extend(peers)
             message.echo.CopyFrom(follower.echo)
-        if message.HasField("store") and not follower.has_store and self._store is not None:
+        if message.HasField("store") and not follower.has_full_store and self._store is not None:
             self._add_listing_page(follower, message, self._store)
         if self.is_scoped:
             self._add_scoped_state(follower, message)
@@ -503,7 +503,7 @@
         page, reached = store.next_listing_page(since, sent_revision is None)
         message.store.CopyFrom(merge_store_updates(page, message.store))
         follower.listed_revision = reached
-        follower.has_store = not reached
+        follower.has_full_store = not reached
 
     def _add_scoped_state(self, follower: Follower, message: pb.FromPlanner) -> None:
         """Add the changes of what a gateway uses, or all of it if a full update is due."""
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -172,7 +172,7 @@
     gauge(
         "news_age_seconds",
         "Time since the last message of a followed planner, the maximum over all",
-        lambda: sources.directory.news_age_s,
+        lambda: sources.directory.last_message_age_s,
     )
     gauge(
         "news_scoped",
@@ -192,7 +192,7 @@
     gauge(
         "gateways_behind",
         "Gateways with unread updates from a planner on this instance",
-        lambda: sum(planner.followers.behind for planner in sources.planners()),
+        lambda: sum(planner.followers.unread_count for planner in sources.planners()),
     )
 
 
--- a/packages/gateway/src/gradelug_gateway/limit_desk.py
+++ b/packages/gateway/src/gradelug_gateway/limit_desk.py
@@ -62,7 +62,7 @@
 
 
 class LimitAllocator:
-    """Grants gateways capacity at replicas with a limit; implements `parts.PlannerPart`.
+    """Grants gateways capacity at replicas with a limit; implements `parts.PlannerExtension`.
 
     Parameters
     ----------
@@ -225,10 +225,10 @@
     def _handle_ask(self, follower: Follower, ask: pb.RoomAsk, now: float) -> None:
         limited = self._limited.get(ask.replica)
         if not self._may_grant():
-            follower.answer_room(pb.RoomAnswer(ticket=ask.ticket))
+            follower.queue_capacity_answer(pb.RoomAnswer(ticket=ask.ticket))
             return
         if limited is None or limited.limiter is None:
-            follower.answer_room(pb.RoomAnswer(ticket=ask.ticket, granted=True))
+            follower.queue_capacity_answer(pb.RoomAnswer(ticket=ask.ticket, granted=True))
             return
         request = CapacityRequest(
             (follower.number, ask.ticket), now + ask.wait_ms / MS, ask.rank, ask.value, ask.begun
@@ -271,7 +271,7 @@
             limited.refused += not granted
             # Without a delay the gateway reads the answer as grants being unavailable.
             retry_ms = 0 if decision.granted else max(1, round(decision.retry_s * MS))
-            follower.answer_room(
+            follower.queue_capacity_answer(
                 pb.RoomAnswer(
                     ticket=ticket,
                     granted=granted,
--- a/packages/gateway/src/gradelug_gateway/limit_teller.py
+++ b/packages/gateway/src/gradelug_gateway/limit_teller.py
@@ -45,7 +45,7 @@
 class LimitClient:
     """Reports limits to one planner and asks it for capacity.
 
-    Implements `parts.GatewayPart` and `CapacityClient`.
+    Implements `parts.GatewayExtension` and `CapacityClient`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/link.py
+++ b/packages/gateway/src/gradelug_gateway/link.py
@@ -22,8 +22,8 @@
 from .executing import Executor
 from .fleet import Fleet
 from .model import AdapterKey, ReportedLoad
-from .pacing import FLUSH_S, NEWS_S
-from .parts import GatewayPart
+from .pacing import MIN_FLUSH_INTERVAL_S, UPDATE_INTERVAL_S
+from .parts import GatewayExtension
 from .quotas import QuotaApplicant, QuotaClient
 from .search import PlannerAddress
 from .store_updates import StoreSubscriber
@@ -43,7 +43,7 @@
 elected."""
 UPDATE_OVERDUE_S = 0.15
 """Delay of an update beyond its interval after which the planner may be lost, in seconds."""
-REPLACED_S = 4.0
+FAILOVER_TIMEOUT_S = 4.0
 """Maximum time from the loss of a planner to its replacement, in seconds: 2 s, and 3.3 s if the
 store was unavailable too. After that, the time of a replacement is unknown."""
 CONNECTION_CHECK_INTERVAL_S = 0.1
@@ -81,7 +81,7 @@
         Applies the store changes that the planner forwards.
     shares : LocalShares or None
         Quotas that this instance may use without a request to the planner.
-    parts : iterable of GatewayPart
+    parts : iterable of GatewayExtension
         Extensions of the messages on the stream.
     """
 
@@ -117,8 +117,8 @@
         "ask_first",
         "gateways",
         "has_resigned",
-        "is_followed",
-        "news_s",
+        "is_connected",
+        "update_interval_s",
         "peers",
         "service",
     )
@@ -134,7 +134,7 @@
         strength: float = 1.0,
         listener: StoreSubscriber | None = None,
         shares: LocalShares | None = None,
-        parts: t.Iterable[GatewayPart] = (),
+        parts: t.Iterable[GatewayExtension] = (),
     ) -> None:
         self._shares = shares or LocalShares()
         self._strength = strength
@@ -144,7 +144,7 @@
         """Active requests of this instance by replica and weights."""
         self.gateways = 0
         """Number of gateways connected to the planner, 0 if unknown."""
-        self.is_followed = False
+        self.is_connected = False
         """Whether a planner has sent a message on the current stream."""
         self.has_resigned = False
         """Whether the connected planner has requested that gateways search for a successor."""
@@ -152,9 +152,9 @@
         """Addresses of some other instances, from the planner's last list."""
         self.ask_first = False
         """Whether the planner is to be asked even for weights whose locations are known here."""
-        self.news_s = NEWS_S
+        self.update_interval_s = UPDATE_INTERVAL_S
         """Interval between the planner's updates, in seconds."""
-        self._flush_s = FLUSH_S
+        self._flush_s = MIN_FLUSH_INTERVAL_S
         self._last_received_at = -math.inf
         self._loads_to_resend: set[str] = set()
         """Replicas with requests booked by the planner; their actual load is sent with the next
@@ -181,8 +181,8 @@
         self._sent_loads: dict[str, ReportedLoad] = {}
         self._wake = asyncio.Event()
         self._flush_requested = asyncio.Event()
-        self._quotas = QuotaClient(clock, self.hurry)
-        self._parts: tuple[GatewayPart, ...] = (self._quotas, *parts)
+        self._quotas = QuotaClient(clock, self.flush_soon)
+        self._parts: tuple[GatewayExtension, ...] = (self._quotas, *parts)
         """Extensions of the messages on the stream."""
 
     async def ask_quota(
@@ -191,24 +191,27 @@
         """Send a quota request and return the answer; raises `TimeoutError`."""
         return await self._quotas.ask(organisation, tokens, until, applicant)
 
-    def return_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
+    def refund_quota(self, organisation: str, tokens: int, granted_at: float) -> None:
         """Refund a quota granted at a given time to a request that did not run."""
         self._quotas.refund(organisation, tokens, granted_at)
 
     @property
-    def news_age_s(self) -> float:
+    def last_message_age_s(self) -> float:
         """Time since the last message from the planner, in seconds."""
         return self._clock() - self._last_received_at
 
     @property
-    def missed_s(self) -> float:
+    def disconnected_s(self) -> float:
         """Time since the loss of the last planner, in seconds; 0 while one is connected."""
-        return 0.0 if self.is_followed else self._clock() - self._disconnected_at
+        return 0.0 if self.is_connected else self._clock() - self._disconnected_at
 
     @property
-    def is_quiet(self) -> bool:
+    def is_update_overdue(self) -> bool:
         """Whether the planner may be lost: none is connected, or its update is overdue."""
-        return not self.is_followed or self.news_age_s > self.news_s + UPDATE_OVERDUE_S
+        return (
+            not self.is_connected
+            or self.last_message_age_s > self.update_interval_s + UPDATE_OVERDUE_S
+        )
 
     async def ask(
         self,
@@ -245,9 +248,12 @@
         try:
             async with asyncio.timeout_at(until):
                 while not pending.fut.done():
-                    if has_choice and self.is_quiet or should_give_up():
+                    if has_choice and self.is_update_overdue or should_give_up():
                         raise TimeoutError
-                    if not self.is_followed and self._clock() >= self._disconnected_at + REPLACED_S:
+                    if (
+                        not self.is_connected
+                        and self._clock() >= self._disconnected_at + FAILOVER_TIMEOUT_S
+                    ):
                         raise TimeoutError
                     await asyncio.wait([pending.fut], timeout=CONNECTION_CHECK_INTERVAL_S)
                 return pending.fut.result()
@@ -280,11 +286,11 @@
         """Batching interval of messages that are not urgent, in seconds."""
         return self._flush_s
 
-    def tell_soon(self) -> None:
+    def queue_flush(self) -> None:
         """Include pending changes in the next regular message."""
         self._wake.set()
 
-    def hurry(self) -> None:
+    def flush_soon(self) -> None:
         """Send pending changes to the planner at once."""
         self._flush_requested.set()
         self._wake.set()
@@ -311,10 +317,12 @@
                     sender = asyncio.create_task(self._send(stream))
                     try:
                         while (message := await stream.recv_message()) is not None:
-                            silent_s = max(PLANNER_TIMEOUT_S, PLANNER_TIMEOUT_UPDATES * self.news_s)
+                            silent_s = max(
+                                PLANNER_TIMEOUT_S, PLANNER_TIMEOUT_UPDATES * self.update_interval_s
+                            )
                             limit.reschedule(self._clock() + silent_s)
                             self._note_followed(planner)
-                            self._take(message)
+                            self._handle_message(message)
                     finally:
                         sender.cancel()
         except (GRPCError, ProtocolError, StreamTerminatedError, OSError, TimeoutError) as exc:
@@ -325,15 +333,15 @@
                 why=repr(exc),
             )
         finally:
-            if self.is_followed:
+            if self.is_connected:
                 self._disconnected_at = self._clock()
-            self.is_followed = self.has_resigned = False
+            self.is_connected = self.has_resigned = False
             channel.close()
 
     def _note_followed(self, planner: PlannerAddress) -> None:
-        if self.is_followed:
+        if self.is_connected:
             return
-        self.is_followed = True
+        self.is_connected = True
         log.info("planner followed", service=self.service, owner=planner.owner, fence=planner.fence)
 
     async def _send(self, stream: t.Any) -> None:
@@ -420,7 +428,7 @@
             return
         message.knows_store = self._executor.knows_store
         message.store_away = self._executor.is_cut_off
-        owned = self._executor.owned(self.service)
+        owned = self._executor.owned_engines(self.service)
         if owned != self._sent_owned:
             self._sent_owned = owned
             message.owned.CopyFrom(pb.OwnedEngines(replicas=sorted(owned)))
@@ -431,12 +439,12 @@
         def report(result: pb.OrderResult) -> None:
             if stream == self._stream_number:
                 self._results.append(result)
-                self.hurry()
+                self.flush_soon()
 
         if self._executor is not None:
-            self._executor.carry_out(order, report)
+            self._executor.execute(order, report)
 
-    def _take(self, message: pb.FromPlanner) -> None:
+    def _handle_message(self, message: pb.FromPlanner) -> None:
         self._last_received_at = self._clock()
         if message.gateways:
             self._apply_pacing(message)
@@ -487,8 +495,10 @@
     def _apply_pacing(self, message: pb.FromPlanner) -> None:
         self.gateways = message.gateways
         # Planners of earlier versions, as in a rolling upgrade, send neither interval.
-        self.news_s = self._fleet.state_age_s = message.news_ms / 1000 or NEWS_S
-        self._flush_s = message.flush_ms / 1000 or FLUSH_S
+        self.update_interval_s = self._fleet.state_age_s = (
+            message.news_ms / 1000 or UPDATE_INTERVAL_S
+        )
+        self._flush_s = message.flush_ms / 1000 or MIN_FLUSH_INTERVAL_S
         self.ask_first = message.ask_first
         self._fleet.is_scoped = message.scoped
         self.has_resigned = message.resigned
--- a/packages/gateway/src/gradelug_gateway/loader.py
+++ b/packages/gateway/src/gradelug_gateway/loader.py
@@ -14,7 +14,7 @@
 from gradelug_policy.residency import STORE_COST_S, LoadCosts
 
 from .engines import REPORT_LAG_S, Engine, Phase, WeightSlot
-from .model import AdapterKey, Holding, OrderOutcome, Term
+from .model import AdapterKey, Holding, OrderOutcome, PlannerTerm
 from .ports import OrderTransport
 
 if t.TYPE_CHECKING:
@@ -54,7 +54,7 @@
         Whether the engine's host memory holds the adapter.
     """
 
-    term: Term
+    term: PlannerTerm
     engine: Engine
     key: AdapterKey
     slot: WeightSlot
@@ -133,7 +133,7 @@
             )
             del engine.weight_slots[key]
             engine.synced = False
-        self._planner.followers.mark(replica)
+        self._planner.followers.mark_changed(replica)
 
     def extend_load(self, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
         """Wait longer for a load: the engine answered that the adapter is missing."""
@@ -155,7 +155,7 @@
         self._planner.start(self._await_unload(engine, key, slot))
 
     async def order(
-        self, term: Term, engine: Engine, load: bool, key: AdapterKey, version: int
+        self, term: PlannerTerm, engine: Engine, load: bool, key: AdapterKey, version: int
     ) -> OrderOutcome:
         """Send an order decided in a term; the engine's lock must be held."""
         planner = self._planner
@@ -191,7 +191,7 @@
                 orders=engine.orders,
                 holds=[key.text for key in engine.weight_slots],
             )
-            self._planner.followers.mark(engine.replica.name)
+            self._planner.followers.mark_changed(engine.replica.name)
             self._planner.schedule_decision()
         finally:
             engine.syncing = False
@@ -202,13 +202,13 @@
         finally:
             if not planned.cached:
                 self._store_loads -= 1
-            self._planner.followers.mark(planned.engine.replica.name)
+            self._planner.followers.mark_changed(planned.engine.replica.name)
             self._planner.schedule_decision()
 
     async def _execute(self, planned: PlannedLoad) -> None:
         term, engine, key, slot = planned.term, planned.engine, planned.key, planned.slot
         async with engine.lock:
-            if term.is_over or engine.weight_slots.get(key) is not slot:
+            if term.has_ended or engine.weight_slots.get(key) is not slot:
                 # The victim was removed from the record but is still on the engine.
                 engine.discard(key, slot)
                 engine.synced = False
@@ -260,5 +260,5 @@
         slot.phase = Phase.READY
         slot.ready_at = slot.used_at = self._clock()
         engine.add_cached(Holding(key, slot.version))
-        self._planner.followers.mark(engine.replica.name)
+        self._planner.followers.mark_changed(engine.replica.name)
         self._planner.decide()
--- a/packages/gateway/src/gradelug_gateway/maintenance.py
+++ b/packages/gateway/src/gradelug_gateway/maintenance.py
@@ -11,7 +11,7 @@
 
 from .engines import Engine, Phase, WeightSlot
 from .load_targets import count_copies
-from .model import AdapterKey, BaseModel, EngineSpec, OrderOutcome, Term
+from .model import AdapterKey, BaseModel, EngineSpec, OrderOutcome, PlannerTerm
 from .renewal import Renewal
 
 if t.TYPE_CHECKING:
@@ -64,14 +64,14 @@
         """Time until which a base model is expected to load, by its name."""
         self._renewal = Renewal(planner, clock)
 
-    def run_due(self, term: Term) -> None:
+    def run_due(self, term: PlannerTerm) -> None:
         """Run the maintenance that is due, in the planner's term."""
         self._renewal.run_due(term)
         self._ensure_models(term)
         self._place_requested_models(term)
         self._add_copies()
 
-    def _ensure_models(self, term: Term) -> None:
+    def _ensure_models(self, term: PlannerTerm) -> None:
         for engine in self._planner.engines.values():
             if engine.synced and not engine.weight_slots.base_model_count and self._spec.models:
                 model = self._least_replicated_model()
@@ -85,7 +85,7 @@
             self._spec.models, key=lambda model: len(index.engines_holding(AdapterKey(model.name)))
         )
 
-    def _place_requested_models(self, term: Term) -> None:
+    def _place_requested_models(self, term: PlannerTerm) -> None:
         """Load models that requests wait for and no engine holds."""
         now, index = self._clock(), self._planner.index
         self._loading_until = {
@@ -105,7 +105,7 @@
             victim = None if self._fits(engine, model) else self._victim(engine)
             if victim is not None:
                 engine.drain_model(victim)
-                self._planner.followers.mark(engine.replica.name)
+                self._planner.followers.mark_changed(engine.replica.name)
             self._loading_until[name] = now + model.load_s + MODEL_REPORT_DELAY_S
             key = AdapterKey(name)
             slot = engine.weight_slots[key] = WeightSlot(0, Phase.LOADING, self._clock())
@@ -148,7 +148,7 @@
 
     async def _load_model(
         self,
-        term: Term,
+        term: PlannerTerm,
         engine: Engine,
         key: AdapterKey,
         slot: WeightSlot,
@@ -168,7 +168,7 @@
                     self._abandon_load(engine, key, slot, victim)
                     return
                 engine.drop_model(victim)
-                self._planner.followers.mark(engine.replica.name)
+                self._planner.followers.mark_changed(engine.replica.name)
             self._window.note(self._clock())
             outcome = await self._planner.loader.order(term, engine, True, key, 0)
             if outcome in (OrderOutcome.TAKEN, OrderOutcome.HOLDS):
--- a/packages/gateway/src/gradelug_gateway/model.py
+++ b/packages/gateway/src/gradelug_gateway/model.py
@@ -2,7 +2,7 @@
 
 from .engine_orders import Order as Order
 from .engine_orders import OrderOutcome as OrderOutcome
-from .engine_orders import Term as Term
+from .engine_orders import PlannerTerm as PlannerTerm
 from .replicas import AdapterKey as AdapterKey
 from .replicas import EngineReport as EngineReport
 from .replicas import FleetState as FleetState
--- a/packages/gateway/src/gradelug_gateway/parts.py
+++ b/packages/gateway/src/gradelug_gateway/parts.py
@@ -13,7 +13,7 @@
 from .followers import Follower
 
 
-class GatewayPart(t.Protocol):
+class GatewayExtension(t.Protocol):
     """Extension at a gateway, on its link to one planner."""
 
     def begin_stream(self) -> None:
@@ -29,7 +29,7 @@
         ...
 
 
-class PlannerPart(t.Protocol):
+class PlannerExtension(t.Protocol):
     """Extension at a planner, for all connected gateways.
 
     Its state does not survive the planner: a successor rebuilds it from the gateways' messages.
--- a/packages/gateway/src/gradelug_gateway/pending.py
+++ b/packages/gateway/src/gradelug_gateway/pending.py
@@ -18,7 +18,7 @@
     replica: str
 
 
-class Pending:
+class PendingUpdate:
     """Merged update that waits to be sent to one gateway.
 
     However slowly the gateway reads, the queued data is bounded to one message with the newest
@@ -65,7 +65,7 @@
 
     def add(self, update: pb.FromPlanner, store: pb.StoreNews | None) -> None:
         """Merge in an update that other gateways receive as well."""
-        self._update = update if self._update is None else merge_news(self._update, update)
+        self._update = update if self._update is None else merge_updates(self._update, update)
         if store is not None:
             self._store_update = (
                 store
@@ -87,7 +87,7 @@
         return message
 
 
-def merge_news(old: pb.FromPlanner, new: pb.FromPlanner) -> pb.FromPlanner:
+def merge_updates(old: pb.FromPlanner, new: pb.FromPlanner) -> pb.FromPlanner:
     """Return one update that replaces two; records of the newer one take precedence."""
     merged = pb.FromPlanner()
     merged.CopyFrom(new)
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -30,7 +30,7 @@
 gateways)."""
 
 
-class Duty:
+class PlannerRole:
     """The planner role of one service on this instance, whether or not it is held.
 
     Parameters
@@ -131,7 +131,7 @@
 
     def __init__(
         self,
-        duties: t.Mapping[str, Duty],
+        duties: t.Mapping[str, PlannerRole],
         locate: t.Callable[[str], PlannerAddress | None],
     ) -> None:
         self._duties = duties
@@ -160,7 +160,7 @@
         try:
             planner.take(gateway, first)
             while (message := await _receive_message(stream)) is not None:
-                if gateway.is_gone or (duty is not None and duty.planner is not planner):
+                if gateway.is_disconnected or (duty is not None and duty.planner is not planner):
                     return
                 planner.take(gateway, message)
         except StreamTerminatedError as exc:
--- a/packages/gateway/src/gradelug_gateway/planner.py
+++ b/packages/gateway/src/gradelug_gateway/planner.py
@@ -38,9 +38,9 @@
 from .load_targets import LoadTargets
 from .loader import DEFAULT_VERSION, Loader, PlannedLoad
 from .maintenance import MAX_PREFILL_FRACTION_PER_COPY, Maintenance
-from .model import AdapterKey, EngineSpec, FleetState, ReportedLoad, Term
-from .pacing import FRESH_S
-from .parts import PlannerPart
+from .model import AdapterKey, EngineSpec, FleetState, PlannerTerm, ReportedLoad
+from .pacing import MAX_PLACEMENT_STATE_AGE_S
+from .parts import PlannerExtension
 from .poison_desk import PoisonAggregator
 from .ports import OrderTransport
 from .prefix_cache import PrefixCache, sample_holders
@@ -143,7 +143,7 @@
         departures: DepartureForwarder | None = None,
     ) -> None:
         self.service = service
-        self.term: Term | None = None
+        self.term: PlannerTerm | None = None
         """Current term, under which orders are issued; None while no orders may be issued."""
         self.is_outranked = False
         """Whether an engine has seen a greater fencing token than this planner's."""
@@ -164,7 +164,7 @@
         is_fair = Feature.FAIR_SHARES in features and room is not None
         self.fair_queue = FairQueue(state, lambda: self.followers.pacing.flush_s, is_fair)
         """Orders requests by fair share while engines are full."""
-        self.parts: tuple[PlannerPart, ...] = (
+        self.parts: tuple[PlannerExtension, ...] = (
             QuotaServer(quotas, state, lambda: self.term is not None),
             self.fair_queue,
             *((self._health,) if self._health is not None else ()),
@@ -244,12 +244,12 @@
     def begin_term(self, fence: int) -> None:
         """Issue orders from now on, under a fencing token."""
         self.end_term()
-        self.term = Term(fence)
+        self.term = PlannerTerm(fence)
 
     def end_term(self) -> None:
         """Issue no further orders, including those that are decided but not yet sent."""
         if self.term is not None:
-            self.term.is_over = True
+            self.term.has_ended = True
         self.term = None
 
     def refresh(self) -> None:
@@ -264,7 +264,7 @@
             self.index.drop(departed)
             self.refill.note_lost(departed, name in self.state.replicas, self._clock())
             self._cells.remove(name)
-            self.followers.mark(name)
+            self.followers.mark_changed(name)
             for part in self.parts:
                 part.forget(name)
         for name, rep in reported.items():
@@ -275,7 +275,7 @@
                 self._add_reported_cache(engine)
                 if len(reported) > MAX_CONCURRENT_SYNCS:
                     engine.assume_registered_holdings(self._clock())
-                    self.followers.mark(name)
+                    self.followers.mark_changed(name)
             elif engine.replica is not rep or len(reported) <= MAX_CONCURRENT_SYNCS:
                 # With few engines the reported host cache is applied each time, so that entries
                 # that were dropped here come back.
@@ -302,7 +302,7 @@
         replacement = self.engines[name] = Engine(
             engine.replica, self._spec, self.index, strays, born
         )
-        self.followers.mark(name)
+        self.followers.mark_changed(name)
         for part in self.parts:
             part.forget(name)
         return replacement
@@ -372,7 +372,7 @@
         if not self.followers.leave(follower):
             return
         if self._relay is not None:
-            self._relay.forget(follower)
+            self._relay.remove_gateway(follower)
         for part in self.parts:
             part.leave(follower, self._clock())
         self._queue.forget(follower)
@@ -382,16 +382,16 @@
     def take(self, follower: Follower, message: pb.FromGateway) -> None:
         """Process a message from a gateway."""
         now = self._clock()
-        follower.heard_at = now
+        follower.last_received_at = now
         follower.echo = pb.Echo(sent_ms=message.sent_ms, received_ms=math.ceil(now * 1000))
         follower.knows_store = message.knows_store
         follower.store_away = message.store_away
         follower.hall = message.hall or follower.hall
         follower.store_revision = message.store_revision or follower.store_revision
         follower.strength = message.strength or follower.strength
-        self.followers.pacing.note_message(sum(use.started for use in message.uses))
+        self.followers.pacing.count_message(sum(use.started for use in message.uses))
         if self._relay is not None:
-            self._relay.take(follower, message)
+            self._relay.handle_message(follower, message)
         for use in message.uses:
             self._handle_use(follower, use, now)
         for load in message.loads:
@@ -440,8 +440,8 @@
 
     async def _publish_updates(self) -> None:
         while True:
-            await asyncio.sleep(self.followers.pacing.news_s)
-            self.followers.tell_news(self.term is not None)
+            await asyncio.sleep(self.followers.pacing.update_interval_s)
+            self.followers.broadcast_updates(self.term is not None)
 
     # Deciding.
 
@@ -504,7 +504,7 @@
         )
         # With recent updates, gateways send requests with a shared prefix to the preferred engine
         # of its prefix chain themselves.
-        has_recent_updates = self.followers.pacing.news_s <= FRESH_S
+        has_recent_updates = self.followers.pacing.update_interval_s <= MAX_PLACEMENT_STATE_AGE_S
         preferred_name = (
             self._prefix_cache.preferred_engine(waiter.work, ready_names)
             if has_recent_updates
@@ -730,7 +730,7 @@
         victim = engine.evict(choice.victim) if choice.victim is not None else None
         slot = engine.weight_slots[key] = WeightSlot(version, Phase.LOADING, now)
         self._queue.throughput.note_load()
-        self.followers.mark(choice.engine)
+        self.followers.mark_changed(choice.engine)
         targets.invalidate(engine)
         self.loader.begin(PlannedLoad(self.term, engine, key, slot, victim, choice.cached))
         return True
--- a/packages/gateway/src/gradelug_gateway/poison_control.py
+++ b/packages/gateway/src/gradelug_gateway/poison_control.py
@@ -8,7 +8,7 @@
 from gradelug_http import HttpPool
 
 from .end_detection import EndDetector
-from .link import REPLACED_S, PlannerLink
+from .link import FAILOVER_TIMEOUT_S, PlannerLink
 from .model import FleetState
 from .poison import BlockAuthority, PoisonGuard
 from .poison_desk import PoisonAggregator, PoisonReporter
@@ -72,11 +72,15 @@
         link = self._coordinator()
         if link is None:
             return BlockAuthority.SELF
-        if not link.is_quiet:
+        if not link.is_update_overdue:
             return BlockAuthority.PLANNER
-        return BlockAuthority.UNKNOWN if link.missed_s < REPLACED_S else BlockAuthority.SELF
+        return (
+            BlockAuthority.UNKNOWN
+            if link.disconnected_s < FAILOVER_TIMEOUT_S
+            else BlockAuthority.SELF
+        )
 
     def _hurry(self) -> None:
         link = self._coordinator()
         if link is not None:
-            link.hurry()
+            link.flush_soon()
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -24,7 +24,7 @@
 
 
 class PoisonReporter:
-    """Reports this gateway's observations to a planner; implements `parts.GatewayPart`.
+    """Reports this gateway's observations to a planner; implements `parts.GatewayExtension`.
 
     Parameters
     ----------
@@ -85,7 +85,7 @@
 
 
 class PoisonAggregator:
-    """Aggregates the observations of all gateways at a planner; implements `parts.PlannerPart`.
+    """Aggregates the observations of all gateways at a planner; implements `parts.PlannerExtension`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/quota_desk.py
+++ b/packages/gateway/src/gradelug_gateway/quota_desk.py
@@ -15,7 +15,7 @@
 
 
 class QuotaServer:
-    """Answers quota requests of gateways; implements `parts.PlannerPart`.
+    """Answers quota requests of gateways; implements `parts.PlannerExtension`.
 
     Parameters
     ----------
@@ -42,7 +42,7 @@
             # The first message on the stream.
             self._coordinator.join(follower.process, dict(message.shares), now)
         for ask in message.quota_asks:
-            follower.answer_quota(self._answer(follower, ask, now))
+            follower.queue_quota_answer(self._answer(follower, ask, now))
         for returned in message.quota_returns:
             self._coordinator.refund(returned.organisation, returned.tokens, now)
 
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -222,7 +222,7 @@
 
 
 class QuotaClient:
-    """Sends quota requests to the coordinator and awaits the answers; a `parts.GatewayPart`.
+    """Sends quota requests to the coordinator and awaits the answers; a `parts.GatewayExtension`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/relay.py
+++ b/packages/gateway/src/gradelug_gateway/relay.py
@@ -54,7 +54,7 @@
         ticket = next(self._tickets)
         fut: asyncio.Future[OrderOutcome] = asyncio.get_running_loop().create_future()
         self._pending[ticket] = (owner, fut)
-        owner.send(pb.FromPlanner(active=True, orders=[_encode(ticket, replica, order)]))
+        owner.queue_message(pb.FromPlanner(active=True, orders=[_encode(ticket, replica, order)]))
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
                 return await fut
@@ -72,7 +72,7 @@
         """Return the engine's state, None if it is not available."""
         return await self._transport.report(replica)
 
-    def take(self, follower: Follower, message: pb.FromGateway) -> None:
+    def handle_message(self, follower: Follower, message: pb.FromGateway) -> None:
         """Process a gateway's report of its owned engines and of results of orders."""
         if message.HasField("owned"):
             self._remove_ownership(follower)
@@ -82,7 +82,7 @@
             outcome = OrderOutcome[pb.Outcome.Name(result.outcome)]
             self._resolve(result.ticket, outcome)
 
-    def forget(self, follower: Follower) -> None:
+    def remove_gateway(self, follower: Follower) -> None:
         """Remove a disconnected gateway; the outcome of its outstanding orders is unknown."""
         self._remove_ownership(follower)
         for ticket, (owner, _) in list(self._pending.items()):
--- a/packages/gateway/src/gradelug_gateway/renewal.py
+++ b/packages/gateway/src/gradelug_gateway/renewal.py
@@ -7,7 +7,7 @@
 from gradelug_policy.renewal import renewals_allowed
 
 from .engines import Engine, Phase, WeightSlot
-from .model import AdapterKey, OrderOutcome, Term
+from .model import AdapterKey, OrderOutcome, PlannerTerm
 
 if t.TYPE_CHECKING:
     from .planner import Planner
@@ -39,7 +39,7 @@
         self._renewals: dict[tuple[str, AdapterKey], float] = {}
         """Start time of each renewal in progress, by engine name and base model."""
 
-    def run_due(self, term: Term) -> None:
+    def run_due(self, term: PlannerTerm) -> None:
         """Start and continue renewals, in the planner's term."""
         self._find_outdated()
         self._forget_finished()
@@ -69,17 +69,19 @@
             )
             self._seen_versions = dict(versions)
 
-    def _renew_adapter(self, term: Term, name: str, engine: Engine, key: AdapterKey) -> None:
+    def _renew_adapter(self, term: PlannerTerm, name: str, engine: Engine, key: AdapterKey) -> None:
         slot = engine.weight_slots[key]
         if slot.phase in (Phase.LOADING, Phase.UNLOADING):
             return
         if slot.phase is Phase.READY:
             slot.phase = Phase.DRAINING
-            self._planner.followers.mark(name)
+            self._planner.followers.mark_changed(name)
         if engine.synced and not engine.request_count(key):
             self._planner.start(self._unload(term, engine, key, slot))
 
-    def _renew_model(self, term: Term, held: t.Mapping[str, Engine], key: AdapterKey) -> None:
+    def _renew_model(
+        self, term: PlannerTerm, held: t.Mapping[str, Engine], key: AdapterKey
+    ) -> None:
         """Renew a base model engine by engine, those with the fewest runs first."""
         draining = [
             engine for engine in held.values() if engine.weight_slots[key].phase is Phase.DRAINING
@@ -105,7 +107,7 @@
         for _, name in sorted(ready)[:allowed]:
             self._renewals[name, key] = now
             engines[name].drain_model(key)
-            self._planner.followers.mark(name)
+            self._planner.followers.mark_changed(name)
 
     def _forget_finished(self) -> None:
         """Drop renewals whose engine holds a base model again or is gone."""
@@ -117,10 +119,12 @@
                 # The engine holds another base model instead.
                 del self._renewals[name, key]
 
-    async def _unload(self, term: Term, engine: Engine, key: AdapterKey, slot: WeightSlot) -> None:
+    async def _unload(
+        self, term: PlannerTerm, engine: Engine, key: AdapterKey, slot: WeightSlot
+    ) -> None:
         async with engine.lock:
             held = engine.weight_slots.get(key) is slot
-            if term.is_over or not engine.synced or not held:
+            if term.has_ended or not engine.synced or not held:
                 return
             outcome = await self._planner.loader.order(term, engine, False, key, 0)
             engine.discard(key, slot)
@@ -128,4 +132,4 @@
                 self._planner.loader.track_unload(engine, key, outcome)
             elif not key.adapter:
                 engine.drop_model(key)
-                self._planner.followers.mark(engine.replica.name)
+                self._planner.followers.mark_changed(engine.replica.name)
--- a/packages/gateway/src/gradelug_gateway/search.py
+++ b/packages/gateway/src/gradelug_gateway/search.py
@@ -93,7 +93,7 @@
         return True
 
 
-async def ask_where(address: str, service: str) -> PlannerAddress | None:
+async def query_planner_address(address: str, service: str) -> PlannerAddress | None:
     """Query a peer for a service's planner; None if it knows none or does not respond."""
     host, _, port = address.rpartition(":")
     channel = Channel(host, int(port))
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -18,7 +18,7 @@
 from .authentication import reauthenticate
 from .backoff_check import check_backoff
 from .budgets import RetryBudgets
-from .directory import Directory, Wish
+from .directory import Directory, PlacementPriority
 from .error_responses import DEFAULT_RETRY_AFTER_S, ErrorResponder
 from .exceptions import Failed, Limited, Refused, Unauthenticated
 from .fleet import Fleet
@@ -31,9 +31,9 @@
 from .routing import RouteTable, choose_service
 from .runs import RunRecovery
 from .sending import Sender
-from .share_tally import ShareTally
+from .share_tally import UsageTally
 from .stream_requests import started_stream_request
-from .values import RequestValues, mark
+from .values import RequestValuation, attempt_digest
 from .wait_policy import WaitPolicy
 
 log = logbook.Logger("serving")
@@ -84,7 +84,7 @@
         Whether plain requests are balanced by the health data that all instances share.
     lasting : RunRecovery or None
         Continues interrupted runs from their saved KV cache; None disables that.
-    tally : ShareTally or None
+    tally : UsageTally or None
         Counts the engine use of each party.
     """
 
@@ -126,9 +126,9 @@
         expects_config: t.Callable[[], bool] = lambda: False,
         uses_shared_health: bool = True,
         lasting: RunRecovery | None = None,
-        tally: ShareTally | None = None,
+        tally: UsageTally | None = None,
     ) -> None:
-        self._tally = tally or ShareTally(clock, meters, lambda: False)
+        self._tally = tally or UsageTally(clock, meters, lambda: False)
         self._lasting = lasting
         self._dialect = dialect
         self._fleet = fleet
@@ -146,7 +146,7 @@
         self._table = RouteTable(())
         self._table_version = -1
         self._shutdown_at = math.inf
-        self._values = RequestValues()
+        self._values = RequestValuation()
         self._wait_policy = WaitPolicy(fleet, self._values, clock)
 
     def forget_gone(self) -> None:
@@ -267,7 +267,7 @@
             self._values.value(route, route.rank, req),
             req.arrived_at + req.wait_s,
             job.service.name,
-            mark(req),
+            attempt_digest(req),
         )
         job.charge = await self._quotas.take(
             job.principal.organisation,
@@ -423,21 +423,23 @@
         if (
             job.was_planner_asked
             or job.inc.started
-            or not self._directory.is_followed(job.service.name)
+            or not self._directory.is_connected(job.service.name)
         ):
             return False
         job.was_planner_asked = True
-        if self._directory.asks_first(job.service.name) or self._fleet.is_ejected(replica.name):
+        if self._directory.should_ask_planner(job.service.name) or self._fleet.is_ejected(
+            replica.name
+        ):
             return True
         if self._fleet.limits.rate(replica.name) is not None:
             return True
         return self._fleet.is_late(replica, job.work, job.req.arrived_at + job.route.target_s)
 
-    def _build_wish(self, job: Job) -> Wish:
+    def _build_wish(self, job: Job) -> PlacementPriority:
         route, req = job.route, job.req
         if job.inc.started:
             return started_stream_request(job, self._clock(), self._tally.party(job))
-        return Wish(
+        return PlacementPriority(
             rank=job.rank,
             value=self._values.value(route, job.rank, req),
             returning=self._wait_policy.is_returning(job),
--- a/packages/gateway/src/gradelug_gateway/share_log.py
+++ b/packages/gateway/src/gradelug_gateway/share_log.py
@@ -9,7 +9,7 @@
 log = logbook.Logger("shares")
 
 
-def tell_standing(request: str, party: Party, urgency: int, answer: pb.Answer) -> None:
+def log_share_decision(request: str, party: Party, urgency: int, answer: pb.Answer) -> None:
     """Log the share that decided over a request; called only while engines are full.
 
     Parameters
--- a/packages/gateway/src/gradelug_gateway/share_tally.py
+++ b/packages/gateway/src/gradelug_gateway/share_tally.py
@@ -15,9 +15,9 @@
 from .metrics import Meters
 from .values import OUTPUT_WEIGHT
 
-NOBODY = ""
+UNKNOWN_OWNER = ""
 """Owner of requests that no API key identifies, where the configuration names organisations."""
-MOST_UNTOLD = 512
+MAX_UNREPORTED_PARTIES = 512
 """Maximum number of parties counted until the next message; usage of others is not reported."""
 NOT_RUN = frozenset(
     {Outcome.NOT_SENT, Outcome.NOT_RUN, Outcome.FULL, Outcome.ABSENT, Outcome.LIMITED}
@@ -47,16 +47,16 @@
         return Party(job.principal.organisation.name, job.route.name)
     key = job.req.key
     if has_organisations or key is None:
-        return Party(NOBODY, job.route.name)
+        return Party(UNKNOWN_OWNER, job.route.name)
     return Party(key.text, job.route.name)
 
 
-def cost(prompt_tokens: int, answer_tokens: int) -> int:
+def token_cost(prompt_tokens: int, answer_tokens: int) -> int:
     """Return the cost of a request in prompt tokens, for the longest possible answer."""
     return prompt_tokens + OUTPUT_WEIGHT * answer_tokens
 
 
-class ShareTally:
+class UsageTally:
     """Counts the engine usage of parties by service, until it is reported.
 
     Parameters
@@ -91,7 +91,7 @@
         if job.service.engine is None:
             return
         tokens = self._note(job, 1)
-        name = job.principal.organisation.name if job.principal is not None else NOBODY
+        name = job.principal.organisation.name if job.principal is not None else UNKNOWN_OWNER
         self._meters.engine_use(name, tokens, job.placed_s)
 
     def end(self, job: Job, outcome: Outcome) -> None:
@@ -104,12 +104,12 @@
         return self._unreported.pop(service, {})
 
     def _note(self, job: Job, sign: int) -> int:
-        tokens = cost(job.work.prompt_tokens, job.work.answer_tokens)
+        tokens = token_cost(job.work.prompt_tokens, job.work.answer_tokens)
         unreported = self._unreported.setdefault(job.service.name, {})
         party = self.party(job)
         amount = unreported.get(party)
         if amount is None:
-            if len(unreported) >= MOST_UNTOLD:
+            if len(unreported) >= MAX_UNREPORTED_PARTIES:
                 return tokens
             amount = unreported[party] = PartyUsage(self._clock())
         amount.tokens += sign * tokens
@@ -117,14 +117,14 @@
         return tokens
 
 
-class ShareTeller:
-    """Implements `parts.GatewayPart`: reports the usage of parties to a planner.
+class UsageReporter:
+    """Implements `parts.GatewayExtension`: reports the usage of parties to a planner.
 
     Parameters
     ----------
     service : str
         Name of the service whose engines are counted.
-    tally : ShareTally
+    tally : UsageTally
         Usage of the parties.
     clock : callable
         Returns the time of the runtime's clock, in seconds.
@@ -132,7 +132,7 @@
 
     __slots__ = ("_clock", "_service", "_tally")
 
-    def __init__(self, service: str, tally: ShareTally, clock: t.Callable[[], float]) -> None:
+    def __init__(self, service: str, tally: UsageTally, clock: t.Callable[[], float]) -> None:
         self._service = service
         self._tally = tally
         self._clock = clock
--- a/packages/gateway/src/gradelug_gateway/shared_health.py
+++ b/packages/gateway/src/gradelug_gateway/shared_health.py
@@ -48,7 +48,7 @@
 class OutcomeReporter:
     """Reports request outcomes to one planner and applies its verdicts.
 
-    Implements `parts.GatewayPart`.
+    Implements `parts.GatewayExtension`.
 
     Parameters
     ----------
@@ -172,7 +172,7 @@
 class HealthAggregator:
     """Aggregates the outcomes that gateways report to a planner and sends verdicts to them.
 
-    Implements `parts.PlannerPart`.
+    Implements `parts.PlannerExtension`.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/startup_progress.py
+++ b/packages/gateway/src/gradelug_gateway/startup_progress.py
@@ -107,10 +107,10 @@
         return state.snapshot is not None
 
     def has_planners() -> bool:
-        return has_config() and all(directory.known(name) is not None for name in services)
+        return has_config() and all(directory.newest_planner(name) is not None for name in services)
 
     def is_followed() -> bool:
-        return has_config() and all(directory.is_followed(name) for name in services)
+        return has_config() and all(directory.is_connected(name) for name in services)
 
     def has_holdings() -> bool:
         return is_followed() or any(rep.holdings for rep in state.replicas.values())
--- a/packages/gateway/src/gradelug_gateway/stream_requests.py
+++ b/packages/gateway/src/gradelug_gateway/stream_requests.py
@@ -4,7 +4,7 @@
 
 from gradelug_policy.uses import Party
 
-from .directory import NOBODY, Wish
+from .directory import UNKNOWN_PARTY, PlacementPriority
 from .job import Job
 
 STARTED_STREAM_VALUE = 3.0
@@ -13,7 +13,7 @@
 """Minimum time between the arrival of the weights and the caller's timeout."""
 
 
-def started_stream_request(job: Job, now: float, party: Party = NOBODY) -> Wish:
+def started_stream_request(job: Job, now: float, party: Party = UNKNOWN_PARTY) -> PlacementPriority:
     """Return the placement request of a started stream whose caller awaits the next event.
 
     Parameters
@@ -28,6 +28,6 @@
     route = job.route
     until = min(job.deadline_at, now + route.patience_s) - START_MARGIN_S
     target_at = now + route.target_s
-    return Wish(
+    return PlacementPriority(
         job.rank, STARTED_STREAM_VALUE, True, target_at, until, job.work, True, party, job.req.id
     )
--- a/packages/gateway/src/gradelug_gateway/values.py
+++ b/packages/gateway/src/gradelug_gateway/values.py
@@ -32,14 +32,14 @@
 """Weight of the newest size in a route's moving average."""
 
 
-def mark(req: Request) -> int:
+def attempt_digest(req: Request) -> int:
     """Return a non-zero hash that is equal for all attempts of a request, and rarely for others."""
     weights = req.key.text if req.key is not None else ""
     sizes = f"{weights} {req.prompt_tokens} {req.max_answer_tokens} {len(req.body)}"
     return zlib.crc32(sizes.encode(), zlib.crc32(req.target)) or 1
 
 
-class RequestValues:
+class RequestValuation:
     """Tracks the average size and longest waiting time of each route's requests."""
 
     __slots__ = ("_longest_wait", "_mean_size")
--- a/packages/gateway/src/gradelug_gateway/wait_policy.py
+++ b/packages/gateway/src/gradelug_gateway/wait_policy.py
@@ -12,7 +12,7 @@
 from .limits import Demand
 from .model import Replica
 from .stream_requests import START_MARGIN_S
-from .values import RequestValues
+from .values import RequestValuation
 
 RETURNING_WAIT_FRACTION = 0.97
 """A request with less than this fraction of its route's usual wait time is a caller's retry."""
@@ -28,7 +28,7 @@
     ----------
     fleet : Fleet
         State of all replicas, with their rate limits and backoffs.
-    values : RequestValues
+    values : RequestValuation
         Values of requests, and the usual wait times of their callers.
     clock : callable
         Returns the event loop's time, in seconds.
@@ -36,7 +36,9 @@
 
     __slots__ = ("_clock", "_fleet", "_values")
 
-    def __init__(self, fleet: Fleet, values: RequestValues, clock: t.Callable[[], float]) -> None:
+    def __init__(
+        self, fleet: Fleet, values: RequestValuation, clock: t.Callable[[], float]
+    ) -> None:
         self._fleet = fleet
         self._values = values
         self._clock = clock
--- a/packages/gateway/src/gradelug_gateway/weight_queue.py
+++ b/packages/gateway/src/gradelug_gateway/weight_queue.py
@@ -111,7 +111,7 @@
         has_room : bool
             Whether capacity was reserved for it at a rate-limited replica.
         """
-        self.follower.answer(
+        self.follower.queue_answer(
             pb.Answer(
                 ticket=self.ask.ticket,
                 replica=replica,
@@ -146,7 +146,7 @@
         retry_s = max(
             MIN_RETRY_AFTER_S, min(ready_s, MAX_RETRY_AFTER_FRACTION * (self.until - now))
         )
-        self.follower.answer(
+        self.follower.queue_answer(
             pb.Answer(
                 ticket=self.ask.ticket,
                 reason=why,
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -249,7 +249,7 @@
         "openings": planner.load_targets,
         "refresh": planner.refresh,
         "decide": planner.decide,
-        "news": lambda: planner.followers.tell_news(True),
+        "news": lambda: planner.followers.broadcast_updates(True),
     }.items():
         start = time.perf_counter()
         call()
--- a/tests/test_config_freshness.py
+++ b/tests/test_config_freshness.py
@@ -120,7 +120,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(NEWS_S)
-            self.followers.tell_news(True)
+            self.followers.broadcast_updates(True)
             for message in self.follower.take_messages():
                 message.echo.CopyFrom(self.follower.echo)
                 if message.HasField("store"):
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -9,8 +9,14 @@
 from gradelug_gateway.metrics import Meters
 from gradelug_gateway.model import AdapterKey, Snapshot
 from gradelug_gateway.organisations import Organisation, Organisations, Principal, Quota
-from gradelug_gateway.share_log import tell_standing
-from gradelug_gateway.share_tally import MOST_UNTOLD, NOBODY, ShareTally, ShareTeller, party_of
+from gradelug_gateway.share_log import log_share_decision
+from gradelug_gateway.share_tally import (
+    MAX_UNREPORTED_PARTIES,
+    UNKNOWN_OWNER,
+    UsageReporter,
+    UsageTally,
+    party_of,
+)
 from gradelug_policy.engine_capacity import MAX_REQUEST_HOLD_S
 from gradelug_policy.prefill import RequestWork
 from gradelug_policy.uses import MIN_OBSERVED_S, Party
@@ -223,11 +229,11 @@
 class TestTally:
     @pytest.fixture
     def tally(self):
-        return ShareTally(lambda: 1.0, Meters(), lambda: True)
+        return UsageTally(lambda: 1.0, Meters(), lambda: True)
 
     def reported(self, tally):
         message = pb.FromGateway()
-        ShareTeller("llm", tally, lambda: 1.5).fill(message)
+        UsageReporter("llm", tally, lambda: 1.5).fill(message)
         return [(use.owner, use.kind, use.tokens, use.requests) for use in message.party_uses]
 
     def test_usage_is_reported_once(self, tally):
@@ -249,13 +255,13 @@
         assert self.reported(tally) == []
 
     def test_unreported_usage_is_bounded(self, tally):
-        for i in range(MOST_UNTOLD + 10):
+        for i in range(MAX_UNREPORTED_PARTIES + 10):
             tally.begin(_Job(f"o{i}"))
-        assert len(self.reported(tally)) == MOST_UNTOLD
+        assert len(self.reported(tally)) == MAX_UNREPORTED_PARTIES
 
     def test_adapter_is_the_owner_without_organisations(self):
         assert party_of(_Job(""), False) == Party("m/a", "r")
-        assert party_of(_Job(""), True) == Party(NOBODY, "r")
+        assert party_of(_Job(""), True) == Party(UNKNOWN_OWNER, "r")
 
     def test_metrics_are_labelled_by_organisation_only(self, tally):
         tally.begin(_Job())
@@ -267,14 +273,14 @@
 
     def test_unreported_usage_is_dropped_on_a_new_stream(self, tally):
         tally.begin(_Job())
-        ShareTeller("llm", tally, lambda: 1.5).begin_stream()
+        UsageReporter("llm", tally, lambda: 1.5).begin_stream()
         assert self.reported(tally) == []
 
 
 def test_log_line_shows_the_shares_of_a_request():
     standing = pb.FairShare(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
     with logbook.TestHandler() as handler:
-        tell_standing("q1", Party("o", "k"), 2, pb.Answer(standing=standing))
+        log_share_decision("q1", Party("o", "k"), 2, pb.Answer(standing=standing))
     (record,) = handler.records
     assert record.message == "share"
     assert record.kwargs["id"] == "q1"
--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -9,7 +9,7 @@
 from gradelug_gateway.limit_teller import MAX_URGENT_ASKS_PER_S, LimitClient
 from gradelug_gateway.limits import Demand, Denial, GrantsUnavailable, ReplicaLimits
 from gradelug_gateway.model import FleetState, Replica
-from gradelug_gateway.pending import merge_news
+from gradelug_gateway.pending import merge_updates
 from gradelug_policy.replica_limits import LimitFact, ReportedLimit
 from gradelug_wire import placement_pb2 as pb
 from run_world import run
@@ -183,7 +183,7 @@
     def test_merged_updates_hold_the_newest_limit_of_each_replica(self):
         old = pb.FromPlanner(limits=[pb.LimitFact(replica="a", rate=1), pb.LimitFact(replica="b")])
         new = pb.FromPlanner(limits=[pb.LimitFact(replica="a", rate=2)])
-        merged = merge_news(old, new)
+        merged = merge_updates(old, new)
         assert {fact.replica: fact.rate for fact in merged.limits} == {"a": 2, "b": 0}
 
     def test_the_removal_of_a_replica_releases_waiting_requests(self):
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -6,9 +6,9 @@
 import pytest
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.link import REPLACED_S, UPDATE_OVERDUE_S, PlannerLink
+from gradelug_gateway.link import FAILOVER_TIMEOUT_S, UPDATE_OVERDUE_S, PlannerLink
 from gradelug_gateway.model import AdapterKey, FleetState, ReportedLoad
-from gradelug_gateway.pacing import FLUSH_S, NEWS_S
+from gradelug_gateway.pacing import MIN_FLUSH_INTERVAL_S, UPDATE_INTERVAL_S
 from gradelug_gateway.search import PlannerAddress, PlannerSearch
 from gradelug_wire import placement_pb2 as pb
 from world import new_loop
@@ -34,10 +34,10 @@
         async def scenario():
             clock, link = new_link()
             began = clock()
-            for wait_s in (REPLACED_S, 0.0):
+            for wait_s in (FAILOVER_TIMEOUT_S, 0.0):
                 with pytest.raises(TimeoutError):
                     await link.ask(1, pb.Ask(ticket=1), clock() + 60.0)
-                assert clock() - began <= REPLACED_S + 0.2
+                assert clock() - began <= FAILOVER_TIMEOUT_S + 0.2
                 assert clock() - began >= wait_s
 
         run(scenario)
@@ -125,7 +125,11 @@
         async def scenario():
             _, link = new_link()
             link._take(pb.FromPlanner(gateways=9))
-            assert (link.news_s, link._flush_s, link.ask_first) == (NEWS_S, FLUSH_S, False)
+            assert (link.news_s, link._flush_s, link.ask_first) == (
+                UPDATE_INTERVAL_S,
+                MIN_FLUSH_INTERVAL_S,
+                False,
+            )
 
         run(scenario)
 
@@ -234,7 +238,7 @@
                 lambda service: known[-1],
                 lambda: poll_requests.append(clock()),
             )
-            directory.ensure(["llm"])
+            directory.ensure_links(["llm"])
             await asyncio.sleep(1.0)
             assert len(poll_requests) >= 9
             known.append(PlannerAddress("new", "new:1", 4))
@@ -269,7 +273,7 @@
                 lambda service: PlannerAddress("old", "old:1", 3),
                 lambda: poll_requests.append(clock()),
             )
-            directory.ensure(["llm"])
+            directory.ensure_links(["llm"])
             await asyncio.sleep(0.9)
             assert not poll_requests
             await asyncio.sleep(0.5)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -17,7 +17,7 @@
     Replica,
     ReportedLoad,
 )
-from gradelug_gateway.placement import Duty
+from gradelug_gateway.placement import PlannerRole
 from gradelug_gateway.planner import Planner
 from gradelug_policy.pace import INITIAL_LOAD_TIME_S
 from gradelug_policy.residency import LoadRateLimiter
@@ -421,7 +421,7 @@
                 for follower, store_away in zip(others, unreachable, strict=True):
                     reported = pb.FromGateway(store_away=store_away, knows_store=True)
                     bench.planner.take(follower, reported)
-                assert followers.cut_off() == expected
+                assert followers.count_store_outage() == expected
             unreachable = pb.FromGateway(store_away=True, knows_store=True)
             bench.planner.take(bench.gateway, unreachable)
             # A gateway that does not call the store does not count.
@@ -430,7 +430,7 @@
             bench.planner.take(others[1], unreachable)
             await asyncio.sleep(0.5)
             # The first gateway's report has expired.
-            assert followers.cut_off() == 1
+            assert followers.count_store_outage() == 1
             await bench.stop()
 
         run(scenario)
@@ -555,7 +555,11 @@
                 bench.planner.take(follower, pb.FromGateway(uses=[use]))
             later = bench.planner.join("h", "h:1")
             assert bench.planner.engines["e0"].request_count(key) == 1
-            assert (earlier.is_gone, other.is_gone, later.is_gone) == (True, False, False)
+            assert (earlier.is_disconnected, other.is_disconnected, later.is_disconnected) == (
+                True,
+                False,
+                False,
+            )
             assert len(bench.planner.followers) == 3
             bench.planner.leave(earlier)
             assert len(bench.planner.followers) == 3
@@ -647,7 +651,7 @@
 
             election = mock.Mock(fence=7, run=asyncio.Event().wait)
             election.may_act.return_value = True
-            duty = Duty(election, make)
+            duty = PlannerRole(election, make)
             with logbook.TestHandler().applicationbound() as handler:
                 duty_task = asyncio.create_task(duty.run())
                 await asyncio.sleep(2.0)
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -10,7 +10,7 @@
 from gradelug_gateway.exceptions import Blocked, Refused
 from gradelug_gateway.fingerprints import fingerprint
 from gradelug_gateway.model import AdapterKey, FleetState, Replica, Request, Service, Snapshot
-from gradelug_gateway.pending import merge_news
+from gradelug_gateway.pending import merge_updates
 from gradelug_gateway.poison import (
     BLOCKED_RETRY_S,
     MAX_OBSERVATIONS,
@@ -324,9 +324,9 @@
     def test_merged_updates_keep_the_newest_findings(self):
         old, new = pb.FromPlanner(), pb.FromPlanner()
         old.poison.blocked.append(A)
-        assert list(merge_news(old, new).poison.blocked) == [A]
+        assert list(merge_updates(old, new).poison.blocked) == [A]
         new.poison.blocked.append(B)
-        assert list(merge_news(old, new).poison.blocked) == [B]
+        assert list(merge_updates(old, new).poison.blocked) == [B]
 
     def test_observations_are_reported_once_to_each_planner(self):
         now = [10.0]
--- a/tests/test_prefix_cache_gateway.py
+++ b/tests/test_prefix_cache_gateway.py
@@ -323,7 +323,7 @@
             await asyncio.sleep(0.01)
             load = pb.Load(replica="e0", starting=1, queued=[250])
             answer = pb.Answer(ticket=1, replica="e0", load=load, kept_tokens=1_210)
-            link._take(pb.FromPlanner(answers=[answer]))
+            link._handle_message(pb.FromPlanner(answers=[answer]))
             await asyncio.wait([asking], timeout=0.5)
             assert sum(fleet.load("e0").others.queued) == 0
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -425,7 +425,7 @@
     def test_a_refusal_names_the_organisation(self):
         async def scenario():
             class Home:
-                is_quiet = False
+                is_update_overdue = False
                 heard_at = 0.0
 
                 async def ask_quota(self, organisation, tokens, until, applicant):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -13,10 +13,10 @@
     FleetState,
     Order,
     OrderOutcome,
+    PlannerTerm,
     Replica,
-    Term,
 )
-from gradelug_gateway.placement import GATEWAY_TIMEOUT_S, Duty, PlacementService
+from gradelug_gateway.placement import GATEWAY_TIMEOUT_S, PlacementService, PlannerRole
 from gradelug_gateway.planner import Planner
 from gradelug_gateway.relay import OrderRelay
 from gradelug_policy.residency import LoadRateLimiter
@@ -85,8 +85,8 @@
         while True:
             await asyncio.sleep(0.005)
             for message in self.follower.take_messages():
-                self.link._take(message)
-            self.relay.take(self.follower, self.link._message(False))
+                self.link._handle_message(message)
+            self.relay.handle_message(self.follower, self.link._message(False))
 
     async def stop(self):
         self.task.cancel()
@@ -135,7 +135,7 @@
             fixture.transport.wait_s = 10.0
             ordering = asyncio.create_task(fixture.relay.order(REPLICA, ORDER))
             await asyncio.sleep(0.05)
-            fixture.relay.forget(fixture.follower)
+            fixture.relay.remove_gateway(fixture.follower)
             assert await ordering is OrderOutcome.LOST
             await fixture.stop()
 
@@ -208,7 +208,7 @@
             clock = asyncio.get_running_loop().time
             election = StubElection()
             window = LoadRateLimiter(2.0, 5.0, 1.1, 3)
-            duty = Duty(
+            duty = PlannerRole(
                 election,
                 lambda: Planner("llm", "me", SPEC, FleetState(), Transport(), window, clock),
                 0.2,
@@ -273,8 +273,8 @@
         deployment."""
 
         async def scenario():
-            transport, engine, term = Transport(), Engine(REPLICA, SPEC), Term(130)
-            term.is_over = True
+            transport, engine, term = Transport(), Engine(REPLICA, SPEC), PlannerTerm(130)
+            term.has_ended = True
             outcome = await engine.send_order(transport, True, AdapterKey("m", "a1"), 0, "me", term)
             assert outcome is OrderOutcome.NOT_GIVEN
             assert not transport.sent_orders
--- a/tests/test_remembered.py
+++ b/tests/test_remembered.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from gradelug_gateway.directory import Directory, Wish
+from gradelug_gateway.directory import Directory, PlacementPriority
 from gradelug_gateway.model import AdapterKey, Holding, Repeat
 from gradelug_gateway.search import PlannerAddress
 from gradelug_policy.pace import INITIAL_LOAD_TIME_S
@@ -140,17 +140,17 @@
             fleet._clock = clock
             where = PlannerAddress("p", "10.0.0.8:1", 1)
             directory = Directory("me", "10.0.0.9:1", fleet, clock, lambda service: where)
-            wish = Wish(0, 1.0, False, clock() + 1.0, clock() + 1.0)
+            wish = PlacementPriority(0, 1.0, False, clock() + 1.0, clock() + 1.0)
             placing = asyncio.create_task(
                 directory.place("llm", KEY, wish=wish, excluded=(), only=None, absent="")
             )
             await asyncio.sleep(0.01)
             link = directory.link_to("llm")
             link._note_followed(where)
-            link._take(
+            link._handle_message(
                 pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", version=1)], gateways=1)
             )
-            link._take(pb.FromPlanner(holdings=[pb.Holdings(replica="e0")], gateways=1))
+            link._handle_message(pb.FromPlanner(holdings=[pb.Holdings(replica="e0")], gateways=1))
             assert (await placing).name == "e0"
             assert "e0" not in {rep.name for rep in fleet.holders("llm", KEY)}
             await directory.close()
--- a/tests/test_scoped_news.py
+++ b/tests/test_scoped_news.py
@@ -17,7 +17,7 @@
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.load_targets import MAX_CACHED_CANDIDATES, MAX_CANDIDATES, LoadTargets
 from gradelug_gateway.model import AdapterKey, FleetState, Holding, Replica, ReportedLoad
-from gradelug_gateway.pending import merge_news, merge_store_updates
+from gradelug_gateway.pending import merge_store_updates, merge_updates
 from gradelug_gateway.planner import MAX_CONCURRENT_SYNCS, MAX_PENDING_SYNCS
 from gradelug_gateway.scope import MAX_SCOPE_KEYS, SCOPE_RETENTION_S
 from gradelug_policy.cells import Cells
@@ -75,11 +75,11 @@
 
     def place(self, name, key, version=1):
         self.engines[name].weight_slots[key] = WeightSlot(version, Phase.READY, self.now)
-        self.followers.mark(name)
+        self.followers.mark_changed(name)
 
     def remove(self, name, key):
         del self.engines[name].weight_slots[key]
-        self.followers.mark(name)
+        self.followers.mark_changed(name)
 
     def truth(self, key):
         return {
@@ -94,12 +94,12 @@
     def read(self):
         messages = self.follower.take_messages()
         for message in messages:
-            self.link._take(message)
+            self.link._handle_message(message)
         return messages
 
     def tell(self, seconds=0.05):
         self.now += seconds
-        self.followers.tell_news(True)
+        self.followers.broadcast_updates(True)
 
 
 def test_locations_read_between_ticks_are_sent_again_after_reverting():
@@ -153,7 +153,7 @@
         place = self.model.engines[f"e{number}"].weight_slots.get(key)
         if place is not None:
             place.phase = Phase.DRAINING
-            self.model.followers.mark(f"e{number}")
+            self.model.followers.mark_changed(f"e{number}")
             self.note_truth()
 
     @rule(key=st.sampled_from(KEYS))
@@ -257,8 +257,8 @@
                 model.engines[f"e{number}"].update_load(
                     model.follower.number, ReportedLoad(0, step + 1)
                 )
-            model.follower.send(pb.FromPlanner(orders=[pb.EngineOrder(ticket=step)]))
-            model.follower.answer(pb.Answer(ticket=step))
+            model.follower.queue_message(pb.FromPlanner(orders=[pb.EngineOrder(ticket=step)]))
+            model.follower.queue_answer(pb.Answer(ticket=step))
             model.tell(0.2)
         pending = model.follower.pending
         assert len(pending.keys) <= 2 * MAX_SCOPE_KEYS + ACTIVE_ENGINES
@@ -284,8 +284,8 @@
     def test_unread_answers_are_bounded(self):
         model = Model()
         for ticket in range(MAX_QUEUED_ANSWERS + 50):
-            model.follower.answer(pb.Answer(ticket=ticket))
-            model.follower.answer_quota(pb.QuotaAnswer(ticket=ticket))
+            model.follower.queue_answer(pb.Answer(ticket=ticket))
+            model.follower.queue_quota_answer(pb.QuotaAnswer(ticket=ticket))
         first = model.follower.take_messages()[0]
         assert len(first.answers) == len(first.quota_answers) == MAX_QUEUED_ANSWERS
         assert first.answers[-1].ticket == MAX_QUEUED_ANSWERS + 49
@@ -298,7 +298,7 @@
         model.read()
         assert model.view(KEYS[0]) == {"e0": 1}
         model.engines["e0"].weight_slots[KEYS[0]].phase = Phase.DRAINING
-        model.followers.mark("e0")
+        model.followers.mark_changed("e0")
         model.tell(2.0)
         model.read()
         assert model.view(KEYS[0]) == {}
@@ -412,7 +412,7 @@
             verdicts=[pb.Verdict(replica="a", failing=0.5)],
         )
         new = pb.FromPlanner(gateways=4, loads=[pb.Load(replica="a", running=9)])
-        merged = merge_news(old, new)
+        merged = merge_updates(old, new)
         assert merged.gateways == 4
         assert {load.replica: load.running for load in merged.loads} == {"a": 9, "b": 2}
         assert [verdict.replica for verdict in merged.verdicts] == ["a"]
@@ -466,7 +466,7 @@
             state.replicas["a"] = Replica("a", "llm", "a:1", "hall")
             fleet = Fleet(state, "hall", clock)
             link = PlannerLink("llm", "me", "", fleet, clock)
-            link._take(pb.FromPlanner(gateways=300, news_ms=900, scoped=True))
+            link._handle_message(pb.FromPlanner(gateways=300, news_ms=900, scoped=True))
             fleet.load("a").running = 1
             assert [load.running for load in link._message(False).loads] == [1]
             fleet.load("a").running = 0
@@ -620,7 +620,7 @@
     of_all = pb.Verdict(replica="r", failing=0.2)
     of_hall = pb.Verdict(replica="r", hall="east", failing=0.9)
     newer = pb.Verdict(replica="r", failing=0.3)
-    merged = merge_news(
+    merged = merge_updates(
         pb.FromPlanner(verdicts=[of_all, of_hall]), pb.FromPlanner(verdicts=[newer])
     )
     assert list(merged.verdicts) == [newer, of_hall]
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -87,10 +87,10 @@
         self.has_planner = False
         self.planner_first = False
 
-    def is_followed(self, service):
+    def is_connected(self, service):
         return self.has_planner
 
-    def asks_first(self, service):
+    def should_ask_planner(self, service):
         return self.planner_first
 
     async def place(self, service, key, **asked):
--- a/tests/test_serving_capacity.py
+++ b/tests/test_serving_capacity.py
@@ -75,7 +75,7 @@
         async def scenario():
             fleet = new_fleet()
             link = PlannerLink("llm", "me", "", fleet, asyncio.get_running_loop().time)
-            link._take(pb.FromPlanner(gateways=85, news_ms=255))
+            link._handle_message(pb.FromPlanner(gateways=85, news_ms=255))
             assert fleet.state_age_s == 0.255
 
         run(scenario)
@@ -105,7 +105,7 @@
             (told,) = link._message(False).loads
             assert told.memory_tokens == 2_400
             total_load = pb.Load(replica="e0", running=5, memory_tokens=6_400)
-            link._take(pb.FromPlanner(loads=[total_load]))
+            link._handle_message(pb.FromPlanner(loads=[total_load]))
             assert load.others.memory == 4_000
             assert load.busyness().memory_tokens == 6_400
 
--- a/tests/test_shared_health.py
+++ b/tests/test_shared_health.py
@@ -366,7 +366,7 @@
                 for number, gateway in enumerate(gateways):
                     ends = [pb.Ends(replica=first, failed=1)]
                     planner.take(gateway, pb.FromGateway(ends=ends, hall=HALLS[number % 3]))
-                planner.followers.tell_news(True)
+                planner.followers.broadcast_updates(True)
             verdicts = [v for m in gateways[0].take_messages() for v in m.verdicts if v.ejected]
             assert bool(verdicts) == shared
             chosen = {self.ask(planner, gateways[0], ticket) for ticket in range(2, 6)}
--- a/tests/test_store_updates.py
+++ b/tests/test_store_updates.py
@@ -114,7 +114,7 @@
     async def _send_updates(self):
         while True:
             await asyncio.sleep(NEWS_S)
-            self.followers.tell_news(True)
+            self.followers.broadcast_updates(True)
             for message in self.follower.take_messages():
                 if self.is_sending and message.HasField("store"):
                     self.subscriber.apply_update(message.store)
@@ -290,19 +290,19 @@
             for number in range(2 * MAX_REPLICAS_PER_MESSAGE + 10):
                 await conn.put(f"s/r{number}", {"address": "r:1"})
             await asyncio.sleep(2.0)
-            conn.followers.tell_news(True)
+            conn.followers.broadcast_updates(True)
             updates = [message.store for message in conn.follower.take_messages()]
             await conn.remove("s/r0")
             await conn.put("v/a1", 2)
             await asyncio.sleep(2.0)
             for _ in range(3):
-                conn.followers.tell_news(True)
+                conn.followers.broadcast_updates(True)
                 updates += [message.store for message in conn.follower.take_messages()]
             facts = [(fact.replica, fact.gone) for update in updates for fact in update.replicas]
             assert ("r0", True) in facts
             assert len({name for name, _ in facts}) == 2 * MAX_REPLICAS_PER_MESSAGE + 10
             assert [fact.version for update in updates for fact in update.versions] == [2]
-            assert conn.follower.has_store
+            assert conn.follower.has_full_store
             await conn.stop()
 
         run(scenario)
--- a/tools/gateway_capacity.py
+++ b/tools/gateway_capacity.py
@@ -88,8 +88,8 @@
 def tell(planner: Planner) -> None:
     """Tell every gateway that five engines have changed."""
     for name in list(planner.engines)[:5]:
-        planner.followers.mark(name)
-    planner.followers.tell_news(True)
+        planner.followers.mark_changed(name)
+    planner.followers.broadcast_updates(True)
     for other in planner.followers._by_number.values():
         for message in other.take_messages():
             message.SerializeToString()
@@ -150,7 +150,7 @@
             what="news to all",
             gateways=gateways,
             us=timed(tell, planner),
-            every_s=planner.followers.pacing.news_s,
+            every_s=planner.followers.pacing.update_interval_s,
         )
     for replicas in (5, 30, 600):
         planner = make(replicas)
--- a/tools/health_load.py
+++ b/tools/health_load.py
@@ -45,7 +45,7 @@
     """Return what it takes, each second of the played time."""
     clock, rng = Clock(), random.Random(0)
     pacing = Pacing(0.0)
-    pacing.note_gateways(gateways)
+    pacing.set_gateway_count(gateways)
     state = new_state(engines, 0)
     names = [name for name, rep in state.replicas.items() if rep.service == "llm"]
     desk = HealthAggregator("llm", state, dict.fromkeys(names, Busy()), lambda: pacing.flush_s)
@@ -61,10 +61,10 @@
     used = dict.fromkeys(("taking", "judging", "filling"), 0.0)
     entries = told_bytes = found_bytes = 0
     while clock.now < WARM_UP_S + MEASURED_S:
-        clock.now += pacing.news_s
-        pacing.step(clock.now)
+        clock.now += pacing.update_interval_s
+        pacing.update_rates(clock.now)
         measures = clock.now > WARM_UP_S
-        for _ in range(round(per_s * pacing.news_s)):
+        for _ in range(round(per_s * pacing.update_interval_s)):
             health = rng.choice(fleets).health(rng.choice(names))
             health.note(rng.random() < failing, clock.now)
         messages = []
@@ -94,7 +94,7 @@
         "engines": engines,
         "requests_per_s": per_s,
         "failing": failing,
-        "news_s": pacing.news_s,
+        "news_s": pacing.update_interval_s,
         **{f"{name}_cores": round(part / MEASURED_S, 5) for name, part in used.items()},
         "entries_s": round(entries / MEASURED_S),
         "told_kb_s_each": round(told_bytes / 1e3 / MEASURED_S / gateways, 3),
--- a/tools/planner_load.py
+++ b/tools/planner_load.py
@@ -18,7 +18,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 import logbook
-from gradelug_gateway.directory import RECONNECT_S
+from gradelug_gateway.directory import RECONNECT_DELAY_S
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.link import PlannerLink
 from gradelug_gateway.model import AdapterKey, FleetState
@@ -146,7 +146,7 @@
         while True:
             self.streams += 1
             await self.link.follow(self.planner)
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def request(self):
         self.ticket += 1
