--- a/packages/gateway/src/gradelug_gateway/abandoned_runs.py
+++ b/packages/gateway/src/gradelug_gateway/abandoned_runs.py
@@ -15,7 +15,7 @@
 from gradelug_policy.abandoned_runs import MAX_REPORT_AGE_S, is_gone, next_poll_s
 
 from .job import Job
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import Replica
 from .ports import RunTransport
 from .run_moves import MoveOutcome
@@ -68,7 +68,7 @@
     __slots__ = ("_by_request", "_clock", "_meters", "_transport")
 
     def __init__(
-        self, transport: RunTransport, meters: Meters, clock: t.Callable[[], float]
+        self, transport: RunTransport, meters: GatewayMetrics, clock: t.Callable[[], float]
     ) -> None:
         self._transport = transport
         self._meters = meters
@@ -78,7 +78,7 @@
 
     async def is_gone(self, job: Job, replica: Replica) -> bool:
         """Return whether a run that its engine does not report has ended, and is not queued."""
-        report = await self._transport.word(replica)
+        report = await self._transport.read_runs(replica)
         has_ended = is_gone(report, job.req.id, self._clock() - job.last_event_at)
         log.info(
             "engine reports no such run",
@@ -133,7 +133,7 @@
             await self._wait_for_next_check(run)
             if not run.is_paused and await self._stop_or_confirm_ended(run):
                 return
-        self._meters.left_run("unknown")
+        self._meters.count_abandoned_run("unknown")
 
     async def _wait_for_next_check(self, run: AbandonedRun) -> None:
         now = self._clock()
@@ -151,18 +151,18 @@
         if reply.handle:
             after_s = round(self._clock() - run.abandoned_at, 3)
             log.info("abandoned run stopped", id=ident, replica=replica.name, after_s=after_s)
-            self._meters.left_run("stopped")
+            self._meters.count_abandoned_run("stopped")
             await self._transport.free(replica, reply.handle)
             return True
         has_ended = reply.outcome is MoveOutcome.UNREACHED or (
             reply.outcome is MoveOutcome.NO_RUN and await self._has_ended_since(run)
         )
         if has_ended:
-            self._meters.left_run("gone")
+            self._meters.count_abandoned_run("gone")
         return has_ended
 
     async def _has_ended_since(self, run: AbandonedRun) -> bool:
         if self._clock() - run.abandoned_at < MAX_REPORT_AGE_S:
             return False
-        report = await self._transport.word(run.replica)
+        report = await self._transport.read_runs(run.replica)
         return is_gone(report, run.job.req.id, self._clock() - run.abandoned_at)
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -42,7 +42,7 @@
 from .limit_facts import planner_for
 from .limit_teller import LimitClient
 from .limits import ReplicaLimits
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import EngineSpec, FleetState, Replica
 from .parts import GatewayExtension
 from .placement import PlacementService, PlannerRole
@@ -178,7 +178,7 @@
             backoffs,
         )
         self._limit_clients: dict[str, LimitClient] = {}
-        self._duties: dict[str, PlannerRole] = {}
+        self._planner_roles: dict[str, PlannerRole] = {}
         self._ownership = None if settings.bounds.fenced else self._new_ownership()
         executor = None
         if self._ownership is not None:
@@ -222,7 +222,7 @@
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s, self._clock
         )
         self._gateway_count = GatewayCount(bounds.retry_window_s)
-        self._meters = Meters()
+        self._meters = GatewayMetrics()
         self._usage_tally = UsageTally(self._clock, self._meters, self._has_organisations)
         run_recovery = self._handover = None
         if runs is not None and Feature.LASTING_RUNS in settings.features:
@@ -246,7 +246,7 @@
             )
             # The notice period is 1 s, of which 0.1 s is left when the change arrives here.
             self._feed.subscribe(self._handover.look)
-        self._lasting = run_recovery
+        self._run_recovery = run_recovery
         sender = Sender(
             dialect,
             self._fleet,
@@ -277,15 +277,17 @@
             run_recovery,
             self._usage_tally,
         )
-        self._callers = EarlyServer(
+        self._caller_server = EarlyServer(
             self._pipeline.serve, self._limits, self._clock, settings.unread_bytes, pool
         )
-        self._status = HttpServer(self._serve_status, ServerLimits, self._clock)
-        self._peers = Server([PlacementService(self._duties, self._directory.newest_planner)])
-        checks = startup_checks(self._state, self._mirror, self._directory, self._duties)
+        self._status_server = HttpServer(self._serve_status, ServerLimits, self._clock)
+        self._peer_server = Server(
+            [PlacementService(self._planner_roles, self._directory.newest_planner)]
+        )
+        checks = startup_checks(self._state, self._mirror, self._directory, self._planner_roles)
         self._startup_progress = StartupProgress(self._clock, checks)
         sources = GaugeSources(
-            self._callers,
+            self._caller_server,
             self._pool,
             self._state,
             self._fleet,
@@ -317,12 +319,12 @@
 
     async def _start(self) -> None:
         addresses = self.settings.addresses
-        await self._status.start(*_split_address(addresses.status))
-        await self._peers.start(*_split_address(addresses.peers))
+        await self._status_server.start(*_split_address(addresses.status))
+        await self._peer_server.start(*_split_address(addresses.peers))
         if self._early_socket is not None:
-            await self._callers.enter(self._early_socket)
+            await self._caller_server.enter(self._early_socket)
         else:
-            await self._callers.start(*_split_address(addresses.callers))
+            await self._caller_server.start(*_split_address(addresses.callers))
         self._tasks.start(self._mirror.run(), "mirror")
         self._tasks.start(self._upkeep(), "upkeep")
         self._tasks.start(self._startup_progress.run(), "standing")
@@ -338,30 +340,32 @@
     async def _drain(self) -> None:
         """Stop accepting requests and finish those in progress, within the grace period."""
         started_at = self._stopping_at = self._clock()
-        log.info("stopping", requests=self._callers.in_progress)
-        self._callers.draining = True
+        log.info("stopping", requests=self._caller_server.in_progress)
+        self._caller_server.draining = True
         self._pipeline.refuse_from(started_at + BALANCER_REMOVAL_S)
-        await asyncio.gather(*(role.resign() for role in self._duties.values()))
+        await asyncio.gather(*(role.resign() for role in self._planner_roles.values()))
         end_at = started_at + self.settings.bounds.grace_s - EXIT_MARGIN_S
         while self._clock() < end_at:
             removed = self._clock() - started_at >= BALANCER_REMOVAL_S
             if removed:
-                self._callers.close_idle()
-            if removed and not self._callers.in_progress:
+                self._caller_server.close_idle()
+            if removed and not self._caller_server.in_progress:
                 break
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         if self._ownership is not None:
             await self._ownership.leave()
         log.info(
-            "stopped", after_s=round(self._clock() - started_at, 2), cut=self._callers.in_progress
+            "stopped",
+            after_s=round(self._clock() - started_at, 2),
+            cut=self._caller_server.in_progress,
         )
 
     async def _close(self) -> None:
         await self._directory.close()
         await self._tasks.cancel()
-        await self._callers.close()
-        await self._status.close()
-        self._peers.close()
+        await self._caller_server.close()
+        await self._status_server.close()
+        self._peer_server.close()
         self._pool.close()
 
     def _on_hangup(self) -> None:
@@ -375,11 +379,11 @@
         if snapshot is None:
             return
         for name, service in snapshot.services.items():
-            if service.engine is not None and name not in self._duties:
-                self._duties[name] = self._new_planner_role(name)
-                self._tasks.start(self._duties[name].run(), f"duty {name}")
-        self._directory.ensure_links(self._duties)
-        for role in self._duties.values():
+            if service.engine is not None and name not in self._planner_roles:
+                self._planner_roles[name] = self._new_planner_role(name)
+                self._tasks.start(self._planner_roles[name].run(), f"duty {name}")
+        self._directory.ensure_links(self._planner_roles)
+        for role in self._planner_roles.values():
             if role.planner is not None:
                 role.planner.refresh()
 
@@ -536,7 +540,7 @@
         return found.engine
 
     def _locate(self, service: str) -> PlannerAddress | None:
-        role = self._duties.get(service)
+        role = self._planner_roles.get(service)
         return role.address() if role is not None else None
 
     def _can_pause_polling(self) -> bool:
@@ -557,8 +561,8 @@
             )
             self._fleet.forget_gone()
             self._pipeline.forget_gone()
-            if self._lasting is not None:
-                self._lasting.forget_removed_engines()
+            if self._run_recovery is not None:
+                self._run_recovery.forget_removed_engines()
             self._pool.prune({rep.address for rep in self._state.replicas.values()})
             followed_gateways = self._directory.gateways if self._follows_planner() else 0
             count = self._gateway_count.note(followed_gateways, self._clock())
@@ -566,7 +570,7 @@
             self._fleet.limits.set_instance_count(count)
 
     def _follows_planner(self) -> bool:
-        return any(self._directory.is_connected(service) for service in self._duties)
+        return any(self._directory.is_connected(service) for service in self._planner_roles)
 
     def _publishes_store(self) -> bool:
         return any(planner.followers.distributes_store for planner in self._planners())
@@ -579,12 +583,12 @@
 
     async def _serve_status(self, inc: Incoming) -> None:
         if inc.target == METRICS_PATH:
-            inc.respond(200, [(b"Content-Type", b"text/plain")], self._meters.text())
+            inc.respond(200, [(b"Content-Type", b"text/plain")], self._meters.render())
             return
         inc.respond(200 if self._is_ready() else 503, [], b"")
 
     def _planners(self) -> list[Planner]:
-        return [role.planner for role in self._duties.values() if role.planner is not None]
+        return [role.planner for role in self._planner_roles.values() if role.planner is not None]
 
     def _has_organisations(self) -> bool:
         return self._state.snapshot is not None and bool(self._state.snapshot.organisations)
--- a/packages/gateway/src/gradelug_gateway/error_responses.py
+++ b/packages/gateway/src/gradelug_gateway/error_responses.py
@@ -14,7 +14,7 @@
 from .exceptions import GATEWAY_TIMEOUT, Blocked, Failed, Limited, Refused
 from .fingerprints import format_fingerprint
 from .job import Job
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import Request, Route
 from .ports import Dialect
 from .sending import Sender
@@ -48,7 +48,7 @@
         dialect: Dialect,
         sender: Sender,
         admitter: AdmissionControl,
-        meters: Meters,
+        meters: GatewayMetrics,
         clock: t.Callable[[], float],
     ) -> None:
         self._dialect = dialect
@@ -81,7 +81,9 @@
             retry_s=round(exc.retry_after_s, 3),
             sends=job.sends,
         )
-        self._meters.outcome(job.route.name, "blocked" if isinstance(exc, Blocked) else "refused")
+        self._meters.count_outcome(
+            job.route.name, "blocked" if isinstance(exc, Blocked) else "refused"
+        )
         self.answer_without_body(job.inc, job.req.id, 503, exc.retry_after_s)
 
     def limit(self, job: Job, exc: Limited) -> None:
@@ -100,8 +102,8 @@
             retry_s=round(exc.retry_after_s, 3),
             config=job.config,
         )
-        self._meters.outcome(job.route.name, "limited")
-        self._meters.limited(exc.organisation, job.route.rank, exc.inputs.standing)
+        self._meters.count_outcome(job.route.name, "limited")
+        self._meters.count_limited(exc.organisation, job.route.rank, exc.inputs.standing)
         self.answer_without_body(job.inc, job.req.id, 429, exc.retry_after_s)
 
     def deny(self, inc: Incoming, req: Request, route: Route, why: str) -> None:
@@ -114,8 +116,8 @@
             config=self._admitter.config,
             proof_age_s=round(self._admitter.proof_age_s, 2),
         )
-        self._meters.outcome(route.name, "denied")
-        inc.respond(401, self._dialect.refusal(req.id, None, wants_key=True), b"")
+        self._meters.count_outcome(route.name, "denied")
+        inc.respond(401, self._dialect.error_headers(req.id, None, wants_key=True), b"")
 
     def fail(self, job: Job, exc: Failed) -> None:
         """End a request that may have run and has no complete response."""
@@ -128,7 +130,7 @@
             last_event=job.events.last_event,
             started=job.inc.started,
         )
-        self._meters.outcome(job.route.name, "failed")
+        self._meters.count_outcome(job.route.name, "failed")
         if job.inc.started:
             # Without its end marker the caller recognises the answer as incomplete.
             return
@@ -153,5 +155,5 @@
         retry_after_s : float or None
             Value of the Retry-After header, in seconds; None for no header.
         """
-        headers = self._dialect.refusal(request_id, retry_after_s)
+        headers = self._dialect.error_headers(request_id, retry_after_s)
         inc.respond(status, headers, b"")
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -11,7 +11,7 @@
 from .config_freshness import ConfigFreshness
 from .directory import Directory
 from .fleet import Fleet
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import FleetState
 from .planner import Planner
 from .poison_control import PoisonControl
@@ -59,7 +59,9 @@
     planners: t.Callable[[], list[Planner]]
 
 
-def add_daemon_gauges(meters: Meters, sources: GaugeSources, clock: t.Callable[[], float]) -> None:
+def add_daemon_gauges(
+    meters: GatewayMetrics, sources: GaugeSources, clock: t.Callable[[], float]
+) -> None:
     """Add the gauges of a daemon.
 
     Parameters
@@ -71,7 +73,7 @@
     clock : callable
         Returns the time of the runtime's clock, in seconds.
     """
-    gauge = meters.gauge
+    gauge = meters.add_gauge
     add_prefix_cache_gauges(meters, sources.fleet.prefix_cache.parts, sources.planners)
     add_startup_gauges(meters, sources.startup_progress)
     gauge("requests_in_progress", "Requests in progress", lambda: sources.callers.in_progress)
@@ -204,10 +206,10 @@
     )
 
 
-def add_startup_gauges(meters: Meters, startup_progress: StartupProgress) -> None:
+def add_startup_gauges(meters: GatewayMetrics, startup_progress: StartupProgress) -> None:
     """Add gauges for the time that each part of the state was missing after startup."""
     for part in StartupPart:
-        meters.gauge(
+        meters.add_gauge(
             f"without_{part.value}_seconds",
             f"Time from startup until the {part.value} were available, or until now",
             lambda part=part: startup_progress.missing_s(part),  # type: ignore[misc]
--- a/packages/gateway/src/gradelug_gateway/metrics.py
+++ b/packages/gateway/src/gradelug_gateway/metrics.py
@@ -11,7 +11,7 @@
 BUCKETS_S = (0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0, 10.0)
 
 
-class Meters:
+class GatewayMetrics:
     """Metrics of a daemon in a registry of its own."""
 
     __slots__ = (
@@ -124,61 +124,61 @@
             registry=self._registry,
         )
 
-    def gauge(self, name: str, help_text: str, read: t.Callable[[], float]) -> None:
+    def add_gauge(self, name: str, help_text: str, read: t.Callable[[], float]) -> None:
         """Add a gauge whose value is read at each scrape."""
         Gauge(f"gradelug_{name}", help_text, registry=self._registry).set_function(read)
 
-    def outcome(self, route: str, end: str) -> None:
+    def count_outcome(self, route: str, end: str) -> None:
         """Count a finished request by its outcome."""
         self._outcomes.labels(route, end).inc()
 
-    def limited(self, organisation: str, rank: int, retry_state: str) -> None:
+    def count_limited(self, organisation: str, rank: int, retry_state: str) -> None:
         """Count a request over the quota of its organisation.
 
         Label values are bounded: organisations by the configuration, urgencies by `URGENCY_LEVELS`.
         """
         self._limited.labels(organisation, min(rank, URGENCY_LEVELS - 1), retry_state).inc()
 
-    def granted(self, organisation: str, rank: int, tokens: int) -> None:
+    def count_granted_tokens(self, organisation: str, rank: int, tokens: int) -> None:
         """Count tokens granted from the quota of an organisation."""
         self._granted.labels(organisation, min(rank, URGENCY_LEVELS - 1)).inc(tokens)
 
-    def engine_use(self, organisation: str, tokens: int, waited_s: float) -> None:
+    def record_engine_use(self, organisation: str, tokens: int, waited_s: float) -> None:
         """Count the tokens of a request sent to an engine and record its wait for the engine."""
         self._engine_tokens.labels(organisation).inc(tokens)
         self._engine_waits.labels(organisation).observe(waited_s)
 
-    def broken(self, stage: str) -> None:
+    def count_broken_response(self, stage: str) -> None:
         """Count an attempt whose response broke off."""
         self._broken_responses.labels(stage).inc()
 
-    def waited_plain(self) -> None:
+    def count_plain_wait(self) -> None:
         """Count a request that waits for capacity of a service without engines."""
         self._plain_waits.inc()
 
-    def latency(self, streaming: bool, seconds: float) -> None:
+    def observe_latency(self, streaming: bool, seconds: float) -> None:
         """Record the duration of a served request, in seconds."""
         self._latency.labels("stream" if streaming else "whole").observe(seconds)
 
-    def first_event(self, seconds: float) -> None:
+    def observe_first_event(self, seconds: float) -> None:
         """Record the time to the first event of a stream, in seconds."""
         self._first_event_latency.observe(seconds)
 
-    def went_on(self, resume_kind: str, pause_s: float, weights: str) -> None:
+    def record_resumed_run(self, resume_kind: str, pause_s: float, weights: str) -> None:
         """Record the pause of a resumed run, and whether it kept its weights."""
         self._run_pauses.labels(resume_kind).observe(pause_s)
         self._resumed_runs.labels(weights).inc()
 
-    def left_run(self, end: str) -> None:
+    def count_abandoned_run(self, end: str) -> None:
         """Count the end of an abandoned run, which its engine may have continued."""
         self._abandoned_runs.labels(end).inc()
 
-    def estimate(self, route: str, actual_s: float, expected_s: float) -> None:
+    def observe_estimate(self, route: str, actual_s: float, expected_s: float) -> None:
         """Record actual and expected time from sending to the first event, in seconds."""
         self._first_event_error.observe(abs(actual_s - expected_s))
         if expected_s > 0:
             self._first_event_ratio.labels(route).observe(actual_s / expected_s)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/packages/gateway/src/gradelug_gateway/plain_placement.py
+++ b/packages/gateway/src/gradelug_gateway/plain_placement.py
@@ -21,7 +21,7 @@
 from .exceptions import Refused
 from .fleet import Fleet
 from .job import Job
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import Replica
 
 log = logbook.Logger("plain")
@@ -72,7 +72,7 @@
         fleet: Fleet,
         clock: t.Callable[[], float],
         rng: random.Random,
-        meters: Meters,
+        meters: GatewayMetrics,
         uses_shared_health: bool,
     ) -> None:
         self.is_queueing_enabled = uses_shared_health
@@ -141,7 +141,7 @@
             raise Refused(
                 "all replicas of the plain service are at capacity", DEFAULT_RETRY_AFTER_S
             )
-        self._meters.waited_plain()
+        self._meters.count_plain_wait()
         jitter = 0.5 + self._rng.random()
         if not await queue.wait(priority, pause_s * jitter, latest_at):
             raise Refused(
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -56,11 +56,11 @@
         """Return the time until an engine is removed, in seconds; None if unknown."""
         ...
 
-    async def word(self, replica: Replica) -> EngineRunsReport | None:
+    async def read_runs(self, replica: Replica) -> EngineRunsReport | None:
         """Return the runs that an engine reports; None if it does not report them."""
         ...
 
-    async def holdings(self, replica: Replica) -> tuple[Holding, ...] | None:
+    async def read_holdings(self, replica: Replica) -> tuple[Holding, ...] | None:
         """Return the weights that an engine holds; None if it does not report them."""
         ...
 
@@ -76,42 +76,42 @@
         """Parse a request of a caller; raises `BadRequest`."""
         ...
 
-    def outgoing(self, req: Request, attempt: Attempt) -> OutgoingRequest:
+    def build_request(self, req: Request, attempt: Attempt) -> OutgoingRequest:
         """Build the HTTP request that is sent to a replica."""
         ...
 
-    def is_own(self, head: ResponseHead, req: Request) -> bool:
+    def is_response_to(self, head: ResponseHead, req: Request) -> bool:
         """Return whether a response belongs to the request."""
         ...
 
-    def judge(self, head: ResponseHead, replica: Replica) -> Verdict:
+    def classify_response(self, head: ResponseHead, replica: Replica) -> Verdict:
         """Classify a response by its head."""
         ...
 
-    def limit(self, head: ResponseHead) -> ReportedLimit:
+    def read_limit(self, head: ResponseHead) -> ReportedLimit:
         """Return the request rate limit in the head of a response, in requests per second."""
         ...
 
-    def leaves(self, head: ResponseHead) -> bool:
+    def is_leaving(self, head: ResponseHead) -> bool:
         """Return whether the head of a response announces that its replica is leaving."""
         ...
 
-    def rest(self, head: ResponseHead) -> ReportedBackoff:
+    def read_backoff(self, head: ResponseHead) -> ReportedBackoff:
         """Return the backoff that a response requests for its replica."""
         ...
 
-    def weights(self, head: ResponseHead) -> ReportedVersion:
+    def read_version(self, head: ResponseHead) -> ReportedVersion:
         """Return the version of the replica's base model in the head of a response."""
         ...
 
-    def event_weights(self, events: bytes) -> ReportedVersion:
+    def read_event_version(self, events: bytes) -> ReportedVersion:
         """Return the version of the base model in complete events.
 
         The last one counts, since the version may change during a stream.
         """
         ...
 
-    def refusal(
+    def error_headers(
         self, request_id: str, retry_after_s: float | None, wants_key: bool = False
     ) -> list[Header]:
         """Return the headers of an error response of the gateway itself.
--- a/packages/gateway/src/gradelug_gateway/prefix_cache.py
+++ b/packages/gateway/src/gradelug_gateway/prefix_cache.py
@@ -22,7 +22,7 @@
 )
 from gradelug_wire import placement_pb2 as pb
 
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import Replica, Request
 
 if t.TYPE_CHECKING:
@@ -161,21 +161,23 @@
 
 
 def add_gauges(
-    meters: Meters, parts: PrefixCacheTracker, planners: t.Callable[[], t.Iterable[Planner]]
+    meters: GatewayMetrics, parts: PrefixCacheTracker, planners: t.Callable[[], t.Iterable[Planner]]
 ) -> None:
     """Add the metrics of prefix caching of this instance and of the planners that run here."""
-    meters.gauge("kept_parts", "Parts of prompts taken for kept, all engines", lambda: parts.size)
-    meters.gauge(
+    meters.add_gauge(
+        "kept_parts", "Parts of prompts taken for kept, all engines", lambda: parts.size
+    )
+    meters.add_gauge(
         "shared_prompt_tokens",
         "Tokens of parts that others may have had read, of all requests sent since the start",
         lambda: parts.shared,
     )
-    meters.gauge(
+    meters.add_gauge(
         "credited_prompt_tokens",
         "Those of them that were taken for kept by the engine they were sent to",
         lambda: parts.credited,
     )
-    meters.gauge(
+    meters.add_gauge(
         "reread_prompt_tokens",
         "Tokens of parts that planners here sent elsewhere than to the engine taken to keep them",
         lambda: sum(planner.index.prefix_cache.reread for planner in planners()),
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -196,7 +196,7 @@
     async def _query_model_version(self, replica: Replica, model: str) -> int | None:
         """Query an engine for the version of a base model; None if it holds none or is silent."""
         for _ in range(REPORT_ATTEMPTS):
-            holdings = await self._transport.holdings(replica)
+            holdings = await self._transport.read_holdings(replica)
             if holdings is not None:
                 key = AdapterKey(model)
                 return next((held.version for held in holdings if held.key == key), None)
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -37,7 +37,7 @@
 from .copy_targets import CopyTargets
 from .fleet import Fleet
 from .job import Job
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import KvCopy, KvCopyKind, Repeat, Replica
 from .ports import RunTransport
 from .run_moves import MoveOutcome
@@ -164,7 +164,7 @@
         self,
         fleet: Fleet,
         transport: RunTransport,
-        meters: Meters,
+        meters: GatewayMetrics,
         clock: t.Callable[[], float],
         has_retry: t.Callable[[str], bool],
         rng: random.Random,
@@ -226,7 +226,9 @@
             self._set_versions(run, run.versions.with_reported(reported_version))
         elif compare_versions(used.versions, reported_version) == "other":
             run.has_weight_mismatch = True
-            self._meters.went_on(used.kind.value, self._clock() - run.job.last_event_at, "other")
+            self._meters.record_resumed_run(
+                used.kind.value, self._clock() - run.job.last_event_at, "other"
+            )
             raise ResponseBroken(
                 f"engine has base model {reported_version.version}, memory has {used.versions.text}"
             )
@@ -470,7 +472,7 @@
         job = run.job
         pause_s = now - job.last_event_at
         weights = compare_versions(copy.versions, run.reported)
-        self._meters.went_on(copy.kind.value, pause_s, weights)
+        self._meters.record_resumed_run(copy.kind.value, pause_s, weights)
         log.info(
             "run went on",
             id=job.req.id,
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -31,7 +31,7 @@
 from .fleet import Fleet
 from .job import Job, Outcome
 from .limits import Demand
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import AdapterKey, Attempt, KvCopyKind, Repeat, Replica, Verdict
 from .poison import PoisonGuard
 from .ports import Dialect
@@ -127,7 +127,7 @@
         fleet: Fleet,
         directory: Directory,
         pool: HttpPool,
-        meters: Meters,
+        meters: GatewayMetrics,
         clock: t.Callable[[], float],
         has_retry: t.Callable[[str], bool] = lambda service: True,
         max_idle_s: float = math.inf,
@@ -253,7 +253,7 @@
             raise
         except ResponseBroken as exc:
             is_caller_stalled = job.inc.held_up_s >= MIN_CALLER_STALL_S
-            self._meters.broken(exchange.stage.value)
+            self._meters.count_broken_response(exchange.stage.value)
             if not is_caller_stalled:
                 self._note_broken(exchange, exc)
                 if self._ends is not None:
@@ -387,7 +387,7 @@
         if exchange.run is not None and self._lasting is not None:
             self._lasting.note_expected_version(exchange.run, attempt.version)
         try:
-            exchange.conn.send(self._dialect.outgoing(job.req, attempt))
+            exchange.conn.send(self._dialect.build_request(job.req, attempt))
         except ConnectFailed:
             return Outcome.NOT_SENT
         job.sends += 1
@@ -397,10 +397,10 @@
         may_have_run_before, job.may_have_run = job.may_have_run, True
         log.debug("sent", id=job.req.id, replica=replica.name, left_s=round(attempt.left_s, 3))
         head = await self._receive(
-            exchange, exchange.conn.head(lambda head: self._dialect.is_own(head, job.req))
+            exchange, exchange.conn.head(lambda head: self._dialect.is_response_to(head, job.req))
         )
         exchange.status = head.status
-        verdict = self._dialect.judge(head, replica)
+        verdict = self._dialect.classify_response(head, replica)
         if verdict is Verdict.SPOILED:
             raise ResponseBroken("the response was not produced by the replica")
         if verdict is not Verdict.MISDIRECTED:
@@ -408,7 +408,7 @@
             self._apply_response_signals(replica, head, sent_at)
         if verdict is Verdict.ANSWERED and job.route.streaming:
             if exchange.run is not None and self._lasting is not None:
-                self._lasting.note_reported_version(exchange.run, self._dialect.weights(head))
+                self._lasting.note_reported_version(exchange.run, self._dialect.read_version(head))
             return await self._stream(exchange, head)
         body = await exchange.conn.body(MAX_RESPONSE_BYTES)
         exchange.release(self._pool, head)
@@ -428,10 +428,10 @@
         sent_at : float
             When the request was sent, by the event loop's clock.
         """
-        self._fleet.limits.update_from_answer(replica.name, self._dialect.limit(head), sent_at)
-        if self._dialect.leaves(head):
+        self._fleet.limits.update_from_answer(replica.name, self._dialect.read_limit(head), sent_at)
+        if self._dialect.is_leaving(head):
             self._note_leaving(replica)
-        self._fleet.rests.update_from_answer(replica, self._dialect.rest(head))
+        self._fleet.rests.update_from_answer(replica, self._dialect.read_backoff(head))
 
     def _attempt(self, job: Job, replica: Replica, work: RequestWork) -> Attempt:
         left_s = job.deadline_at - self._clock()
@@ -565,7 +565,9 @@
                 exchange.first_at = self._clock()
             exchange.last_event_at = self._clock()
             if exchange.run is not None and self._lasting is not None:
-                self._lasting.note_version_change(exchange.run, self._dialect.event_weights(events))
+                self._lasting.note_version_change(
+                    exchange.run, self._dialect.read_event_version(events)
+                )
                 self._lasting.note_event(exchange.run)
             if not job.inc.started:
                 job.inc.begin(head.status, end_to_end(head.headers))
@@ -601,7 +603,7 @@
         if exchange.job.inc.started:
             return
         first_s = self._clock() - exchange.job.req.arrived_at
-        self._meters.first_event(first_s)
+        self._meters.observe_first_event(first_s)
         if first_s > exchange.job.route.target_s:
             log.info(
                 "late first event",
@@ -656,7 +658,7 @@
         if not work.prompt_tokens or exchange.job.resumed_copy is not None:
             return
         took_s = self._clock() - exchange.sent_at
-        self._meters.estimate(exchange.job.route.name, took_s, exchange.expected_s)
+        self._meters.observe_estimate(exchange.job.route.name, took_s, exchange.expected_s)
         self._fleet.speeds.note(service, exchange.busyness, work, took_s)
 
     def forward_response(self, job: Job, head: ResponseHead, body: bytes) -> None:
@@ -665,7 +667,7 @@
         self._note_served(job, head.status)
 
     def _note_served(self, job: Job, status: int) -> None:
-        self._meters.outcome(job.route.name, f"status {status}")
+        self._meters.count_outcome(job.route.name, f"status {status}")
         log.info(
             "answered",
             id=job.req.id,
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -23,7 +23,7 @@
 from .exceptions import Failed, Limited, Refused, Unauthenticated
 from .fleet import Fleet
 from .job import Job, Outcome
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .model import AdapterKey, KvCopy, KvCopyKind, Repeat, Replica, Request, Service
 from .plain_placement import PlainPlacer
 from .ports import BadRequest, Dialect
@@ -118,7 +118,7 @@
         directory: Directory,
         sender: Sender,
         budgets: RetryBudgets,
-        meters: Meters,
+        meters: GatewayMetrics,
         clock: t.Callable[[], float],
         rng: random.Random,
         admitter: AdmissionControl,
@@ -198,11 +198,11 @@
             self._error_responder.deny(job.inc, job.req, job.route, str(exc))
         except (asyncio.CancelledError, ClientGone):
             job.give_back()
-            self._meters.outcome(job.route.name, "left")
+            self._meters.count_outcome(job.route.name, "left")
             log.info("caller left", id=req.id, sends=job.sends)
             raise
         else:
-            self._meters.latency(job.route.streaming, self._clock() - started)
+            self._meters.observe_latency(job.route.streaming, self._clock() - started)
 
     def _release_kv_copy(self, job: Job) -> None:
         """Release the saved KV cache of a request that ended without using it."""
@@ -244,7 +244,7 @@
             return None
         except Refused as exc:
             log.info("refused", id=req.id, why=str(exc), config=snapshot.version)
-            self._meters.outcome(route.name, "refused")
+            self._meters.count_outcome(route.name, "refused")
             self._error_responder.answer_without_body(inc, req.id, 503, exc.retry_after_s)
             return None
         name = choose_service(route, self._rng)
@@ -277,7 +277,9 @@
             applicant,
         )
         if job.charge is not None:
-            self._meters.granted(job.charge.organisation, route.rank, job.charge.tokens)
+            self._meters.count_granted_tokens(
+                job.charge.organisation, route.rank, job.charge.tokens
+            )
 
     async def _run(self, job: Job) -> None:
         while True:
--- a/packages/gateway/src/gradelug_gateway/settings.py
+++ b/packages/gateway/src/gradelug_gateway/settings.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-OWN_MB = 64.0
+BASE_MEMORY_MB = 64.0
 """Memory of a process with its libraries and fleet state: 26 to 50 MB at 9 to 195 instances."""
 UNREAD_MEMORY_SHARE = 0.3
 """Share of the remaining memory for responses that slow callers have not read. Data in socket
@@ -158,7 +158,7 @@
     def unread_bytes(self) -> int:
         """Maximum size of responses buffered for slow callers, in bytes."""
         return round(
-            max(MIN_UNREAD_MB, UNREAD_MEMORY_SHARE * (self.memory_mb - OWN_MB)) * 1_000_000
+            max(MIN_UNREAD_MB, UNREAD_MEMORY_SHARE * (self.memory_mb - BASE_MEMORY_MB)) * 1_000_000
         )
 
     @property
--- a/packages/gateway/src/gradelug_gateway/share_tally.py
+++ b/packages/gateway/src/gradelug_gateway/share_tally.py
@@ -12,7 +12,7 @@
 from gradelug_wire import placement_pb2 as pb
 
 from .job import Job, Outcome
-from .metrics import Meters
+from .metrics import GatewayMetrics
 from .values import OUTPUT_WEIGHT
 
 UNKNOWN_OWNER = ""
@@ -74,7 +74,7 @@
     def __init__(
         self,
         clock: t.Callable[[], float],
-        meters: Meters,
+        meters: GatewayMetrics,
         has_organisations: t.Callable[[], bool],
     ) -> None:
         self._clock = clock
@@ -92,7 +92,7 @@
             return
         tokens = self._note(job, 1)
         name = job.principal.organisation.name if job.principal is not None else UNKNOWN_OWNER
-        self._meters.engine_use(name, tokens, job.placed_s)
+        self._meters.record_engine_use(name, tokens, job.placed_s)
 
     def end(self, job: Job, outcome: Outcome) -> None:
         """Subtract the cost of a request that ended without running on an engine."""
--- a/tests/crowded_store.py
+++ b/tests/crowded_store.py
@@ -8,12 +8,12 @@
 from gradelug_coordination import ABSENT, Mirror
 from gradelug_http import ResponseHead
 from gradelug_platform.store import PlatformStore
-from platform_stand_in import StoreStandIn
+from platform_stand_in import FakeStore
 
 ADDRESS = "10.9.0.1:80"
 
 
-class CrowdedStore(StoreStandIn):
+class RateLimitedStore(FakeStore):
     """Fake store that throttles calls above a rate and sends responses one by one over its link.
 
     Parameters
@@ -76,12 +76,12 @@
         return True
 
 
-async def start_together(store, instances, most_s=60.0, silent_s=0.0):
+async def start_together(store, instances, max_s=60.0, silent_s=0.0):
     """Start mirrors of a store within half a second and wait until all are synchronised.
 
     Parameters
     ----------
-    store : CrowdedStore
+    store : RateLimitedStore
         Store that the mirrors read.
     instances : int
         Number of mirrors.
@@ -108,7 +108,7 @@
         mirrors.append(mirror)
         tasks.append(asyncio.create_task(mirror.run()))
     unsynchronised = list(mirrors)
-    while unsynchronised and clock() < started_at + most_s:
+    while unsynchronised and clock() < started_at + max_s:
         store.silent = clock() < started_at + silent_s
         await asyncio.sleep(0.05)
         finish_times_s += [clock() - started_at for mirror in unsynchronised if mirror.revision]
--- a/tests/fleet_soak.py
+++ b/tests/fleet_soak.py
@@ -32,7 +32,7 @@
     ResponseBroken,
     ServerLimits,
 )
-from platform_stand_in import StoreStandIn
+from platform_stand_in import FakeStore
 from soak_parts import Gateway, Keys, free_ports
 from soak_settings import LIMITED, PLAIN_TOKENS, REVOKE_S, ROOT
 
@@ -125,7 +125,7 @@
         self.clock = asyncio.get_running_loop().time
         self.ledger = Ledger()
         self.versions = {}
-        self.store = StoreStandIn()
+        self.store = FakeStore()
         # With a source of chance of its own: what a seed does otherwise stays the same.
         self.keys = Keys(self.store, self.clock, random.Random(seed))
         self.sent = {}
--- a/tests/platform_stand_in.py
+++ b/tests/platform_stand_in.py
@@ -15,7 +15,7 @@
     return {"TlsKey": entry.key, "Value": value, "Revision": revision, "Lease": entry.lease}
 
 
-class StoreStandIn:
+class FakeStore:
     """Serves the HTTP API of the store from an in-memory key-value store."""
 
     def __init__(self, page=500):
--- a/tests/poison_world.py
+++ b/tests/poison_world.py
@@ -232,10 +232,14 @@
             ModelOrderTransport(world),
             self.pool,
         )
-        for server in (self.daemon._status, self.daemon._peers, self.daemon._callers):
+        for server in (
+            self.daemon._status_server,
+            self.daemon._peer_server,
+            self.daemon._caller_server,
+        ):
             server.start = mock.AsyncMock()
         await self.daemon._start()
-        world.net.servers[self.front] = self.daemon._callers.new_connection
+        world.net.servers[self.front] = self.daemon._caller_server.new_connection
 
     def kill(self):
         """Simulate a power loss: all its tasks stop without notice to others."""
@@ -257,7 +261,7 @@
     @property
     def is_planner(self):
         """Whether this instance is the planner."""
-        return any(duty.planner is not None for duty in self.daemon._duties.values())
+        return any(duty.planner is not None for duty in self.daemon._planner_roles.values())
 
 
 class PoisonWorld:
--- a/tests/run_world.py
+++ b/tests/run_world.py
@@ -13,7 +13,7 @@
 from gradelug_gateway.exceptions import Refused
 from gradelug_gateway.fleet import Fleet
 from gradelug_gateway.handover import Handover
-from gradelug_gateway.metrics import Meters
+from gradelug_gateway.metrics import GatewayMetrics
 from gradelug_gateway.model import (
     BaseModel,
     EngineSpec,
@@ -115,7 +115,7 @@
         services = {"llm": Service("llm", 100, SPEC)}
         self.state.snapshot = Snapshot(1, (route,), services, ServerLimits())
         self.fleet = Fleet(self.state, "hall", clock)
-        meters = self.meters = Meters()
+        meters = self.meters = GatewayMetrics()
         dialect = PlatformDialect()
         budgets = RetryBudgets(0.0, budget / BUDGET_FRACTION, 1000.0, clock)
         budgets.share_among(1)
--- a/tests/soak_parts.py
+++ b/tests/soak_parts.py
@@ -8,7 +8,7 @@
 import time
 
 from fleet_stand_in import GATEWAY_HOST, HOST
-from soak_settings import CONFIG, LIMITED, PLAIN_TOKENS, REVOKE_S, REVOKED_PART, ROOT
+from soak_settings import CONFIG, LIMITED, PLAIN_TOKENS, REVOKE_S, REVOKED_SHARE, ROOT
 
 
 class Keys:
@@ -57,7 +57,7 @@
 
     def choose(self, name):
         """Return a key of an organisation, now and then one that was taken away."""
-        if self.taken_at and self.rng.random() < REVOKED_PART:
+        if self.taken_at and self.rng.random() < REVOKED_SHARE:
             return self.rng.choice(list(self.taken_at))
         return self.rng.choice(self.held[name])
 
--- a/tests/soak_settings.py
+++ b/tests/soak_settings.py
@@ -5,7 +5,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 REVOKE_S = 5.0
 """Maximum time after the revocation of a key in which its requests may still run."""
-REVOKED_PART = 0.1
+REVOKED_SHARE = 0.1
 """Share of the requests that carry a revoked key."""
 PLAIN_TOKENS = 10
 LIMITED = {"Name": "limited", "RatePerS": 40, "Burst": 40}
--- a/tests/test_abandoned_runs.py
+++ b/tests/test_abandoned_runs.py
@@ -155,7 +155,7 @@
                 # It was resumed elsewhere at once, and stopped when it left the queue.
                 assert world.ledger.runs_started == {"q1": 2}
                 assert not any(engine.kept for engine in world.engines.values())
-                assert b'gradelug_left_runs_total{end="stopped"} 1.0' in world.meters.text()
+                assert b'gradelug_left_runs_total{end="stopped"} 1.0' in world.meters.render()
 
         run(scenario)
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -213,4 +213,4 @@
     )
     def test_a_value_of_one_announces_the_departure(self, values, leaves):
         head = ResponseHead(200, tuple((b"Server-Leaving", value) for value in values))
-        assert PlatformDialect().leaves(head) is leaves
+        assert PlatformDialect().is_leaving(head) is leaves
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -6,7 +6,7 @@
 import pytest
 from gradelug_gateway.fair_queue import BEYOND_SHARE, QuotaWeights
 from gradelug_gateway.job import Outcome
-from gradelug_gateway.metrics import Meters
+from gradelug_gateway.metrics import GatewayMetrics
 from gradelug_gateway.model import AdapterKey, Snapshot
 from gradelug_gateway.organisations import Organisation, Organisations, Principal, Quota
 from gradelug_gateway.share_log import log_share_decision
@@ -229,7 +229,7 @@
 class TestTally:
     @pytest.fixture
     def tally(self):
-        return UsageTally(lambda: 1.0, Meters(), lambda: True)
+        return UsageTally(lambda: 1.0, GatewayMetrics(), lambda: True)
 
     def reported(self, tally):
         message = pb.FromGateway()
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -152,7 +152,7 @@
     ATTEMPT = Attempt(SOURCE, 1.0, 0, 0, 0)
 
     def headers(self, **more):
-        return dict(PlatformDialect().outgoing(REQUEST, replace(self.ATTEMPT, **more)).headers)
+        return dict(PlatformDialect().build_request(REQUEST, replace(self.ATTEMPT, **more)).headers)
 
     def test_a_backup_is_requested(self):
         assert self.headers(backup="10.0.0.2:80")[b"X-Gradelug-Kv-Backup"] == b"10.0.0.2:80"
@@ -210,21 +210,21 @@
         ],
     )
     def test_the_version_of_the_base_model_is_read_from_a_response(self, values, version):
-        assert PlatformDialect().weights(head(*values)).version == version
+        assert PlatformDialect().read_version(head(*values)).version == version
 
     def test_an_invalid_version_is_reported(self):
-        assert PlatformDialect().weights(head(b"new")).unreadable == "'new'"
-        assert "3" in PlatformDialect().weights(head(b"3", b"4")).unreadable
+        assert PlatformDialect().read_version(head(b"new")).unreadable == "'new'"
+        assert "3" in PlatformDialect().read_version(head(b"3", b"4")).unreadable
 
     def test_a_version_change_is_read_from_the_first_line_of_an_event(self):
         event = b"x-gradelug-weight-versions: 4\nid: 7\ndata: a\n\n"
-        read_event = PlatformDialect().event_weights
+        read_event = PlatformDialect().read_event_version
         assert read_event(event).version == 4
         assert read_event(b"id: 6\ndata: a\n\n" + event).version == 4
         assert read_event(event + event.replace(b" 4", b" 2")).version == 2
         assert read_event(event.replace(b" 4", b" x")).unreadable
 
     def test_a_version_elsewhere_in_an_event_is_ignored(self):
-        read_event = PlatformDialect().event_weights
+        read_event = PlatformDialect().read_event_version
         assert read_event(b"id: 6\ndata: x-gradelug-weight-versions: 4\n\n") == ReportedVersion()
         assert read_event(b"id: 6\ndata: a\nx-gradelug-weight-versions: 4\n\n") == ReportedVersion()
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -22,7 +22,7 @@
 from gradelug_platform.store import CALL_TIMEOUT_S, MAX_RESPONSE_S, PlatformStore
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from platform_stand_in import StoreStandIn
+from platform_stand_in import FakeStore
 from world import new_loop
 
 ADDRESS = "10.9.0.1:80"
@@ -36,7 +36,7 @@
         loop.close()
 
 
-class StandIn(StoreStandIn):
+class ConnectedFakeStore(FakeStore):
     def __init__(self, page=500):
         super().__init__(page)
         net = Network()
@@ -59,7 +59,7 @@
 class TestStore:
     def test_entries_are_written_read_listed_in_pages_and_deleted(self):
         async def scenario():
-            fake = StandIn(page=2)
+            fake = ConnectedFakeStore(page=2)
             store = fake.store
             for at in range(5):
                 assert (await store.swap(f"k/{at}", b"\x00\xff", ABSENT)).swapped
@@ -75,7 +75,7 @@
 
     def test_leases_are_renewed_until_they_are_revoked(self):
         async def scenario():
-            store = StandIn().store
+            store = ConnectedFakeStore().store
             lease = await store.grant_lease(2.0)
             await store.swap("k", b"v", ABSENT, lease)
             assert await store.renew_lease(lease)
@@ -87,7 +87,7 @@
 
     def test_a_mirror_resumes_after_an_outage(self):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             mirror = Mirror(fake.store, "", random.Random(1), 0.5)
             task = asyncio.create_task(mirror.run())
             await fake.kv.swap("a", b"1", ABSENT)
@@ -114,7 +114,7 @@
     )
     def test_error_statuses_raise_distinct_exceptions(self, status, expected):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             fake.status = status
             with pytest.raises(expected):
                 await fake.store.get("k")
@@ -123,7 +123,7 @@
 
     def test_a_compacted_history_raises(self):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             fake.status = 410
             with pytest.raises(WatchCompacted):
                 async for _ in fake.store.watch("", 1):
@@ -133,7 +133,7 @@
 
     def test_a_call_without_a_response_times_out(self):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             fake.silent = True
             began = asyncio.get_running_loop().time()
             with pytest.raises(KvUnavailable):
@@ -144,7 +144,7 @@
 
     def test_a_write_whose_response_was_lost_is_detected(self):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             fake.lost_response_count = 1
             swap = await swap_surely(fake.store, "k", b"mine", ABSENT)
             assert swap.swapped
@@ -172,7 +172,7 @@
     )
     def test_an_arbitrary_response_gives_a_result_or_a_typed_error(self, raw):
         async def scenario():
-            fake = StandIn()
+            fake = ConnectedFakeStore()
             fake.raw = raw
             store = fake.store
             calls = (
@@ -234,7 +234,7 @@
 
     def test_a_failed_page_is_retried_without_the_pages_before_it(self):
         async def scenario():
-            fake = StandIn(page=2)
+            fake = ConnectedFakeStore(page=2)
             for at in range(6):
                 await fake.store.swap(f"k/{at}", b"v", ABSENT)
             fake.failing_pages = {3, 4}
@@ -247,7 +247,7 @@
 
     def test_a_failed_first_page_raises_at_once(self):
         async def scenario():
-            fake = StandIn(page=2)
+            fake = ConnectedFakeStore(page=2)
             fake.failing_pages = {1}
             with pytest.raises(KvUnavailable):
                 await fake.store.list("k/")
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -236,7 +236,7 @@
         self, status, headers, verdict
     ):
         head = ResponseHead(status, tuple(headers))
-        assert PlatformDialect().judge(head, Replica("me", "s", "a:1", "h")) is verdict
+        assert PlatformDialect().classify_response(head, Replica("me", "s", "a:1", "h")) is verdict
 
 
 class TestOrders:
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -38,7 +38,7 @@
         ],
     )
     def test_a_decimal_number_is_a_rate_and_of_several_the_lowest_holds(self, values, rate):
-        assert PlatformDialect().limit(head(*values)) == ReportedLimit(rate)
+        assert PlatformDialect().read_limit(head(*values)) == ReportedLimit(rate)
 
     @pytest.mark.parametrize(
         "value",
@@ -57,17 +57,17 @@
         ],
     )
     def test_an_invalid_number_is_returned_as_text(self, value):
-        word = PlatformDialect().limit(head(value))
+        word = PlatformDialect().read_limit(head(value))
         assert word.rate is None
         assert word.invalid_text
 
     def test_one_invalid_number_invalidates_the_others(self):
-        assert PlatformDialect().limit(head(b"1.5", b"x")).invalid_text
+        assert PlatformDialect().read_limit(head(b"1.5", b"x")).invalid_text
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=40))
     def test_arbitrary_bytes_never_yield_an_invalid_rate(self, value):
-        word = PlatformDialect().limit(head(value))
+        word = PlatformDialect().read_limit(head(value))
         assert word.rate is None or 0 <= word.rate < math.inf
 
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -224,14 +224,14 @@
         ],
     )
     def test_seconds_at_a_503_or_429(self, status, values, rest_s):
-        assert PlatformDialect().rest(answer(status, values)) == ReportedBackoff(rest_s)
+        assert PlatformDialect().read_backoff(answer(status, values)) == ReportedBackoff(rest_s)
 
     @pytest.mark.parametrize(
         "value",
         [b"", b"-1", b"nan", b"inf", b"1e999", b"0x10", b"\xff", b"Thu, 03 Dec 2026 10:00:00 GMT"],
     )
     def test_an_invalid_value_is_ignored(self, value):
-        word = PlatformDialect().rest(answer(503, (value,)))
+        word = PlatformDialect().read_backoff(answer(503, (value,)))
         assert word.unreadable
         rests = BackoffTracker(lambda: 0.0)
         rests.update_from_answer(REPLICA, word)
--- a/tests/test_runs.py
+++ b/tests/test_runs.py
@@ -59,7 +59,7 @@
             assert_resumed(client)
             assert world.ledger.runs_started == {"q1": 1}
             assert not world.ledger.wrong
-            assert b"gradelug_run_pause_seconds_count" in world.meters.text()
+            assert b"gradelug_run_pause_seconds_count" in world.meters.render()
 
         run(scenario)
 
@@ -492,6 +492,6 @@
                 PlatformRuns(HttpPool(clock)),
             )
             assert (daemon._handover is not None) is is_on
-            assert (daemon._lasting is not None) is is_on
+            assert (daemon._run_recovery is not None) is is_on
 
         run(scenario)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -10,7 +10,7 @@
 from gradelug_gateway.directory import Directory
 from gradelug_gateway.exceptions import Refused
 from gradelug_gateway.fleet import Fleet
-from gradelug_gateway.metrics import Meters
+from gradelug_gateway.metrics import GatewayMetrics
 from gradelug_gateway.model import (
     AdapterKey,
     EngineSpec,
@@ -137,7 +137,7 @@
         self.freshness = StubFreshness(state)
         self.home = None
         self.directory = StubDirectory(self.fleet)
-        dialect, meters = PlatformDialect(), Meters()
+        dialect, meters = PlatformDialect(), GatewayMetrics()
         budgets = RetryBudgets(0.0, budget / BUDGET_FRACTION, 1000.0, clock)
         budgets.share_among(1)
         pool = HttpPool(clock, self.net.dial)
--- a/tests/test_stale_weights.py
+++ b/tests/test_stale_weights.py
@@ -523,7 +523,7 @@
             assert client.ended
             assert len(events(client)[0]) < EVENTS
             assert len(set(events(client)[1])) == 1
-            text = world.meters.text()
+            text = world.meters.render()
             assert b'gradelug_runs_went_on_total{weights="other"} 1.0' in text
 
         run(scenario)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,7 +15,7 @@
 import gradelug_runtime
 import logbook
 import pytest
-from crowded_store import CrowdedStore, fill, start_together
+from crowded_store import RateLimitedStore, fill, start_together
 from gradelug_gateway.settings import Feature
 from gradelug_gateway.startup_progress import StartupPart, StartupProgress
 from gradelug_http import Door, EarlyServer, ServerLimits
@@ -74,7 +74,7 @@
 
     def test_requests_before_the_server_runs_are_answered_by_it(self, tmp_path, monkeypatch):
         self.settings(tmp_path, monkeypatch, '[Listen]\nFront = "127.0.0.1:0"\n')
-        opened = door.open_door([])
+        opened = door.open_early_socket([])
         arrivals = []
 
         async def serve(inc):
@@ -130,20 +130,20 @@
     )
     def test_without_a_valid_address_no_socket_is_opened(self, tmp_path, monkeypatch, text):
         self.settings(tmp_path, monkeypatch, text)
-        assert door.open_door([]) is None
+        assert door.open_early_socket([]) is None
 
     def test_an_address_in_use_is_reported(self, tmp_path, monkeypatch, capsys):
         taken = socket.create_server(("127.0.0.1", 0))
         port = taken.getsockname()[1]
         self.settings(tmp_path, monkeypatch, f'[Listen]\nFront = "127.0.0.1:{port}"\n')
-        assert door.open_door([]) is None
+        assert door.open_early_socket([]) is None
         assert "stays closed" in capsys.readouterr().err
         taken.close()
 
     @pytest.mark.parametrize("arg", ["--check", "--without=scoped-news,early-door"])
     def test_opening_the_socket_can_be_disabled(self, tmp_path, monkeypatch, arg):
         self.settings(tmp_path, monkeypatch, '[Listen]\nFront = "127.0.0.1:0"\n')
-        assert door.open_door([arg]) is None
+        assert door.open_early_socket([arg]) is None
 
     def test_the_early_socket_is_a_feature_of_the_gateway(self):
         assert Feature(door.EARLY_DOOR) is Feature.EARLY_DOOR
@@ -174,7 +174,7 @@
     """Return when the last instance had read all, how many did not, and the number of calls."""
 
     async def scenario():
-        store = CrowdedStore(50, reads_per_s, 1e9)
+        store = RateLimitedStore(50, reads_per_s, 1e9)
         await fill(store, entries, 700)
         done, missing = await start_together(store, instances, silent_s=silent_s)
         return max(done, default=0.0), missing, store.answered + store.refused
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -20,11 +20,11 @@
 from gradelug_gateway.model import FleetState
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.entries import PlatformEntries
-from gradelug_platform.store import WAIT_S, PlatformStore
+from gradelug_platform.store import WATCH_WAIT_S, PlatformStore
 from limit_world import LimitWorld
-from platform_stand_in import StoreStandIn
+from platform_stand_in import FakeStore
 from run_world import run
-from test_platform_store import StandIn
+from test_platform_store import ConnectedFakeStore
 
 ADDRESS = "10.9.0.2:80"
 APPLY_TIMEOUT_S = 2.0
@@ -39,7 +39,7 @@
     def __init__(self, **options):
         super().__init__(**options)
         self.config = copy.deepcopy(self.config)
-        stand_in = StoreStandIn()
+        stand_in = FakeStore()
         stand_in.kv = self.kv
         self.net.serve(ADDRESS, stand_in.serve, ServerLimits, self.clock)
 
@@ -225,7 +225,7 @@
 class TestStore:
     def test_positions_grow_when_revisions_are_reused(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             copied = stand_in.kv.copy()
             first = await stand_in.store.swap("k", b"1", ABSENT)
             stand_in.kv.go_back(copied)
@@ -237,7 +237,7 @@
 
     def test_a_condition_does_not_match_a_reused_revision(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             copied = stand_in.kv.copy()
             first = await stand_in.store.swap("k", b"mine", ABSENT)
             stand_in.kv.go_back(copied)
@@ -252,7 +252,7 @@
 
     def test_a_write_whose_condition_may_match_a_reused_revision_has_an_unknown_outcome(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             copied = stand_in.kv.copy()
             first = await stand_in.store.swap("k", b"mine", ABSENT)
             stand_in.kv.go_back(copied)
@@ -264,7 +264,7 @@
 
     def test_a_watch_of_an_earlier_era_requires_a_new_listing(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             await stand_in.store.swap("k", b"1", ABSENT)
             copied = stand_in.kv.copy()
             listing = await stand_in.store.list("")
@@ -279,7 +279,7 @@
 
     def test_a_lease_of_an_earlier_era_is_invalid_though_its_number_is_reused(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             copied = stand_in.kv.copy()
             lease = await stand_in.store.grant_lease(5.0)
             stand_in.kv.go_back(copied)
@@ -294,7 +294,7 @@
 
     def test_an_answer_of_an_earlier_era_is_rejected(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             stand_in.era = 2
             await stand_in.store.get("k")
             stand_in.era = 1
@@ -306,7 +306,7 @@
     @pytest.mark.parametrize("era", ["", "-1", "x", "1.5", str(2**20)])
     def test_an_answer_without_a_valid_era_counts_for_the_known_era(self, era):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             stand_in.era = 2
             await stand_in.store.get("k")
             stand_in.era = era
@@ -344,7 +344,7 @@
 class TestProof:
     def test_a_copy_proves_nothing_until_writers_had_time_to_rewrite_their_entries(self):
         async def scenario():
-            stand_in = StandIn()
+            stand_in = ConnectedFakeStore()
             mirror = Mirror(stand_in.store, "", random.Random(1), 1.0, 0.3, 2.2, True)
             task = asyncio.create_task(mirror.run())
             await asyncio.sleep(1.0)
@@ -356,7 +356,7 @@
             await asyncio.sleep(2.0)
             assert "k" not in mirror.entries
             assert mirror.proven_at <= before + 0.1
-            await asyncio.sleep(POLL_INTERVAL_S + WAIT_S)
+            await asyncio.sleep(POLL_INTERVAL_S + WATCH_WAIT_S)
             assert mirror.proven_at > before + 1.0
             task.cancel()
 
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -19,7 +19,7 @@
 )
 from gradelug_platform.main import EXIT_BAD_SETTINGS, _disable_features
 from gradelug_platform.settings import load
-from platform_stand_in import StoreStandIn
+from platform_stand_in import FakeStore
 from soak_parts import Gateway, free_ports
 from soak_settings import CONFIG, PLAIN_TOKENS, ROOT
 
@@ -113,7 +113,7 @@
 
     def __init__(self):
         self.clock = asyncio.get_running_loop().time
-        self.store = StoreStandIn()
+        self.store = FakeStore()
         self.pool = HttpPool(self.clock)
         self.server = HttpServer(self.store.serve, ServerLimits, self.clock)
         self.ledger = Ledger()
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -4,7 +4,7 @@
 from pipes import MemoryTransport, RawClient
 
 from gradelug_gateway.model import Repeat
-from gradelug_gateway.settings import OWN_MB, Addresses, Bounds, GatewaySettings
+from gradelug_gateway.settings import BASE_MEMORY_MB, Addresses, Bounds, GatewaySettings
 from gradelug_http import HttpServer, ServerLimits, Wire
 from gradelug_http.budget import (
     LEAST_READ_AHEAD,
@@ -103,7 +103,7 @@
                 "i", "h", Addresses("a:1", "a:2", "a:3"), Bounds(), memory_mb=memory_mb
             )
             assert settings.unread_bytes > 0
-            assert settings.unread_bytes / 1e6 <= max(4.0, memory_mb - OWN_MB)
+            assert settings.unread_bytes / 1e6 <= max(4.0, memory_mb - BASE_MEMORY_MB)
 
 
 class TestSlowReaders:
