--- a/packages/cli/src/gradelug_cli/main.py
+++ b/packages/cli/src/gradelug_cli/main.py
@@ -27,7 +27,7 @@
 from gradelug_config.findings import suggest
 from gradelug_config.model import Adapter, Caller, Pool, Service
 from gradelug_config.validation import check
-from gradelug_coordination import CoordinationError, Raced
+from gradelug_coordination import CoordinationError, RevisionConflict
 
 from .exceptions import (
     EXIT_DECLINED,
@@ -107,7 +107,7 @@
             revision = self._run(
                 lambda repository: repository.publish(document, base.revision, _author())
             )
-        except Raced:
+        except RevisionConflict:
             now = self._run(Repository.current)
             _show_changes(diff(base.document, now.document), json=False, out=sys.stderr)
             message = (
@@ -264,7 +264,7 @@
         async with aiohttp.ClientSession() as session:
             try:
                 return await call(EtcdKeyValue(session, address))
-            except Raced:
+            except RevisionConflict:
                 raise
             except CoordinationError as exc:
                 raise CommandError(EXIT_FAILED, f"the key-value service: {exc}") from exc
--- a/packages/cli/src/gradelug_cli/repository.py
+++ b/packages/cli/src/gradelug_cli/repository.py
@@ -8,7 +8,14 @@
 from gradelug_backends.keys import LIVE, STORE
 from gradelug_config import Document
 from gradelug_config.buckets import join, split
-from gradelug_coordination import CoordinationError, Head, KeyValue, KvBuckets, Publisher, Raced
+from gradelug_coordination import (
+    CoordinationError,
+    Head,
+    KeyValue,
+    KvBuckets,
+    Publisher,
+    RevisionConflict,
+)
 
 from .exceptions import EXIT_FAILED, CommandError
 
@@ -71,7 +78,7 @@
         buckets = {bucket.digest: bucket.content for bucket in split(document)}
         try:
             head = await self._publisher.publish(buckets, base, author)
-        except Raced:
+        except RevisionConflict:
             raise
         except CoordinationError as exc:
             message = f"the key-value service: {exc}; `gradelug status` tells what is in force"
@@ -84,7 +91,7 @@
             current = await self.current()
             try:
                 return await self.publish(edit(current.document), current.revision, author)
-            except Raced:
+            except RevisionConflict:
                 continue
         raise CommandError(EXIT_FAILED, "others keep changing the configuration; try again")
 
--- a/packages/cli/src/gradelug_cli/status.py
+++ b/packages/cli/src/gradelug_cli/status.py
@@ -8,7 +8,7 @@
 
 from gradelug_backends.keys import LIVE
 from gradelug_coordination import KeyValue
-from gradelug_coordination.membership import MEMBERS, Member
+from gradelug_coordination.membership import MEMBERS_PREFIX, Member
 from gradelug_wire import Peers, PeerUnavailable
 from gradelug_wire import control_pb2 as pb
 from gradelug_wire.facts import EngineFact, engine_name
@@ -59,7 +59,7 @@
 
 async def gather_status(kv: KeyValue, revision: int) -> Status:
     """Ask every registered scheduler."""
-    listing = await kv.list(f"{LIVE}{MEMBERS}")
+    listing = await kv.list(f"{LIVE}{MEMBERS_PREFIX}")
     status = Status(revision)
     members = [Member.decode(entry.value) for entry in listing.entries]
     status.members = [MemberStatus(m.name, m.address, m.hall, m.leaving) for m in members]
--- a/packages/coordination/src/gradelug_coordination/__init__.py
+++ b/packages/coordination/src/gradelug_coordination/__init__.py
@@ -22,12 +22,12 @@
     from .exceptions import CoordinationError as CoordinationError
     from .exceptions import KvThrottled as KvThrottled
     from .exceptions import KvUnavailable as KvUnavailable
-    from .exceptions import Raced as Raced
+    from .exceptions import RevisionConflict as RevisionConflict
     from .exceptions import WatchCompacted as WatchCompacted
     from .gossip import Fact as Fact
     from .gossip import Gossip as Gossip
-    from .grants import Account as Account
-    from .grants import GrantBook as GrantBook
+    from .grants import GrantTracker as GrantTracker
+    from .grants import HolderReport as HolderReport
     from .grants import Observation as Observation
     from .kv import ABSENT as ABSENT
     from .kv import KeyValue as KeyValue
@@ -35,7 +35,7 @@
     from .kv import KvEvent as KvEvent
     from .kv import KvListing as KvListing
     from .kv import KvSwap as KvSwap
-    from .lasting import LastingOwnership as LastingOwnership
+    from .lasting import PersistentOwnership as PersistentOwnership
     from .lease import LeaseKeeper as LeaseKeeper
     from .membership import Member as Member
     from .membership import Membership as Membership
@@ -44,7 +44,7 @@
     from .once import OnceState as OnceState
     from .once import OnceVerdict as OnceVerdict
     from .ownership import Ownership as Ownership
-    from .positions import EraWatch as EraWatch
+    from .positions import EraTracker as EraTracker
     from .positions import era_of as era_of
     from .positions import position as position
     from .positions import revision_of as revision_of
@@ -62,12 +62,12 @@
         "CoordinationError": "exceptions",
         "KvThrottled": "exceptions",
         "KvUnavailable": "exceptions",
-        "Raced": "exceptions",
+        "RevisionConflict": "exceptions",
         "WatchCompacted": "exceptions",
         "Fact": "gossip",
         "Gossip": "gossip",
-        "Account": "grants",
-        "GrantBook": "grants",
+        "HolderReport": "grants",
+        "GrantTracker": "grants",
         "Observation": "grants",
         "ABSENT": "kv",
         "KeyValue": "kv",
@@ -75,7 +75,7 @@
         "KvEvent": "kv",
         "KvListing": "kv",
         "KvSwap": "kv",
-        "LastingOwnership": "lasting",
+        "PersistentOwnership": "lasting",
         "LeaseKeeper": "lease",
         "Member": "membership",
         "Membership": "membership",
@@ -84,7 +84,7 @@
         "OnceState": "once",
         "OnceVerdict": "once",
         "Ownership": "ownership",
-        "EraWatch": "positions",
+        "EraTracker": "positions",
         "era_of": "positions",
         "position": "positions",
         "revision_of": "positions",
--- a/packages/coordination/src/gradelug_coordination/documents.py
+++ b/packages/coordination/src/gradelug_coordination/documents.py
@@ -14,10 +14,10 @@
 import uuid
 from dataclasses import asdict, dataclass, field
 
-from .exceptions import CoordinationError, CorruptBucket, Raced
-from .kv import ABSENT, KeyValue, KvEntry, swap_surely
+from .exceptions import CoordinationError, CorruptBucket, RevisionConflict
+from .kv import ABSENT, KeyValue, KvEntry, swap_and_confirm
 
-HEAD = "head"
+HEAD_KEY = "head"
 BUCKETS_PREFIX = "buckets/"
 RETAINED_REVISIONS = 16
 MAX_CONCURRENT_FETCHES = 8
@@ -102,7 +102,7 @@
 
 
 class Publisher:
-    """Publishes a document; of two concurrent changes one is accepted, the other raises `Raced`.
+    """Publishes a document; of two concurrent changes one is accepted, the other raises `RevisionConflict`.
 
     Parameters
     ----------
@@ -123,7 +123,7 @@
 
     async def head(self) -> tuple[Head, int]:
         """Return the current head and the service's revision of its record."""
-        entry = await self._kv.get(f"{self._root}{HEAD}")
+        entry = await self._kv.get(f"{self._root}{HEAD_KEY}")
         if entry is None:
             return Head(), ABSENT
         return Head.decode(entry.value), entry.revision
@@ -149,14 +149,16 @@
         """
         old, expected = await self.head()
         if old.revision != base:
-            raise Raced(old.revision)
+            raise RevisionConflict(old.revision)
         await self._write_buckets(buckets, set(old.buckets))
         head = _build_next_head(old, list(buckets), author)
         outdated = await self._find_outdated(old, head)
-        outcome = await swap_surely(self._kv, f"{self._root}{HEAD}", head.encode(), expected)
+        outcome = await swap_and_confirm(
+            self._kv, f"{self._root}{HEAD_KEY}", head.encode(), expected
+        )
         if not outcome.swapped:
             current, _ = await self.head()
-            raise Raced(current.revision)
+            raise RevisionConflict(current.revision)
         await self._delete(outdated)
         return head
 
@@ -168,7 +170,7 @@
             found = await self._kv.get(key)
             # Rewrite a bucket that exists already: this changes its revision, so that a deletion
             # which an earlier publisher has decided on does not match it.
-            await swap_surely(self._kv, key, content, found.revision if found else ABSENT)
+            await swap_and_confirm(self._kv, key, content, found.revision if found else ABSENT)
 
     async def _find_outdated(self, old: Head, head: Head) -> list[KvEntry]:
         kept = {digest for _, digest in head.retired} | set(head.buckets)
--- a/packages/coordination/src/gradelug_coordination/election.py
+++ b/packages/coordination/src/gradelug_coordination/election.py
@@ -16,10 +16,10 @@
 import logbook
 
 from .exceptions import CoordinationError
-from .kv import ABSENT, KeyValue, swap_surely
+from .kv import ABSENT, KeyValue, swap_and_confirm
 from .lease import LeaseKeeper
 from .mirror import Mirror
-from .positions import EraWatch, era_of
+from .positions import EraTracker, era_of
 
 log = logbook.Logger("election")
 CANDIDACY_JITTER_S = 0.3
@@ -157,7 +157,7 @@
         """The lease to which this instance's record was tied when it was written."""
         self._lapsed_at: float | None = None
         """Time of the first step at which the lease differed from the record's lease."""
-        self._eras = EraWatch()
+        self._eras = EraTracker()
         self._restored_at = float("-inf")
         """When the service was last observed to have been restored from a copy."""
         self._resigned = False
@@ -199,13 +199,13 @@
 
     async def step(self) -> float:
         """Perform the actions that are due and return the seconds until the next step."""
-        if self._eras.has_risen(self._mirror.revision):
+        if self._eras.has_advanced(self._mirror.revision):
             self._restored_at, self._absent_since = self._clock(), None
         if self.fence:
             return await self._step_as_holder()
         return await self._step_as_candidate()
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Give up the role because a greater fencing token of another instance was observed."""
         self.fence = 0
         self._other_holder_seen_at = self._clock()
@@ -218,7 +218,7 @@
         self._is_candidate = False
         await self._give_up_role()
 
-    async def step_aside(self) -> None:
+    async def step_down(self) -> None:
         """Give up the role to an instance with more capacity, and be a candidate again later."""
         self._candidate_from = self._clock() + STEP_DOWN_PAUSE_S
         await self._give_up_role()
@@ -247,7 +247,7 @@
         taken = record is not None and record.fence > self.fence
         lapsed = not self._resigned and self._lease.lease != self._record_lease
         if lapsed and self._may_be_restoring():
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return POLL_STEP_S
         if gone or taken or lapsed:
             log.info("duty lost", key=self._key, fence=self.fence, taken=taken, lapsed=lapsed)
@@ -262,7 +262,7 @@
         now = self._clock()
         if self._lapsed_at is None:
             self._lapsed_at = now
-        return self._mirror.looked_at < self._lapsed_at and now < self._lapsed_at + RESTORE_GRACE_S
+        return self._mirror.polled_at < self._lapsed_at and now < self._lapsed_at + RESTORE_GRACE_S
 
     def _is_from_earlier_era(self) -> bool:
         """Return whether the service has lost the record or has an older copy of it."""
@@ -283,12 +283,12 @@
             return False
         expected = record.fence if record is not None else ABSENT
         try:
-            swap = await swap_surely(self._kv, self._key, self._value, expected, lease)
+            swap = await swap_and_confirm(self._kv, self._key, self._value, expected, lease)
         except CoordinationError as exc:
             log.info("could not rewrite the election record", key=self._key, why=repr(exc))
             return True
         if not swap.swapped:
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return False
         self.fence, self._record_lease, self._lapsed_at = swap.revision, lease, None
         log.info(
@@ -318,9 +318,9 @@
         due_at = max(self._absent_since, self._restored_at + RESTORE_GRACE_S) + self._delay_s
         if now < due_at:
             return due_at - now
-        if self._mirror.looked_at < due_at and now < due_at + MAX_POLL_WAIT_S:
+        if self._mirror.polled_at < due_at and now < due_at + MAX_POLL_WAIT_S:
             # Another instance may have written the record since the mirror's last poll.
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return POLL_STEP_S
         return await self._campaign(ABSENT)
 
@@ -330,14 +330,14 @@
             if not self._lease.is_valid():
                 return RETRY_DELAY_S
             lease = self._lease.lease
-            swap = await swap_surely(self._kv, self._key, self._value, expected, lease)
+            swap = await swap_and_confirm(self._kv, self._key, self._value, expected, lease)
         except CoordinationError as exc:
             log.info("could not write the election record", key=self._key, why=repr(exc))
             return RETRY_DELAY_S
         if not swap.swapped and expected:
             # This instance's own record has expired since the mirror's last poll; other instances
             # do not replace it.
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return POLL_STEP_S
         if not swap.swapped:
             return RETRY_DELAY_S
--- a/packages/coordination/src/gradelug_coordination/exceptions.py
+++ b/packages/coordination/src/gradelug_coordination/exceptions.py
@@ -29,7 +29,7 @@
     """The service has discarded the watch's revision; list the keys and watch from there."""
 
 
-class Raced(CoordinationError):
+class RevisionConflict(CoordinationError):
     """Another writer changed the record first.
 
     Attributes
--- a/packages/coordination/src/gradelug_coordination/gossip.py
+++ b/packages/coordination/src/gradelug_coordination/gossip.py
@@ -128,7 +128,7 @@
         self._sends_per_fact = SENDS_PER_MEMBER_DOUBLING * math.ceil(math.log2(len(peers) + 2))
         return self._rng.sample(list(peers), min(PEERS_PER_ROUND, len(peers)))
 
-    def news_for(self, peer: str) -> list[Fact]:
+    def updates_for(self, peer: str) -> list[Fact]:
         """Return the facts to send to a peer: all in the first exchange, later the changed ones."""
         is_first = peer not in self._known_peers
         self._known_peers.add(peer)
@@ -144,7 +144,7 @@
                 sent.append(known.fact)
         return sent
 
-    def take_back(self, peer: str, sent: t.Iterable[Fact]) -> None:
+    def mark_undelivered(self, peer: str, sent: t.Iterable[Fact]) -> None:
         """Mark facts as not delivered to a peer, so that they are sent to it again."""
         if peer in self._new_peers:
             self._new_peers.discard(peer)
--- a/packages/coordination/src/gradelug_coordination/grants.py
+++ b/packages/coordination/src/gradelug_coordination/grants.py
@@ -1,7 +1,7 @@
 """Tracks an owner's grants: unused credits, running requests, and which keys are idle.
 
 A grant allows its holder to start a number of requests on a resource under a key until a given
-time. The owner uses `GrantBook` to decide whether the object behind a key, such as a loaded model,
+time. The owner uses `GrantTracker` to decide whether the object behind a key, such as a loaded model,
 may be removed; while that is uncertain, the key does not count as idle.
 """
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Account:
+class HolderReport:
     """A holder's report of its credits and requests under a key.
 
     Parameters
@@ -79,7 +79,7 @@
     running: int
 
 
-class GrantBook:
+class GrantTracker:
     """Records the grants of one resource.
 
     Parameters
@@ -102,12 +102,12 @@
         self._holdings: dict[str, dict[str, Holding]] = {}
         self._next_grant = first_grant
 
-    def set_predecessors_over(self, at: float) -> None:
+    def set_predecessors_expiry(self, at: float) -> None:
         """Set the time from which no grant of a former owner can be valid."""
         self._predecessors_expire_at = at + CLOCK_MARGIN_S
         self._confirmed_free.clear()
 
-    def doubt_s(self, now: float) -> float:
+    def predecessors_remaining_s(self, now: float) -> float:
         """Return how much longer grants of former owners may be valid, in seconds."""
         return max(0.0, self._predecessors_expire_at - now)
 
@@ -125,7 +125,7 @@
         holding.valid_until = max(holding.valid_until, valid_until)
         return number
 
-    def account(self, account: Account, now: float) -> None:
+    def apply_report(self, account: HolderReport, now: float) -> None:
         """Apply a holder's report.
 
         A report that was written before the holder received its latest grant neither closes the
@@ -148,7 +148,7 @@
         if not by_holder:
             del self._holdings[account.key]
 
-    def observe(self, key: str, observation: Observation) -> None:
+    def apply_observation(self, key: str, observation: Observation) -> None:
         """Apply a report of the resource about a key.
 
         If no request was running under the key after all grants of an unresponsive holder had
--- a/packages/coordination/src/gradelug_coordination/kv.py
+++ b/packages/coordination/src/gradelug_coordination/kv.py
@@ -112,7 +112,7 @@
         ...
 
 
-async def swap_surely(
+async def swap_and_confirm(
     kv: KeyValue, key: str, value: bytes, expected: int, lease: int = 0
 ) -> KvSwap:
     """Compare and swap, and determine the outcome if the answer is lost.
--- a/packages/coordination/src/gradelug_coordination/lasting.py
+++ b/packages/coordination/src/gradelug_coordination/lasting.py
@@ -30,10 +30,10 @@
 
 from .candidacy import Candidacy
 from .exceptions import CoordinationError
-from .kv import ABSENT, KeyValue, KvEntry, swap_surely
+from .kv import ABSENT, KeyValue, KvEntry, swap_and_confirm
 from .lease import LeaseKeeper
 from .mirror import Mirror
-from .positions import EraWatch, era_of
+from .positions import EraTracker, era_of
 from .rendezvous import score
 
 log = logbook.Logger("ownership")
@@ -88,7 +88,7 @@
     lease: int
 
 
-class LastingOwnership:
+class PersistentOwnership:
     """Distributes resources over instances.
 
     Parameters
@@ -155,7 +155,7 @@
         hold_off_s: float,
         wanted: t.Callable[[], t.Collection[str]],
         on_change: t.Callable[[], None] = lambda: None,
-        spacing_s: float = 0.0,
+        poll_interval_s: float = 0.0,
         candidacy: Candidacy | None = None,
     ) -> None:
         self._kv = kv
@@ -171,7 +171,7 @@
         self._hold_off_s = hold_off_s
         self._wanted = wanted
         self._on_change = on_change
-        self._takeover_stagger_s = TAKEOVER_STAGGER_S + spacing_s
+        self._takeover_stagger_s = TAKEOVER_STAGGER_S + poll_interval_s
         self._retry_at: dict[str, float] = {}
         """Earliest time of the next write of a record that another instance changed first, by
         resource."""
@@ -183,7 +183,7 @@
         self._absent_since: dict[PersistentOwnerRecord, float] = {}
         self._free_since: dict[str, float] = {}
         self._unwanted_since: dict[str, float] = {}
-        self._eras = EraWatch()
+        self._eras = EraTracker()
         self._restored_at = float("-inf")
         """When the service was last observed to have been restored from a copy."""
 
@@ -234,7 +234,7 @@
         """Return the ownership records by resource, according to the mirror."""
         prefix = f"{self._root}{OWNERS_PREFIX}"
         found = {}
-        for entry in self._mirror.below(prefix):
+        for entry in self._mirror.entries_below(prefix):
             record = _read_record(entry)
             if record is not None:
                 found[entry.key.removeprefix(prefix)] = record
@@ -243,7 +243,7 @@
     def present(self) -> set[str]:
         """Return the names of the present instances, according to the mirror."""
         prefix = f"{self._root}{PRESENCE_PREFIX}"
-        return {entry.key.removeprefix(prefix) for entry in self._mirror.below(prefix)}
+        return {entry.key.removeprefix(prefix) for entry in self._mirror.entries_below(prefix)}
 
     # Operation.
 
@@ -285,7 +285,7 @@
         is_returning = self._name in present or any(
             record.owner == self._name for record in records
         )
-        if self._candidacy.should_join(len(present), is_returning, self._mirror.hurry):
+        if self._candidacy.should_join(len(present), is_returning, self._mirror.request_poll):
             log.info(
                 "joined as a member", root=self._root, present=len(present), awaited=is_returning
             )
@@ -307,7 +307,7 @@
         found = await self._kv.get(key)
         expected = found.revision if found is not None else ABSENT
         value = json.dumps({"operation": uuid.uuid4().hex}).encode()
-        swap = await swap_surely(self._kv, key, value, expected, lease)
+        swap = await swap_and_confirm(self._kv, key, value, expected, lease)
         if swap.swapped:
             self._presence = Claim(swap.revision, lease)
             log.info("present", root=self._root, lease=lease)
@@ -351,7 +351,7 @@
 
     def _note_era(self) -> None:
         is_first = self._eras.era is None
-        if self._eras.has_risen(self._mirror.revision):
+        if self._eras.has_advanced(self._mirror.revision):
             log.warning(
                 "the store was restored; ownership records may be lost",
                 root=self._root,
@@ -418,7 +418,7 @@
         key = f"{self._root}{OWNERS_PREFIX}{name}"
         data = {"owner": self._name, "era": self._eras.era, "operation": uuid.uuid4().hex}
         value = json.dumps(data).encode()
-        swap = await swap_surely(self._kv, key, value, expected)
+        swap = await swap_and_confirm(self._kv, key, value, expected)
         if not swap.swapped:
             # The mirror does not show the latest record yet, so an immediate retry would fail too.
             self._claims.pop(name, None)
--- a/packages/coordination/src/gradelug_coordination/membership.py
+++ b/packages/coordination/src/gradelug_coordination/membership.py
@@ -6,11 +6,11 @@
 import typing as t
 from dataclasses import asdict, dataclass, replace
 
-from .kv import ABSENT, KeyValue, KvEntry, swap_surely
+from .kv import ABSENT, KeyValue, KvEntry, swap_and_confirm
 from .lease import LeaseKeeper
 from .mirror import Mirror
 
-MEMBERS = "members/"
+MEMBERS_PREFIX = "members/"
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,22 +62,22 @@
         Record of this process.
     """
 
-    __slots__ = ("_kv", "_lease", "_mirror", "_root", "me")
+    __slots__ = ("_kv", "_lease", "_mirror", "_root", "local_member")
 
     def __init__(
-        self, kv: KeyValue, root: str, mirror: Mirror, lease: LeaseKeeper, me: Member
+        self, kv: KeyValue, root: str, mirror: Mirror, lease: LeaseKeeper, local_member: Member
     ) -> None:
         self._kv = kv
         self._root = root
         self._mirror = mirror
         self._lease = lease
-        self.me = me
+        self.local_member = local_member
 
     def all(self) -> dict[str, Member]:
         """Return all members by name, including those that are leaving."""
         return {
             member.name: member
-            for member in map(_decode, self._mirror.below(f"{self._root}{MEMBERS}"))
+            for member in map(_decode, self._mirror.entries_below(f"{self._root}{MEMBERS_PREFIX}"))
             if member is not None
         }
 
@@ -89,16 +89,18 @@
         """Write this process's record if the mirrored one is missing or differs."""
         if not self._lease.lease or not self._lease.is_valid():
             return
-        key = f"{self._root}{MEMBERS}{self.me.name}"
+        key = f"{self._root}{MEMBERS_PREFIX}{self.local_member.name}"
         found = self._mirror.entries.get(key)
-        if found and found.value == self.me.encode() and found.lease == self._lease.lease:
+        if found and found.value == self.local_member.encode() and found.lease == self._lease.lease:
             return
         expected = found.revision if found else ABSENT
-        await swap_surely(self._kv, key, self.me.encode(), expected, self._lease.lease)
+        await swap_and_confirm(
+            self._kv, key, self.local_member.encode(), expected, self._lease.lease
+        )
 
     async def leave(self) -> None:
         """Mark this process as leaving."""
-        self.me = replace(self.me, leaving=True)
+        self.local_member = replace(self.local_member, leaving=True)
         await self.register()
 
 
--- a/packages/coordination/src/gradelug_coordination/mirror.py
+++ b/packages/coordination/src/gradelug_coordination/mirror.py
@@ -16,7 +16,7 @@
 log = logbook.Logger("mirror")
 INITIAL_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 5.0
-MOST_REST_S = 12.0
+MAX_POLL_DEFERRAL_S = 12.0
 """Longest interval between two polls while polls are deferred because other instances send the
 changes."""
 MIN_RELIST_INTERVAL_S = 1.0
@@ -67,11 +67,11 @@
         "_reconnected_at",
         "_deferred_until",
         "entries",
-        "looked_at",
+        "polled_at",
         "missing",
         "proven_at",
         "revision",
-        "spacing_s",
+        "poll_interval_s",
         "synced",
     )
 
@@ -81,16 +81,16 @@
         prefix: str,
         rng: random.Random,
         max_retry_delay_s: float = MAX_RETRY_DELAY_S,
-        spacing_s: float = 0.0,
+        poll_interval_s: float = 0.0,
         restore_grace_s: float = 0.0,
         is_polled: bool = False,
     ) -> None:
         self._kv = kv
         self._prefix = prefix
         self._backoff = Backoff(INITIAL_RETRY_DELAY_S, max_retry_delay_s, rng)
-        self.spacing_s = spacing_s
+        self.poll_interval_s = poll_interval_s
         self._deferred_until = float("-inf")
-        self.looked_at = float("-inf")
+        self.polled_at = float("-inf")
         """When the service last answered."""
         self.proven_at = float("-inf")
         """The mirror includes all changes made before this time."""
@@ -110,24 +110,24 @@
         self.synced = False
         """Whether the watch is running; False from an outage until the next listing."""
 
-    def hurry(self) -> None:
+    def request_poll(self) -> None:
         """Poll for changes without further delay."""
         self._poll_requested.set()
 
     @property
-    def is_lost(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the service failed at the last call; False before its first answer."""
         return self._disconnected_at is not None
 
-    def rest_until(self, at: float) -> None:
+    def defer_polls_until(self, at: float) -> None:
         """Defer polls until a given time, since other instances send the changes to this one."""
-        self._deferred_until = min(at, self.looked_at + MOST_REST_S)
+        self._deferred_until = min(at, self.polled_at + MAX_POLL_DEFERRAL_S)
 
     def subscribe(self, listener: t.Callable[[], None]) -> None:
         """Register a listener that is called after every change."""
         self._listeners.append(listener)
 
-    def below(self, prefix: str) -> t.Iterator[KvEntry]:
+    def entries_below(self, prefix: str) -> t.Iterator[KvEntry]:
         """Yield the entries below a prefix."""
         return (entry for key, entry in self.entries.items() if key.startswith(prefix))
 
@@ -184,7 +184,7 @@
         self.missing -= entries.keys()
         self.entries = entries
         self.revision = listing.revision
-        self.looked_at = asyncio.get_running_loop().time()
+        self.polled_at = asyncio.get_running_loop().time()
         self._note_proven(requested_at)
         self._note_reconnected()
         self._notify()
@@ -216,7 +216,7 @@
                     continue
                 self._apply_event(event)
             self.revision = max([self.revision, *(event.revision for event in events)])
-            self.looked_at = loop.time()
+            self.polled_at = loop.time()
             if self._is_polled:
                 self._note_proven(requested_at)
             self._notify()
@@ -235,11 +235,11 @@
 
     async def _wait_for_next_poll(self) -> bool:
         """Wait for the next poll; return whether a listing probably transfers less data by then."""
-        if not self.spacing_s:
+        if not self.poll_interval_s:
             return False
         loop = asyncio.get_running_loop()
         while not self._poll_requested.is_set():
-            wait_s = max(self.looked_at + self.spacing_s, self._deferred_until) - loop.time()
+            wait_s = max(self.polled_at + self.poll_interval_s, self._deferred_until) - loop.time()
             if wait_s < MIN_WAIT_S:
                 break
             try:
@@ -249,8 +249,8 @@
                 # No poll was requested; polls may have been deferred further meanwhile.
                 continue
         self._poll_requested.clear()
-        return loop.time() - self.looked_at > RELIST_AFTER_INTERVALS * max(
-            self.spacing_s, MIN_RELIST_INTERVAL_S
+        return loop.time() - self.polled_at > RELIST_AFTER_INTERVALS * max(
+            self.poll_interval_s, MIN_RELIST_INTERVAL_S
         )
 
     def _notify(self) -> None:
--- a/packages/coordination/src/gradelug_coordination/once.py
+++ b/packages/coordination/src/gradelug_coordination/once.py
@@ -17,7 +17,7 @@
 from enum import Enum, StrEnum
 
 from .exceptions import CoordinationError, KvUnavailable
-from .kv import ABSENT, KeyValue, KvSwap, swap_surely
+from .kv import ABSENT, KeyValue, KvSwap, swap_and_confirm
 
 SHARDS = 16
 MAX_INLINE_RECORDS = 400
@@ -283,7 +283,7 @@
             await self._move_to_segment(shard)
         shard.operation = uuid.uuid4().hex
         expected = self._revision if self._revision is not None else ABSENT
-        outcome: KvSwap = await swap_surely(self._kv, self._key, shard.encode(), expected)
+        outcome: KvSwap = await swap_and_confirm(self._kv, self._key, shard.encode(), expected)
         self.writes += 1
         if not outcome.swapped:
             return False
@@ -302,7 +302,7 @@
         content = json.dumps(rows, separators=(",", ":")).encode()
         # The lease outlasts every record in the segment and then deletes the segment.
         lease = await self._kv.grant_lease(self._retention_s * 1.5)
-        await swap_surely(self._kv, f"{self._key}/{name}", content, ABSENT, lease)
+        await swap_and_confirm(self._kv, f"{self._key}/{name}", content, ABSENT, lease)
         self.writes += 1
         shard.segments = [*shard.segments, (name, self._wall_clock())]
         shard.recent = kept
--- a/packages/coordination/src/gradelug_coordination/ownership.py
+++ b/packages/coordination/src/gradelug_coordination/ownership.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from .exceptions import CoordinationError
-from .kv import ABSENT, KeyValue, KvEntry, swap_surely
+from .kv import ABSENT, KeyValue, KvEntry, swap_and_confirm
 from .lease import LeaseKeeper
 from .membership import Membership
 from .mirror import Mirror
@@ -40,7 +40,7 @@
     fence: int
     lease: int = 0
     """Lease to which the record is tied."""
-    doubt_s: float = 0.0
+    predecessors_remaining_s: float = 0.0
     """How long former owners may still act after the record is read, in seconds."""
 
 
@@ -56,7 +56,7 @@
         Lease to which the record is tied.
     taken_at : float
         When the resource was acquired, by the runtime's clock, in seconds.
-    clean : bool
+    was_released : bool
         Whether the former owner released the resource; False if its lease expired.
     doubt_s : float
         How long after `taken_at` an owner before the former one may still act, in seconds.
@@ -64,9 +64,9 @@
 
     fence: int
     lease: int
-    taken_at: float
-    clean: bool
-    doubt_s: float = 0.0
+    acquired_at: float
+    was_released: bool
+    predecessors_remaining_s: float = 0.0
 
 
 class Ownership:
@@ -135,7 +135,8 @@
         """Return the ownership records by resource, according to the mirror."""
         prefix = f"{self._root}{OWNERS_PREFIX}"
         return {
-            entry.key.removeprefix(prefix): _read(entry) for entry in self._mirror.below(prefix)
+            entry.key.removeprefix(prefix): _read(entry)
+            for entry in self._mirror.entries_below(prefix)
         }
 
     def holds(self, resource: str) -> bool:
@@ -143,7 +144,7 @@
         held = self.held.get(resource)
         return held is not None and held.lease == self._lease.lease and self._lease.is_valid()
 
-    def forget_lost(self) -> list[str]:
+    def drop_lost(self) -> list[str]:
         """Drop resources lost by a lease expiry or to another member; return their names."""
         records = self.records() if self._mirror.synced else {}
         lost = []
@@ -201,7 +202,7 @@
             await self._kv.swap(self._key(resource), _encode("", doubt_s), held.fence)
 
     async def _release_if_outranked(self, resource: str, active: list[str]) -> None:
-        me = self._membership.me
+        me = self._membership.local_member
         if me.leaving:
             await self.release(resource)
             return
@@ -216,7 +217,7 @@
     async def _take_if_due(
         self, resource: str, active: list[str], free: OwnerRecord | None
     ) -> None:
-        me = self._membership.me
+        me = self._membership.local_member
         if me.leaving or me.name not in active:
             return
         since = self._free_since.setdefault(resource, self._clock())
@@ -225,14 +226,14 @@
             await self._acquire(resource, free)
 
     async def _acquire(self, resource: str, free: OwnerRecord | None) -> None:
-        value = _encode(self._membership.me.name)
+        value = _encode(self._membership.local_member.name)
         lease = self._lease.lease
         expected = free.fence if free else ABSENT
-        outcome = await swap_surely(self._kv, self._key(resource), value, expected, lease)
+        outcome = await swap_and_confirm(self._kv, self._key(resource), value, expected, lease)
         if not outcome.swapped:
             return
         self._free_since.pop(resource, None)
-        doubt_s = free.doubt_s if free else 0.0
+        doubt_s = free.predecessors_remaining_s if free else 0.0
         self.held[resource] = Held(
             outcome.revision, lease, self._clock(), free is not None, doubt_s
         )
@@ -243,9 +244,9 @@
         if record.fence <= self._released_fences.get(resource, ABSENT):
             # The mirror does not show yet that this process released the resource.
             return
-        if record.owner == self._membership.me.name and record.lease == lease:
+        if record.owner == self._membership.local_member.name and record.lease == lease:
             # The former owner is unknown, so the resource does not count as released by it.
-            self.held[resource] = Held(record.fence, lease, self._clock(), clean=False)
+            self.held[resource] = Held(record.fence, lease, self._clock(), was_released=False)
 
     def _key(self, resource: str) -> str:
         return f"{self._root}{OWNERS_PREFIX}{resource}"
--- a/packages/coordination/src/gradelug_coordination/positions.py
+++ b/packages/coordination/src/gradelug_coordination/positions.py
@@ -26,7 +26,7 @@
     return at % ERA_STEP
 
 
-class EraWatch:
+class EraTracker:
     """Detects restores of the service from an older copy by its era."""
 
     __slots__ = ("era",)
@@ -35,7 +35,7 @@
         self.era: int | None = None
         """The latest observed era, None before the first observation."""
 
-    def has_risen(self, at: int) -> bool:
+    def has_advanced(self, at: int) -> bool:
         """Record a position; return whether its era is later than the one recorded before."""
         before, self.era = self.era, era_of(at)
         return before is not None and self.era > before
--- a/packages/gateway/src/gradelug_gateway/config_freshness.py
+++ b/packages/gateway/src/gradelug_gateway/config_freshness.py
@@ -106,6 +106,6 @@
                 config=self.config,
                 age_s=round(age_s, 2),
             )
-        if not proven and self._clock() - self._mirror.looked_at >= MIN_POLL_INTERVAL_S:
-            self._mirror.hurry()
+        if not proven and self._clock() - self._mirror.polled_at >= MIN_POLL_INTERVAL_S:
+            self._mirror.request_poll()
         return proven
--- a/packages/gateway/src/gradelug_gateway/daemon.py
+++ b/packages/gateway/src/gradelug_gateway/daemon.py
@@ -16,9 +16,9 @@
     Candidacy,
     Election,
     KeyValue,
-    LastingOwnership,
     LeaseKeeper,
     Mirror,
+    PersistentOwnership,
 )
 from gradelug_http import Door, EarlyServer, HttpPool, HttpServer, Incoming, ServerLimits
 from gradelug_policy.quotas import LocalShares
@@ -201,7 +201,7 @@
             self._fleet,
             self._clock,
             self._locate,
-            self._mirror.hurry,
+            self._mirror.request_poll,
             executor,
             settings.strength,
             StoreSubscriber(
@@ -272,7 +272,7 @@
             self._rng,
             AdmissionControl(self._freshness),
             Quotas(self._directory.quota_coordinator_link, self._clock, self._rng, shares),
-            lambda: not self._mirror.is_lost,
+            lambda: not self._mirror.is_disconnected,
             Feature.SHARED_HEALTH in settings.features,
             run_recovery,
             self._usage_tally,
@@ -437,9 +437,9 @@
             return None
         return self._limit_clients.get(planner)
 
-    def _new_ownership(self) -> LastingOwnership:
+    def _new_ownership(self) -> PersistentOwnership:
         host, _ = _split_address(self.settings.addresses.peers)
-        return LastingOwnership(
+        return PersistentOwnership(
             self._kv,
             ENGINES_PREFIX,
             self._mirror,
@@ -556,7 +556,7 @@
         while True:
             await asyncio.sleep(UPKEEP_INTERVAL_S)
             self._feed.refresh()
-            self._mirror.spacing_s = (
+            self._mirror.poll_interval_s = (
                 PUBLISHER_POLL_INTERVAL_S if self._publishes_store() else self._poll_interval_s
             )
             self._fleet.forget_gone()
--- a/packages/gateway/src/gradelug_gateway/executing.py
+++ b/packages/gateway/src/gradelug_gateway/executing.py
@@ -10,7 +10,7 @@
 import typing as t
 
 import logbook
-from gradelug_coordination import LastingOwnership
+from gradelug_coordination import PersistentOwnership
 from gradelug_wire import placement_pb2 as pb
 
 from .model import AdapterKey, FleetState, Order, OrderOutcome
@@ -26,7 +26,7 @@
     ----------
     name : str
         Name of this instance.
-    ownership : LastingOwnership
+    ownership : PersistentOwnership
         The engines that this instance owns, with their fencing tokens.
     state : FleetState
         Replicas of the fleet, with their addresses.
@@ -39,7 +39,7 @@
     def __init__(
         self,
         name: str,
-        ownership: LastingOwnership,
+        ownership: PersistentOwnership,
         state: FleetState,
         transport: OrderTransport,
     ) -> None:
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -88,7 +88,7 @@
                     fence, was_acting = self.election.fence, False
                     planner.end_term()
                 if planner.is_outranked:
-                    self.election.lose()
+                    self.election.mark_lost()
                     return
                 may_act = self.election.may_act()
                 if may_act != was_acting:
@@ -102,7 +102,7 @@
                     has_stepped_aside = True
                     log.info("stepping aside for a fully capable instance", service=planner.service)
                     planner.followers.resign()
-                    await self.election.step_aside()
+                    await self.election.step_down()
                 await asyncio.sleep(ELECTION_CHECK_INTERVAL_S)
         finally:
             planner.end_term()
--- a/packages/gateway/src/gradelug_gateway/poison_record.py
+++ b/packages/gateway/src/gradelug_gateway/poison_record.py
@@ -12,7 +12,7 @@
 import typing as t
 
 import logbook
-from gradelug_coordination import CoordinationError, EraWatch, KeyValue, KvEntry, Mirror
+from gradelug_coordination import CoordinationError, EraTracker, KeyValue, KvEntry, Mirror
 from gradelug_policy.poison import EndLedger
 
 from .poison import NO_FINDINGS, PoisonFindings
@@ -60,7 +60,7 @@
         self._written = ABSENT
         """The newest entry that this instance wrote or merged."""
         self._seen_revision = 0
-        self._eras = EraWatch()
+        self._eras = EraTracker()
         self.findings = NO_FINDINGS
         """Findings of the entry."""
         self.removal_count = 0
@@ -70,7 +70,7 @@
         """Read the entry if it has changed; return whether the findings were updated."""
         entry = self._mirror.entries.get(KEY)
         revision = entry.revision if entry is not None else 0
-        if self._eras.has_risen(self._mirror.revision):
+        if self._eras.has_advanced(self._mirror.revision):
             self._seen_revision = revision
             self._rewrite_lost(entry)
             return False
--- a/packages/gateway/src/gradelug_gateway/store_updates.py
+++ b/packages/gateway/src/gradelug_gateway/store_updates.py
@@ -170,7 +170,7 @@
 
     def _new_message(self, look: bool) -> pb.StoreNews:
         return pb.StoreNews(
-            age_ms=round((self._clock() - self._mirror.looked_at) * 1000),
+            age_ms=round((self._clock() - self._mirror.polled_at) * 1000),
             look=look,
             # Rounded down: the proof holds for any earlier moment, too.
             proven_ms=math.floor(max(0.0, self._freshness.proven_at) * 1000),
@@ -258,9 +258,9 @@
         self._freshness.note_remote_proof(update.config, update.proven_ms / 1000 - clock_offset_s)
         if self._can_pause():
             pause_until = self._clock() - update.age_ms / 1000 + self._poll_interval_s
-            self._mirror.rest_until(min(pause_until, self._freshness.renew_at))
+            self._mirror.defer_polls_until(min(pause_until, self._freshness.renew_at))
         if update.look:
-            self._mirror.hurry()
+            self._mirror.request_poll()
 
     def _apply_config(self, entry: pb.ConfigEntry) -> None:
         decompressor = zlib.decompressobj()
@@ -268,11 +268,11 @@
             value = decompressor.decompress(entry.deflated, MAX_CONFIG_BYTES)
         except zlib.error as exc:
             log.error("configuration from the planner cannot be decompressed", why=str(exc))
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return
         if not decompressor.eof:
             log.error("configuration from the planner is too large or truncated", key=entry.key)
-            self._mirror.hurry()
+            self._mirror.request_poll()
             return
         self._feed.apply_remote_config(KvEntry(entry.key, value, entry.revision))
 
--- a/packages/report/src/gradelug_report/gathering.py
+++ b/packages/report/src/gradelug_report/gathering.py
@@ -9,7 +9,7 @@
 import aiohttp
 from gradelug_backends.keys import LIVE
 from gradelug_coordination import KeyValue
-from gradelug_coordination.membership import MEMBERS, Member
+from gradelug_coordination.membership import MEMBERS_PREFIX, Member
 from gradelug_objectives import Joined
 from gradelug_wire import Peers, PeerUnavailable
 from gradelug_wire import control_pb2 as pb
@@ -43,7 +43,7 @@
 
 async def find_routers(kv: KeyValue) -> list[str]:
     """Return the addresses of the routers that the schedulers have heard from."""
-    listing = await kv.list(f"{LIVE}{MEMBERS}")
+    listing = await kv.list(f"{LIVE}{MEMBERS_PREFIX}")
     members = [Member.decode(entry.value) for entry in listing.entries]
     peers = Peers()
     found: set[str] = set()
--- a/packages/scheduler/src/gradelug_scheduler/authority.py
+++ b/packages/scheduler/src/gradelug_scheduler/authority.py
@@ -136,8 +136,8 @@
         """
         if self._checks:
             return claimed_at + TRUST_S + CREDIT_TTL_S
-        lapsed_s = 0.0 if self.held.clean else self._outage_s
-        return claimed_at + max(lapsed_s, self.held.doubt_s) + CREDIT_TTL_S
+        lapsed_s = 0.0 if self.held.was_released else self._outage_s
+        return claimed_at + max(lapsed_s, self.held.predecessors_remaining_s) + CREDIT_TTL_S
 
     def _leased(self) -> bool:
         return self._lease.remaining_s() > 0
--- a/packages/scheduler/src/gradelug_scheduler/keeper.py
+++ b/packages/scheduler/src/gradelug_scheduler/keeper.py
@@ -15,7 +15,7 @@
     UpstreamUnavailable,
 )
 from gradelug_config.model import Engine, Pool
-from gradelug_coordination import Account, GrantBook, Observation
+from gradelug_coordination import GrantTracker, HolderReport, Observation
 from gradelug_policy import (
     CREDIT_TTL_S,
     Demand,
@@ -98,10 +98,10 @@
         self.authority = authority
         self._parts = parts
         self._claimed = self._took_over = not engine.checks_fences
-        self.book = GrantBook(float("inf"), CREDIT_TTL_S, authority.next_token())
+        self.book = GrantTracker(float("inf"), CREDIT_TTL_S, authority.next_token())
         if self._claimed:
-            over_at = authority.predecessors_over_at(authority.held.taken_at)
-            self.book.set_predecessors_over(over_at)
+            over_at = authority.predecessors_over_at(authority.held.acquired_at)
+            self.book.set_predecessors_expiry(over_at)
         self._popularity = Popularity(parts.slots.half_life_s)
         self._recent = Popularity(CREDIT_HALF_LIFE_S)
         self._slots = SlotTable()
@@ -140,9 +140,9 @@
         finally:
             self._waiters.drop(waiter)
 
-    def account(self, account: Account) -> bool:
+    def account(self, account: HolderReport) -> bool:
         """Take in a holder's account; tell whether it should drop its credits."""
-        self.book.account(account, self._parts.clock())
+        self.book.apply_report(account, self._parts.clock())
         slot = self._slots.residents.get(account.key)
         if slot is not None and (account.running or account.unspent):
             slot.used_at = self._parts.clock()
@@ -368,7 +368,7 @@
         self.reported = True
         # What is not resident does not run; but credits for it stay good until they end.
         for key in {*report.running, *self.book.keys()}:
-            self.book.observe(key, Observation(taken_at, report.running.get(key, 0)))
+            self.book.apply_observation(key, Observation(taken_at, report.running.get(key, 0)))
         self._slots.reconcile(report.running, taken_at, self._parts.clock())
         self._note_foreign(report)
         self.decide()
@@ -383,7 +383,7 @@
         if not self._took_over:
             self._took_over = True
             over_at = self.authority.predecessors_over_at(self._parts.clock())
-            self.book.set_predecessors_over(over_at)
+            self.book.set_predecessors_expiry(over_at)
 
     def _restarted(self, report: EngineReport, taken_at: float) -> None:
         if self._boot:
--- a/packages/scheduler/src/gradelug_scheduler/node.py
+++ b/packages/scheduler/src/gradelug_scheduler/node.py
@@ -35,7 +35,7 @@
     OnceShard,
     Ownership,
 )
-from gradelug_coordination.documents import HEAD
+from gradelug_coordination.documents import HEAD_KEY
 from gradelug_coordination.once import SHARDS
 from gradelug_runtime import Metrics, Tasks
 from gradelug_wire import Peers, PeerUnavailable
@@ -253,7 +253,7 @@
 
     def _on_mirror(self) -> None:
         self._heard_at = self.clock()
-        entry = self.mirror.entries.get(f"{LIVE}{HEAD}")
+        entry = self.mirror.entries.get(f"{LIVE}{HEAD_KEY}")
         if entry is not None:
             self.offer_head(Head.decode(entry.value))
         self._wake()
@@ -273,7 +273,7 @@
                 await asyncio.sleep(self._rng.uniform(TICK_S / 2, TICK_S))
 
     async def _reconcile(self) -> None:
-        for resource in [*self.ownership.forget_lost(), *self._outranked()]:
+        for resource in [*self.ownership.drop_lost(), *self._outranked()]:
             self.ownership.drop(resource)
             self._close_keeper(resource)
         self._keep_what_is_held()
@@ -340,7 +340,11 @@
         self._close_keeper(name)
         await keeper.finish()
         # An engine that checks tokens makes its next owner certain by itself.
-        return 0.0 if keeper.engine.checks_fences else keeper.book.doubt_s(self.clock())
+        return (
+            0.0
+            if keeper.engine.checks_fences
+            else keeper.book.predecessors_remaining_s(self.clock())
+        )
 
     async def _poll_forever(self, keeper: EngineKeeper) -> None:
         while True:
@@ -436,12 +440,12 @@
             self.metrics.count("exchanges_failed")
 
     async def _exchange_with(self, address: str) -> None:
-        news = self.gossip.news_for(address)
+        news = self.gossip.updates_for(address)
         message = self.make_sync(news)
         try:
             reply = await self.peers.call(self.peers.stub(address).Exchange, message)
         except PeerUnavailable:
-            self.gossip.take_back(address, news)
+            self.gossip.mark_undelivered(address, news)
             raise
         self.take_sync(reply)
 
--- a/packages/scheduler/src/gradelug_scheduler/permits.py
+++ b/packages/scheduler/src/gradelug_scheduler/permits.py
@@ -74,7 +74,7 @@
 
     async def acquire(self, engine: str, key: str, urgency: float) -> Permit:
         """Return a permit once there is one."""
-        request = PermitRequest(self._membership.me.name, engine, key, urgency)
+        request = PermitRequest(self._membership.local_member.name, engine, key, urgency)
         while True:
             if self.desk is not None:
                 number = await self.desk.acquire(request, PERMIT_WAIT_S)
@@ -97,7 +97,7 @@
     async def _ask_owner(self, request: PermitRequest) -> Permit | None:
         owner = self._ownership.records().get(RESOURCE)
         member = self._membership.all().get(owner.owner) if owner else None
-        if member is None or member.name == self._membership.me.name:
+        if member is None or member.name == self._membership.local_member.name:
             return await self._take_share(request)
         message = pb.PermitAsk(
             stamp=self._stamp(),
--- a/packages/scheduler/src/gradelug_scheduler/service.py
+++ b/packages/scheduler/src/gradelug_scheduler/service.py
@@ -4,7 +4,7 @@
 
 import typing as t
 
-from gradelug_coordination import Account, KvUnavailable, OnceState, OnceVerdict
+from gradelug_coordination import HolderReport, KvUnavailable, OnceState, OnceVerdict
 from gradelug_coordination.once import shard_of
 from gradelug_policy.permits import PermitRequest
 from gradelug_wire import control_pb2 as pb
@@ -122,7 +122,7 @@
             keeper = self._node.keepers.get(item.engine)
             if keeper is None:
                 continue
-            account = Account(
+            account = HolderReport(
                 holder=report.stamp.member,
                 key=item.adapter,
                 grant=item.number,
@@ -145,7 +145,7 @@
             reply = node.make_sync(gossip.since(message.cursor))
             reply.cursor = gossip.cursor
         else:
-            reply = node.make_sync(gossip.news_for(message.address))
+            reply = node.make_sync(gossip.updates_for(message.address))
         head = node.follower.head
         if message.stamp.revision < head.revision:
             reply.head = head.encode()
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,6 +1,6 @@
 """Disables one safety mechanism at a time; the state machine must then find a failure."""
 
-from gradelug_coordination import GrantBook, OnceVerdict, once
+from gradelug_coordination import GrantTracker, OnceVerdict, once
 from gradelug_coordination.documents import Follower
 from gradelug_router.once import OnceKeeper
 from gradelug_scheduler.authority import Authority
@@ -8,11 +8,11 @@
 
 
 def _unload_at_once(patch):
-    patch(GrantBook, "is_free", lambda self, key: True)
+    patch(GrantTracker, "is_free", lambda self, key: True)
 
 
 def _trust_predecessors(patch):
-    patch(GrantBook, "is_free", lambda self, key: key not in self._holdings)
+    patch(GrantTracker, "is_free", lambda self, key: key not in self._holdings)
 
 
 def _trust_silence(patch):
@@ -25,7 +25,7 @@
         now = asyncio.get_running_loop().time()
         return key in self._confirmed_free and all(now > item.valid_until for item in holdings)
 
-    patch(GrantBook, "is_free", is_free)
+    patch(GrantTracker, "is_free", is_free)
 
 
 def _no_fences(patch):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -73,7 +73,7 @@
 def test_a_configuration_proof_expires_during_suspension(suspend):
     async def main():
         clock = asyncio.get_running_loop().time
-        mirror = mock.Mock(proven_at=clock(), looked_at=clock())
+        mirror = mock.Mock(proven_at=clock(), polled_at=clock())
         freshness = ConfigFreshness(
             mirror, mock.Mock(is_config_readable=True), clock, SUSPENDED_S - 1.0
         )
--- a/tests/test_config_freshness.py
+++ b/tests/test_config_freshness.py
@@ -5,7 +5,7 @@
 import math
 
 from gradelug_coordination import KvUnavailable
-from gradelug_coordination.mirror import MOST_REST_S
+from gradelug_coordination.mirror import MAX_POLL_DEFERRAL_S
 from gradelug_gateway.config_freshness import CLOCK_MARGIN_S, MIN_POLL_INTERVAL_S, RENEW_FRACTION
 from gradelug_gateway.followers import Followers
 from gradelug_gateway.store_updates import (
@@ -177,7 +177,7 @@
             for _ in range(40):
                 await write_for(sim, 0.25)
                 oldest = max(oldest, sim.gateway.freshness.age_s)
-            assert sim.gateway.kv.polls - polls <= 1 + 10.0 / MOST_REST_S
+            assert sim.gateway.kv.polls - polls <= 1 + 10.0 / MAX_POLL_DEFERRAL_S
             assert oldest < 1.0
             await sim.stop()
 
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -6,10 +6,10 @@
 import pytest
 from gradelug_coordination import (
     ABSENT,
-    Account,
     Fact,
     Gossip,
-    GrantBook,
+    GrantTracker,
+    HolderReport,
     KvUnavailable,
     LeaseKeeper,
     Member,
@@ -23,7 +23,7 @@
     Publisher,
 )
 from gradelug_coordination.documents import RETAINED_REVISIONS
-from gradelug_coordination.kv import swap_surely
+from gradelug_coordination.kv import swap_and_confirm
 from gradelug_coordination.once import MAX_INLINE_RECORDS, digest
 from gradelug_standins.kv import MemoryKv
 from world import new_loop
@@ -71,12 +71,12 @@
         async def scenario():
             kv = MemoryKv()
             kv.faults.lose_answers = 1
-            outcome = await swap_surely(kv, "k", b"mine", ABSENT)
+            outcome = await swap_and_confirm(kv, "k", b"mine", ABSENT)
             assert outcome.swapped
             kv.faults.lose_answers = 1
             with pytest.raises(KvUnavailable):
                 await kv.swap("k", b"other", outcome.revision)
-            assert not (await swap_surely(kv, "k", b"mine again", outcome.revision)).swapped
+            assert not (await swap_and_confirm(kv, "k", b"mine again", outcome.revision)).swapped
 
         run(scenario)
 
@@ -189,7 +189,7 @@
             await asyncio.sleep(1.0)
             await ownership.reconcile(["engine"])
             assert ownership.holds("engine")
-            assert not ownership.held["engine"].clean
+            assert not ownership.held["engine"].was_released
             for task in tasks:
                 task.cancel()
 
@@ -255,7 +255,7 @@
     def exchange(self, name):
         for peer in self.nodes[name].choose_peers([m for m in self.nodes if m != name]):
             for source, target in ((name, peer), (peer, name)):
-                for fact in self.nodes[source].news_for(target):
+                for fact in self.nodes[source].updates_for(target):
                     self.nodes[target].put(fact, source)
 
     def lacking(self):
@@ -268,7 +268,7 @@
         nodes = {m: Gossip(lambda: 0.0, random.Random(m)) for m in members}
         for one in members:
             for other in members:
-                nodes[one].news_for(other)
+                nodes[one].updates_for(other)
         nodes["m0"].choose_peers(members[1:])
         nodes["m0"].put(Fact("k", 0, 1, b"v"))
         told = rounds = 0
@@ -278,7 +278,7 @@
             for name, node in nodes.items():
                 for peer in node.choose_peers([m for m in members if m != name]):
                     for source, target in ((node, peer), (nodes[peer], name)):
-                        news = source.news_for(target)
+                        news = source.updates_for(target)
                         told += len(news)
                         for fact in news:
                             nodes[target].put(fact)
@@ -296,21 +296,21 @@
     def test_an_undelivered_fact_is_sent_again(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
         gossip.choose_peers(["b", "c"])
-        gossip.news_for("b")
+        gossip.updates_for("b")
         gossip.put(Fact("k", 0, 1, b"v"))
-        told = gossip.news_for("b")
-        gossip.take_back("b", told)
-        assert gossip.news_for("b") == told
-        assert gossip.news_for("b") == []
+        told = gossip.updates_for("b")
+        gossip.mark_undelivered("b", told)
+        assert gossip.updates_for("b") == told
+        assert gossip.updates_for("b") == []
 
     def test_an_undelivered_first_exchange_is_repeated(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
         gossip.put(Fact("k", 0, 1, b"v"))
         for peer in ("a", "b", "c", "d"):
-            gossip.news_for(peer)
-        told = gossip.news_for("f")
-        gossip.take_back("f", told)
-        assert gossip.news_for("f") == told
+            gossip.updates_for(peer)
+        told = gossip.updates_for("f")
+        gossip.mark_undelivered("f", told)
+        assert gossip.updates_for("f") == told
 
     def test_a_later_owner_outranks_any_version_of_an_earlier_one(self):
         gossip = Gossip(lambda: 0.0, random.Random(1))
@@ -328,27 +328,27 @@
 
 class TestGrantBook:
     def test_a_holder_report_from_before_the_latest_grant_closes_nothing(self):
-        book = GrantBook(taken_at=-10.0, max_validity_s=2.0)
+        book = GrantTracker(taken_at=-10.0, max_validity_s=2.0)
         book.note_created("k", 0.0)
         first = book.issue("r", "k", 1, 2.0)
         book.issue("r", "k", 1, 3.0)
-        book.account(Account("r", "k", first, closed=True), 1.0)
+        book.apply_report(HolderReport("r", "k", first, closed=True), 1.0)
         assert not book.is_free("k")
 
     def test_an_observation_from_before_a_grants_end_frees_nothing(self):
-        book = GrantBook(taken_at=-10.0, max_validity_s=2.0)
+        book = GrantTracker(taken_at=-10.0, max_validity_s=2.0)
         book.note_created("k", 0.0)
         book.issue("r", "k", 1, 2.0)
-        book.observe("k", Observation(taken_at=2.1, running=0))
+        book.apply_observation("k", Observation(taken_at=2.1, running=0))
         assert not book.is_free("k")
-        book.observe("k", Observation(taken_at=2.3, running=0))
+        book.apply_observation("k", Observation(taken_at=2.3, running=0))
         assert book.is_free("k")
 
     def test_a_new_owner_waits_for_its_predecessors_grants(self):
-        book = GrantBook(taken_at=0.0, max_validity_s=2.0)
-        book.observe("k", Observation(taken_at=2.0, running=0))
+        book = GrantTracker(taken_at=0.0, max_validity_s=2.0)
+        book.apply_observation("k", Observation(taken_at=2.0, running=0))
         assert not book.is_free("k")
-        book.observe("k", Observation(taken_at=2.3, running=0))
+        book.apply_observation("k", Observation(taken_at=2.3, running=0))
         assert book.is_free("k")
 
 
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -192,7 +192,7 @@
         async def scenario():
             cand = Candidate(MemoryKv(), "n0", hold_off_s=3.0)
             await asyncio.sleep(1.0)
-            cand.election.lose()
+            cand.election.mark_lost()
             assert not cand.election.may_act()
             await cand.die()
 
@@ -233,7 +233,7 @@
             fence = weak.election.fence
             strong = Candidate(kv, "strong", outlasts=True)
             await asyncio.sleep(1.0)
-            await weak.election.step_aside()
+            await weak.election.step_down()
             assert holders([weak]) == [weak]
             await asyncio.sleep(1.0)
             assert holders([weak, strong]) == [strong]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -267,7 +267,7 @@
             world.kill(successor)
             await asyncio.sleep(5.0)
             held = owner_of(world, "e3").node.keepers["e3"].authority.held
-            assert held.clean
+            assert held.was_released
             assert held.doubt_s > 90.0
 
         run_world(scenario)
@@ -459,7 +459,7 @@
     def test_peers_that_have_met_are_not_told_everything_again(self, monkeypatch):
         """Whoever asked was looked up by its name and remembered by its address."""
         told = []
-        news_for = Gossip.news_for
+        news_for = Gossip.updates_for
 
         def spy(self, peer):
             told.append((len(news_for(self, peer)), len(self.facts())))
@@ -549,7 +549,7 @@
     def test_of_two_racing_operators_one_is_told(self):
         async def scenario(world):
             from gradelug_backends.keys import LIVE, STORE
-            from gradelug_coordination import Publisher, Raced
+            from gradelug_coordination import Publisher, RevisionConflict
 
             publishers = [Publisher(world.kv, LIVE, STORE) for _ in range(2)]
             base = world.revision
@@ -557,7 +557,7 @@
                 *(p.publish({}, base, f"op-{n}") for n, p in enumerate(publishers)),
                 return_exceptions=True,
             )
-            assert sum(isinstance(outcome, Raced) for outcome in outcomes) == 1
+            assert sum(isinstance(outcome, RevisionConflict) for outcome in outcomes) == 1
             world.revision += 1
 
         run_world(scenario)
@@ -575,7 +575,7 @@
     """With a mechanism taken out, a failure must come through: the checks can fail."""
 
     def test_without_the_book_an_adapter_is_unloaded_under_a_request(self, monkeypatch):
-        monkeypatch.setattr(keeper.GrantBook, "is_free", lambda self, key: True)
+        monkeypatch.setattr(keeper.GrantTracker, "is_free", lambda self, key: True)
         with pytest.raises(AssertionError, match="unloaded under"):
             TestNeverUnloadedUnderARequest().test_adapters_in_use_stay_while_others_wait_for_their_slot()
 
@@ -635,7 +635,7 @@
             TestNeverUnloadedUnderARequest().test_an_order_to_unload_that_comes_late_is_fenced_off()
 
     def test_without_the_engines_word_a_silent_router_blocks_for_ever(self, monkeypatch):
-        monkeypatch.setattr(keeper.GrantBook, "observe", lambda self, key, seen: None)
+        monkeypatch.setattr(keeper.GrantTracker, "observe", lambda self, key, seen: None)
         with pytest.raises(AssertionError):
             TestNeverUnloadedUnderARequest().test_a_killed_router_holds_an_adapter_only_until_the_engine_confirms(
                 "e1"
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gradelug_config.model import Engine, Pool
-from gradelug_coordination import Account
+from gradelug_coordination import HolderReport
 from gradelug_coordination.ownership import Held
 from gradelug_runtime import Metrics, StatsdSettings
 from gradelug_scheduler.authority import Authority
@@ -35,7 +35,7 @@
         clock = asyncio.get_running_loop().time
         self.stub = StubEngine("e", EngineSpec(slots=2, checks_fences=checks_fences))
         engine = Engine("e", "http://127.0.0.1:1", "h", checks_fences)
-        held = Held(fence=fence, lease=1, taken_at=clock(), clean=True)
+        held = Held(fence=fence, lease=1, acquired_at=clock(), was_released=True)
         parts = KeeperParts(
             control=self.stub,
             store=Store(),
@@ -78,7 +78,7 @@
             await later.settle(6.0)
             granted = await later.ask("a0")
             assert granted.number > max(numbers)
-            later.keeper.account(Account("r1", "a0", max(numbers), closed=True))
+            later.keeper.account(HolderReport("r1", "a0", max(numbers), closed=True))
             assert not later.keeper.book.is_free("a0")
 
         run(scenario)
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from gradelug_coordination import Candidacy, KvUnavailable, LastingOwnership, LeaseKeeper, Mirror
+from gradelug_coordination import Candidacy, KvUnavailable, LeaseKeeper, Mirror, PersistentOwnership
 from gradelug_standins.kv import MemoryKv
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
@@ -73,7 +73,7 @@
         rng = random.Random(self.name)
         mirror = Mirror(self.path, "", rng, 0.5, self.spacing_s)
         self.lease = LeaseKeeper(self.path, TTL_S, clock, rng)
-        self.ownership = LastingOwnership(
+        self.ownership = PersistentOwnership(
             self.path,
             "e/",
             mirror,
@@ -82,7 +82,7 @@
             clock,
             HOLD_OFF_S,
             lambda: RESOURCES,
-            spacing_s=self.spacing_s,
+            poll_interval_s=self.spacing_s,
             candidacy=self._new_candidacy(clock, rng),
         )
         self.tasks = [
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -17,7 +17,7 @@
     Mirror,
     WatchCompacted,
 )
-from gradelug_coordination.kv import swap_surely
+from gradelug_coordination.kv import swap_and_confirm
 from gradelug_http import HttpPool, ServerLimits
 from gradelug_platform.store import CALL_TIMEOUT_S, MAX_RESPONSE_S, PlatformStore
 from hypothesis import given, settings
@@ -146,7 +146,7 @@
         async def scenario():
             fake = ConnectedFakeStore()
             fake.lost_response_count = 1
-            swap = await swap_surely(fake.store, "k", b"mine", ABSENT)
+            swap = await swap_and_confirm(fake.store, "k", b"mine", ABSENT)
             assert swap.swapped
             assert (await fake.kv.get("k")).revision == swap.revision
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -198,7 +198,7 @@
     def may_act(self):
         return True
 
-    async def step_aside(self):
+    async def step_down(self):
         self.aside += 1
 
 
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -15,7 +15,7 @@
     era_of,
     position,
 )
-from gradelug_coordination.kv import swap_surely
+from gradelug_coordination.kv import swap_and_confirm
 from gradelug_gateway.feed import EXPIRED_ENTRY_GRACE_S, STALE_RESTORE_GRACE_S, Feed
 from gradelug_gateway.model import FleetState
 from gradelug_http import HttpPool, ServerLimits
@@ -310,7 +310,7 @@
             stand_in.era = 2
             await stand_in.store.get("k")
             stand_in.era = era
-            swap = await swap_surely(stand_in.store, "k", b"1", ABSENT)
+            swap = await swap_and_confirm(stand_in.store, "k", b"1", ABSENT)
             assert era_of(swap.revision) == 2
 
         run(scenario)
--- a/tests/test_store_updates.py
+++ b/tests/test_store_updates.py
@@ -8,7 +8,7 @@
 
 import pytest
 from gradelug_coordination import KvEntry, Mirror
-from gradelug_coordination.mirror import MOST_REST_S
+from gradelug_coordination.mirror import MAX_POLL_DEFERRAL_S
 from gradelug_gateway.config_freshness import ConfigFreshness
 from gradelug_gateway.feed import Feed, MalformedEntry, NewestVersion
 from gradelug_gateway.followers import Followers
@@ -157,7 +157,7 @@
             await conn.write_for(1.0)
             assert "e0" not in replicas
             assert conn.gateway.kv.polls == polls
-            await conn.write_for(MOST_REST_S * 2)
+            await conn.write_for(MAX_POLL_DEFERRAL_S * 2)
             assert set(replicas) == {"e1", "other"}
             assert conn.gateway.kv.polls <= polls + 3
             await conn.stop()
@@ -176,7 +176,7 @@
             assert conn.gateway.state.snapshot.version == 5
             assert (conn.gateway.kv.polls == polls) == forwards
             # A later poll of the gateway itself must not change anything.
-            await conn.write_for(MOST_REST_S * 1.5)
+            await conn.write_for(MAX_POLL_DEFERRAL_S * 1.5)
             assert conn.gateway.state.snapshot.version == 5
             await conn.stop()
 
