--- a/packages/cli/src/gradelug_cli/repository.py
+++ b/packages/cli/src/gradelug_cli/repository.py
@@ -69,7 +69,7 @@
 
         Raises
         ------
-        Raced
+        RevisionConflict
             If another revision is in force.
         CommandError
             If the service does not answer; the message says whether the change may be in
--- a/packages/config/src/gradelug_config/exceptions.py
+++ b/packages/config/src/gradelug_config/exceptions.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    findings : tuple of Finding
+    findings : tuple of ReplicaHealth
         Everything that is wrong with it, in the order of the document.
     """
 
--- a/packages/coordination/src/gradelug_coordination/documents.py
+++ b/packages/coordination/src/gradelug_coordination/documents.py
@@ -142,7 +142,7 @@
 
         Raises
         ------
-        Raced
+        RevisionConflict
             If the current revision is not `base`.
         KvUnavailable
             If it is unknown whether the change was accepted; read the head later to find out.
--- a/packages/gateway/src/gradelug_gateway/abandoned_runs.py
+++ b/packages/gateway/src/gradelug_gateway/abandoned_runs.py
@@ -59,7 +59,7 @@
     ----------
     transport : RunTransport
         Stops runs and queries engines for the runs that they have.
-    meters : Meters
+    meters : GatewayMetrics
         Metrics of abandoned runs.
     clock : callable
         The runtime's clock.
@@ -152,7 +152,7 @@
             after_s = round(self._clock() - run.abandoned_at, 3)
             log.info("abandoned run stopped", id=ident, replica=replica.name, after_s=after_s)
             self._meters.count_abandoned_run("stopped")
-            await self._transport.free(replica, reply.handle)
+            await self._transport.release(replica, reply.handle)
             return True
         has_ended = reply.outcome is MoveOutcome.UNREACHED or (
             reply.outcome is MoveOutcome.NO_RUN and await self._has_ended_since(run)
--- a/packages/gateway/src/gradelug_gateway/copy_targets.py
+++ b/packages/gateway/src/gradelug_gateway/copy_targets.py
@@ -85,7 +85,7 @@
             if rep.name != source.name and self._fleet.health(rep.name).circuit.allows(now)
             # A rate-limited engine would delay the resumed run.
             and self._fleet.limits.rate(rep.name) is None
-            and not self._fleet.rests.left_s(rep)
+            and not self._fleet.rests.remaining_s(rep)
             and self._weights.may_provide(rep, versions, key)
         ]
         name = choose_target(targets, max_used)
--- a/packages/gateway/src/gradelug_gateway/directory.py
+++ b/packages/gateway/src/gradelug_gateway/directory.py
@@ -181,7 +181,7 @@
             Name of the service.
         key : AdapterKey
             Model and adapter.
-        wish : Wish
+        wish : PlacementPriority
             Urgency, value and deadlines of the request.
         excluded : collection of str
             Names of replicas that must not run it.
--- a/packages/gateway/src/gradelug_gateway/error_responses.py
+++ b/packages/gateway/src/gradelug_gateway/error_responses.py
@@ -35,7 +35,7 @@
         Forwards a replica's error response.
     admitter : AdmissionControl
         Provides the version and age of the configuration, for the log.
-    meters : Meters
+    meters : GatewayMetrics
         Request metrics.
     clock : callable
         Returns the event loop's time, in seconds.
--- a/packages/gateway/src/gradelug_gateway/fair_queue.py
+++ b/packages/gateway/src/gradelug_gateway/fair_queue.py
@@ -71,7 +71,7 @@
         Returns the maximum age of reported engine loads, in seconds.
     is_on : bool
         Whether fair sharing is enabled; otherwise requests keep the order of their arrival.
-    order : Order
+    order : SchedulingOrder
         Policy that orders requests by the shares of their owners.
     """
 
@@ -234,15 +234,15 @@
             return False
         return self.yields(waiter) or self._board.is_over(waiter.ask.organisation)
 
-    def standing(self, waiter: Waiter, now: float) -> pb.FairShare | None:
+    def standing(self, waiter: Waiter, now: float) -> pb.Standing | None:
         """Return the shares that decided when a request was answered; None if it did not wait."""
         board = self._board
         if board is None or now <= waiter.asked_at:
             return None
         party = _party(waiter)
-        owner_standing = board.owners.standing(party.owner)
+        owner_standing = board.owners.fair_share(party.owner)
         oldest = min(self._received_at.values(), default=now)
-        return pb.FairShare(
+        return pb.Standing(
             part=owner_standing.part,
             fair=owner_standing.fair,
             yields=self.yields(waiter),
@@ -280,7 +280,7 @@
             return
         self._logged_at = now
         largest = max(queues, key=lambda party: len(queues[party]))
-        owner_standing = self._board.owners.standing(largest.owner)
+        owner_standing = self._board.owners.fair_share(largest.owner)
         log.info(
             "refused requests beyond the fair share of their owner",
             refused=refused,
--- a/packages/gateway/src/gradelug_gateway/fleet.py
+++ b/packages/gateway/src/gradelug_gateway/fleet.py
@@ -243,7 +243,7 @@
 
     def is_unavailable(self, replica: Replica) -> bool:
         """Return whether nothing may be sent to a replica now: it is leaving or resting."""
-        return self.state.is_leaving(replica) or self.rests.left_s(replica) > 0
+        return self.state.is_leaving(replica) or self.rests.remaining_s(replica) > 0
 
     def health(self, replica: str) -> Health:
         """Return the request outcomes of a replica, a new record if there is none."""
@@ -310,7 +310,7 @@
         if not self.rests.max_active_count:
             return []
         candidates = itertools.chain(self.holders(service, key), self.usable(service))
-        names = (rep.name for rep in candidates if self.rests.left_s(rep))
+        names = (rep.name for rep in candidates if self.rests.remaining_s(rep))
         return list(dict.fromkeys(itertools.islice(names, MAX_LISTED_RESTING)))
 
     def holders(self, service: str, key: AdapterKey) -> list[Replica]:
@@ -377,7 +377,7 @@
             for rep in replicas
             if rep.name not in excluded
             and (only is None or rep.name in only)
-            and not self.rests.left_s(rep)
+            and not self.rests.remaining_s(rep)
         ]
         if len(candidates) > MAX_SAMPLED_REPLICAS:
             candidates = self._rng.sample(candidates, MAX_SAMPLED_REPLICAS)
--- a/packages/gateway/src/gradelug_gateway/followers.py
+++ b/packages/gateway/src/gradelug_gateway/followers.py
@@ -61,7 +61,7 @@
         Connection number, unique during this planner's lifetime.
     instance, address : str
         Name of the gateway's instance, and its ``IP:port``.
-    pending : Pending or None
+    pending : PendingUpdate or None
         Merges updates until the gateway reads them.
     """
 
--- a/packages/gateway/src/gradelug_gateway/gauges.py
+++ b/packages/gateway/src/gradelug_gateway/gauges.py
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    meters : Meters
+    meters : GatewayMetrics
         Metrics to which the gauges are added.
     sources : GaugeSources
         Components whose state is read.
--- a/packages/gateway/src/gradelug_gateway/handover.py
+++ b/packages/gateway/src/gradelug_gateway/handover.py
@@ -134,7 +134,7 @@
 
     async def _query_remaining_time(self, rep: Replica) -> None:
         """Query the remaining time of an engine, since its notice may be outdated."""
-        remaining_s = await self._transport.ends_in_s(rep)
+        remaining_s = await self._transport.remaining_s(rep)
         if remaining_s is None or rep.name not in self._ends_at:
             return
         ends_at = self._clock() + remaining_s - REPORT_LAG_S
@@ -205,7 +205,7 @@
                 run.job.has_reserved_retry = True
                 await self._stop_and_resume(run, target, copy_handle)
             elif copy_handle:
-                await self._transport.free(target, copy_handle)
+                await self._transport.release(target, copy_handle)
         finally:
             self._moving.discard(run)
 
@@ -220,10 +220,10 @@
         finally:
             run.handover.set_result(found)
         if found is not None and not self._is_active(run) and run.resumed_from is not found:
-            await self._transport.free(run.replica, found.ident)
+            await self._transport.release(run.replica, found.ident)
         if reply.outcome is MoveOutcome.NO_RUN and copy_handle:
             # The run completed in the meantime.
-            await self._transport.free(target, copy_handle)
+            await self._transport.release(target, copy_handle)
 
     async def _request_move(self, run: Run, target: Replica, last: bool) -> MoveReply:
         """Ask an engine to copy a run's memory; retry if it is busy or does not respond."""
--- a/packages/gateway/src/gradelug_gateway/loader.py
+++ b/packages/gateway/src/gradelug_gateway/loader.py
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    term : Term
+    term : PlannerTerm
         Term under which it was decided.
     engine : Engine
         Engine that loads the adapter.
--- a/packages/gateway/src/gradelug_gateway/placement.py
+++ b/packages/gateway/src/gradelug_gateway/placement.py
@@ -123,7 +123,7 @@
 
     Parameters
     ----------
-    duties : mapping of str to Duty
+    duties : mapping of str to PlannerRole
         Planner roles by service.
     locate : callable
         Returns the address of a service's planner as known here, or None.
--- a/packages/gateway/src/gradelug_gateway/plain_placement.py
+++ b/packages/gateway/src/gradelug_gateway/plain_placement.py
@@ -49,7 +49,7 @@
         Returns the event loop's time, in seconds.
     rng : Random
         Source of randomness for shares and jitter.
-    meters : Meters
+    meters : GatewayMetrics
         Counts requests that wait for capacity.
     uses_shared_health : bool
         Whether requests are balanced by the health data that all instances share; otherwise the
@@ -185,7 +185,7 @@
     def _available(self, job: Job) -> list[Replica]:
         """Return the usable replicas of a request's service that are not in backoff."""
         usable = self._fleet.usable(job.service.name)
-        return [rep for rep in usable if not self._fleet.rests.left_s(rep)]
+        return [rep for rep in usable if not self._fleet.rests.remaining_s(rep)]
 
     def _choose(self, job: Job) -> Replica | None:
         usable = self._available(job)
--- a/packages/gateway/src/gradelug_gateway/poison.py
+++ b/packages/gateway/src/gradelug_gateway/poison.py
@@ -163,7 +163,7 @@
         for found in self._ledger.judge(now):
             log.info(
                 "local ledger would block request",
-                fingerprint=format_fingerprint(found.mark),
+                fingerprint=format_fingerprint(found.fingerprint),
                 ends=found.ends,
             )
         while self.observations and now - self.observations[0].at > END_TTL_S:
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -154,7 +154,7 @@
         for found in ledger.judge(now, END_GATHER_S):
             log.warning(
                 "blocked",
-                fingerprint=format_fingerprint(found.mark),
+                fingerprint=format_fingerprint(found.fingerprint),
                 ends=found.ends,
                 score=round(found.score, 2),
             )
--- a/packages/gateway/src/gradelug_gateway/ports.py
+++ b/packages/gateway/src/gradelug_gateway/ports.py
@@ -52,7 +52,7 @@
         """Copy the KV cache of a run to another engine; with `last`, stop the run as well."""
         ...
 
-    async def ends_in_s(self, replica: Replica) -> float | None:
+    async def remaining_s(self, replica: Replica) -> float | None:
         """Return the time until an engine is removed, in seconds; None if unknown."""
         ...
 
@@ -64,7 +64,7 @@
         """Return the weights that an engine holds; None if it does not report them."""
         ...
 
-    async def free(self, replica: Replica, handle: str) -> None:
+    async def release(self, replica: Replica, handle: str) -> None:
         """Release the copy of a KV cache that an engine keeps under a handle."""
         ...
 
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -57,7 +57,7 @@
     value: float = 1.0
     until: float = math.inf
     service: str = ""
-    mark: int = 0
+    fingerprint: int = 0
 
 
 DEFAULT_APPLICANT = QuotaApplicant()
@@ -158,7 +158,7 @@
             Prompt tokens and maximum answer tokens that the request states; 0 for none.
         until : float
             Deadline for waiting for a coordinator, by the runtime's clock.
-        applicant : Applicant
+        applicant : CapacityRequest
             The request's priority.
 
         Returns
@@ -268,7 +268,7 @@
             value=applicant.value,
             wait_ms=self._wait_ms(applicant.until),
             service=applicant.service,
-            mark=applicant.mark,
+            mark=applicant.fingerprint,
         )
         fut = self._futures[ask.ticket] = asyncio.get_running_loop().create_future()
         self._unsent.append(ask)
--- a/packages/gateway/src/gradelug_gateway/replicas.py
+++ b/packages/gateway/src/gradelug_gateway/replicas.py
@@ -134,7 +134,7 @@
         Newest version of weights that were replaced at least once, by key.
     change : int
         Counter that grows with every change of the replicas.
-    departures : Departures
+    departures : DrainingReplicas
         Incarnations of replicas that are shutting down or have ended.
     namings : VersionAnnouncements
         When newest versions were published.
--- a/packages/gateway/src/gradelug_gateway/rests.py
+++ b/packages/gateway/src/gradelug_gateway/rests.py
@@ -61,7 +61,7 @@
                 kept=self._is_on,
             )
 
-    def left_s(self, replica: Replica) -> float:
+    def remaining_s(self, replica: Replica) -> float:
         """Return the remaining backoff of a replica, in seconds."""
         if not (self._is_on and self._rests):
             return 0.0
@@ -73,14 +73,14 @@
             return 0.0
         min_s = math.inf
         for rep in replicas:
-            min_s = min(min_s, self.left_s(rep))
+            min_s = min(min_s, self.remaining_s(rep))
             if not min_s:
                 break
         return 0.0 if math.isinf(min_s) else min_s
 
     def drop_expired(self) -> None:
         """Remove expired backoffs."""
-        self._rests.keep(self._clock())
+        self._rests.prune(self._clock())
 
     @property
     def active_count(self) -> int:
--- a/packages/gateway/src/gradelug_gateway/run_weights.py
+++ b/packages/gateway/src/gradelug_gateway/run_weights.py
@@ -223,4 +223,4 @@
         replicas = self._fleet.state.replicas.values()
         # The engine that produced the memory frees it on both engines.
         source = next((rep for rep in replicas if rep.address == copy.source), copy.holder)
-        await self._transport.free(source, copy.ident)
+        await self._transport.release(source, copy.ident)
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -133,7 +133,7 @@
         The engines and their state.
     transport : RunTransport
         Asks engines to move and stop runs.
-    meters : Meters
+    meters : GatewayMetrics
         Metrics of resumed and abandoned runs.
     clock : callable
         The runtime's clock.
--- a/packages/gateway/src/gradelug_gateway/sending.py
+++ b/packages/gateway/src/gradelug_gateway/sending.py
@@ -87,7 +87,7 @@
         Tracks which weights are in use.
     pool : HttpPool
         Connections to replicas.
-    meters : Meters
+    meters : GatewayMetrics
         Request metrics.
     clock : callable
         Returns the event loop's time, in seconds.
@@ -329,7 +329,7 @@
                 "not sent", id=job.req.id, replica=replica.name, why="the replica is shutting down"
             )
             return Outcome.NOT_SENT
-        rest_s = self._fleet.rests.left_s(replica)
+        rest_s = self._fleet.rests.remaining_s(replica)
         if not rest_s:
             return None
         self._fleet.rests.denied_count += 1
--- a/packages/gateway/src/gradelug_gateway/serving.py
+++ b/packages/gateway/src/gradelug_gateway/serving.py
@@ -68,7 +68,7 @@
         Sends requests to replicas.
     budgets : RetryBudgets
         Retry budget of this instance for each service.
-    meters : Meters
+    meters : GatewayMetrics
         Request metrics.
     clock : callable
         Returns the event loop's time, in seconds.
@@ -401,7 +401,7 @@
     async def _place_at_kv_copy(self, job: Job, copy: KvCopy, key: AdapterKey) -> Replica:
         """Return the engine that holds a run's saved KV cache, once it has the weights loaded."""
         holder = copy.holder
-        rest_s = self._fleet.rests.left_s(holder)
+        rest_s = self._fleet.rests.remaining_s(holder)
         if rest_s > MAX_BACKOFF_WAIT_S:
             raise Refused("the engine with the saved KV cache is in backoff", rest_s)
         if rest_s:
@@ -494,7 +494,7 @@
         """Return whether a request may wait for capacity at a replica that was full."""
         if not self._plain_placer.is_queueing_enabled or job.service.engine is not None:
             return False
-        if self._fleet.rests.left_s(replica):
+        if self._fleet.rests.remaining_s(replica):
             return False
         return not self._plain_placer.has_alternative(job) and self._budgets.has_retry(
             job.service.name
--- a/packages/gateway/src/gradelug_gateway/share_tally.py
+++ b/packages/gateway/src/gradelug_gateway/share_tally.py
@@ -63,7 +63,7 @@
     ----------
     clock : callable
         Returns the time of the runtime's clock, in seconds.
-    meters : Meters
+    meters : GatewayMetrics
         Metrics of tokens and waiting times by organisation.
     has_organisations : callable
         Returns whether the configuration in force names any organisations.
--- a/packages/gateway/src/gradelug_gateway/shared_health.py
+++ b/packages/gateway/src/gradelug_gateway/shared_health.py
@@ -277,13 +277,13 @@
             finding = self._findings.get((replica, hall))
             if finding is not None and finding.prober != follower.instance:
                 # Only ejection counts: shifting load after a few failures delays other engines.
-                cost_s = max(cost_s, EJECTED_COST_S * finding.held_back)
+                cost_s = max(cost_s, EJECTED_COST_S * finding.diverted_fraction)
         return cost_s
 
     def ejection_penalty_s(self, replica: str) -> float:
         """Return the additional cost of placing weights on an ejected engine, in seconds."""
         finding = self._findings.get((replica, ""))
-        return EJECTED_COST_S * finding.held_back if finding is not None else 0.0
+        return EJECTED_COST_S * finding.diverted_fraction if finding is not None else 0.0
 
     def _is_used(self, replica: str) -> bool:
         engine = self._engines.get(replica)
@@ -292,11 +292,11 @@
     def _is_due(self, key: tuple[str, str], finding: ReplicaHealth, now: float) -> bool:
         current = _SentVerdict(
             round(finding.failing / FAILING_RATE_STEP),
-            finding.held_back,
+            finding.diverted_fraction,
             finding.prober,
             (
-                round(math.log(finding.took_s * 1000, RESPONSE_TIME_STEP_RATIO))
-                if finding.took_s
+                round(math.log(finding.mean_time_s * 1000, RESPONSE_TIME_STEP_RATIO))
+                if finding.mean_time_s
                 else 0
             ),
             now,
@@ -348,9 +348,9 @@
         replica=finding.replica,
         hall=finding.hall,
         failing=finding.failing,
-        ejected=finding.held_back >= 1,
-        held_back=finding.held_back,
+        ejected=finding.diverted_fraction >= 1,
+        held_back=finding.diverted_fraction,
         sources=finding.sources,
         prober=finding.prober,
-        took_ms=finding.took_s * 1000,
+        took_ms=finding.mean_time_s * 1000,
     )
--- a/packages/gateway/src/gradelug_gateway/wait_policy.py
+++ b/packages/gateway/src/gradelug_gateway/wait_policy.py
@@ -69,7 +69,7 @@
             and rep.name not in job.excluded
             and (only is None or rep.name in only)
             and self._fleet.limits.rate(rep.name) is None
-            and not self._fleet.rests.left_s(rep)
+            and not self._fleet.rests.remaining_s(rep)
             for rep in self._fleet.usable(job.service.name)
         )
 
--- a/packages/gateway/src/gradelug_gateway/weight_queue.py
+++ b/packages/gateway/src/gradelug_gateway/weight_queue.py
@@ -91,7 +91,7 @@
         version: int,
         load: pb.Load,
         kept_tokens: int = 0,
-        standing: pb.FairShare | None = None,
+        standing: pb.Standing | None = None,
         has_room: bool = False,
     ) -> None:
         """Answer with the replica at which the request is placed.
@@ -106,7 +106,7 @@
             Current load of the replica.
         kept_tokens : int
             Tokens of the prompt that are in the replica's prefix cache.
-        standing : pb.Standing or None
+        standing : pb.FairShare or None
             The values by which the request was ranked, for the log.
         has_room : bool
             Whether capacity was reserved for it at a rate-limited replica.
@@ -128,7 +128,7 @@
         ready_s: float,
         now: float,
         why: str = TOO_LATE_REASON,
-        standing: pb.FairShare | None = None,
+        standing: pb.Standing | None = None,
     ) -> None:
         """Answer that the request is refused, and when to retry it.
 
@@ -140,7 +140,7 @@
             Current time by the event loop's clock.
         why : str
             Reason that is sent to the gateway.
-        standing : pb.Standing or None
+        standing : pb.FairShare or None
             The values by which the request was ranked, for the log.
         """
         retry_s = max(
--- a/packages/policy/src/gradelug_policy/poison.py
+++ b/packages/policy/src/gradelug_policy/poison.py
@@ -77,7 +77,7 @@
         Sum of its weights at ends that no other request explains.
     """
 
-    mark: bytes
+    fingerprint: bytes
     ends: int
     score: float
 
--- a/packages/policy/src/gradelug_policy/refusals.py
+++ b/packages/policy/src/gradelug_policy/refusals.py
@@ -38,7 +38,7 @@
     waits_s: float = math.inf
     service: str = ""
     value: float = 1.0
-    mark: int = 0
+    fingerprint: int = 0
 
 
 UNKNOWN_CALLER = Caller()
@@ -64,18 +64,18 @@
 
     def find(self, organisation: str, caller: Caller, now: float) -> QuotaRefusal | None:
         """Return the earlier refusal of a caller, None if there is none."""
-        if not caller.mark:
+        if not caller.fingerprint:
             return None
-        known = self._known.get((organisation, caller.mark))
+        known = self._known.get((organisation, caller.fingerprint))
         if known is None or abs(known.waits_until - now - caller.waits_s) > MATCH_TOLERANCE_S:
             return None
         return known
 
     def note(self, organisation: str, caller: Caller, retry_at: float, now: float) -> None:
         """Record the retry time given to a caller."""
-        if not caller.mark or math.isinf(caller.waits_s):
+        if not caller.fingerprint or math.isinf(caller.waits_s):
             return
-        name = organisation, caller.mark
+        name = organisation, caller.fingerprint
         self._known.pop(name, None)
         self._known[name] = QuotaRefusal(now + caller.waits_s, retry_at)
         if len(self._known) > MAX_REFUSALS:
@@ -83,4 +83,4 @@
 
     def forget(self, organisation: str, caller: Caller) -> None:
         """Remove the refusal of a caller that was served."""
-        self._known.pop((organisation, caller.mark), None)
+        self._known.pop((organisation, caller.fingerprint), None)
--- a/packages/policy/src/gradelug_policy/replica_room.py
+++ b/packages/policy/src/gradelug_policy/replica_room.py
@@ -47,7 +47,7 @@
     until: float
     rank: int = 0
     value: float = 1.0
-    begun: bool = False
+    has_started: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,7 +56,7 @@
 
     Parameters
     ----------
-    applicant : Applicant
+    applicant : CapacityRequest
         The request.
     granted : bool
         Whether it may be sent now.
@@ -118,7 +118,12 @@
 
     def enqueue(self, applicant: CapacityRequest, now: float) -> list[CapacityDecision]:
         """Queue a request; return the decisions that are made now."""
-        sort_key = (not applicant.begun, applicant.rank, -applicant.value, next(self._arrivals))
+        sort_key = (
+            not applicant.has_started,
+            applicant.rank,
+            -applicant.value,
+            next(self._arrivals),
+        )
         self._queue.append((sort_key, applicant))
         self._queue.sort(key=lambda entry: entry[0])
         return self.decide(now)
--- a/packages/policy/src/gradelug_policy/rests.py
+++ b/packages/policy/src/gradelug_policy/rests.py
@@ -63,7 +63,7 @@
     def __len__(self) -> int:
         return len(self._ends_at)
 
-    def keep(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Remove expired backoffs."""
         self._ends_at = {life: ends_at for life, ends_at in self._ends_at.items() if ends_at > now}
 
--- a/packages/policy/src/gradelug_policy/shares.py
+++ b/packages/policy/src/gradelug_policy/shares.py
@@ -128,7 +128,7 @@
         self.level = _water_level(demands, self._total)
         """Fair share of an owner of weight 1, in tokens; infinite if all demands are met."""
 
-    def spent(self, name: str) -> float:
+    def virtual_usage(self, name: str) -> float:
         """Return the use of an owner divided by its weight: its virtual counter."""
         return self._used.get(name, 0.0) / self._weights.weight(name)
 
@@ -145,9 +145,9 @@
             OVERUSE_TOLERANCE_FACTOR * self._total * self._weights.weight(name) / self._total_weight
         )
         is_dominant = used > max(DOMINANT_USE_FRACTION * self._total, entitled)
-        return is_dominant or self.spent(name) > OVERUSE_TOLERANCE_FACTOR * self.level
+        return is_dominant or self.virtual_usage(name) > OVERUSE_TOLERANCE_FACTOR * self.level
 
-    def standing(self, name: str) -> FairShare:
+    def fair_share(self, name: str) -> FairShare:
         """Return the use and the entitlement of an owner."""
         if not self._total:
             return FairShare()
@@ -215,11 +215,11 @@
 
     Parameters
     ----------
-    owners : Parts
+    owners : ShareAllocation
         Fair shares of the owners.
     kinds : frozenset of str
         Kinds above their usual load.
-    claims : sequence of Claim
+    claims : sequence of WaitingRequest
         All waiting requests.
     """
 
@@ -308,7 +308,7 @@
         for claim in ordered:
             # A request starts at the counter that its owner's previous requests reach.
             owner = claim.party.owner
-            starts[claim.number] = counters.setdefault(owner, board.owners.spent(owner))
+            starts[claim.number] = counters.setdefault(owner, board.owners.virtual_usage(owner))
             counters[owner] += claim.cost / board.owners.weight(owner)
         return sorted(ordered, key=lambda claim: (claim.urgency, starts[claim.number]))
 
--- a/packages/policy/src/gradelug_policy/verdicts.py
+++ b/packages/policy/src/gradelug_policy/verdicts.py
@@ -71,10 +71,10 @@
     replica: str
     hall: str = ALL_HALLS
     failing: float = 0.0
-    held_back: float = 0.0
+    diverted_fraction: float = 0.0
     sources: int = 0
     prober: str = ""
-    took_s: float = 0.0
+    mean_time_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/router/src/gradelug_router/serving.py
+++ b/packages/router/src/gradelug_router/serving.py
@@ -101,7 +101,7 @@
 
     Parameters
     ----------
-    parts : Parts
+    parts : ShareAllocation
         What it works with.
     """
 
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -191,35 +191,35 @@
 
     def test_due_retries_precede_first_tries(self):
         arbiter = loaded_arbiter(0.0, 40_000.0)
-        first = Caller(1, 60.0, mark=7)
+        first = Caller(1, 60.0, fingerprint=7)
         claim = arbiter.register(500.0, first, RATE, CAPACITY, 5.0)
         retry_s = arbiter.schedule_retry(claim, first, RATE, 0.0, 5.0)
-        early = arbiter.register(500.0, Caller(1, 59.9, mark=7), RATE, CAPACITY, 5.1)
+        early = arbiter.register(500.0, Caller(1, 59.9, fingerprint=7), RATE, CAPACITY, 5.1)
         assert early.standing is RetryState.RETRY_EARLY
         at = 5.0 + retry_s * 1.1
         for _ in range(20):
-            again = Caller(1, 65.0 - at, mark=7)
+            again = Caller(1, 65.0 - at, fingerprint=7)
             back = arbiter.register(500.0, again, RATE, CAPACITY, at)
-        anew = arbiter.register(500.0, Caller(1, 60.0, mark=8), RATE, CAPACITY, at)
+        anew = arbiter.register(500.0, Caller(1, 60.0, fingerprint=8), RATE, CAPACITY, at)
         assert back.standing is RetryState.RETRY_DUE
         assert anew.standing is RetryState.FIRST_TRY
         assert back.needed < anew.needed < early.needed + 1.0
 
     def test_another_caller_with_the_same_request_is_new(self):
         arbiter = loaded_arbiter(0.0, 40_000.0)
-        first = Caller(1, 60.0, mark=7)
+        first = Caller(1, 60.0, fingerprint=7)
         arbiter.schedule_retry(
             arbiter.register(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0
         )
-        other = arbiter.register(500.0, Caller(1, 60.0, mark=7), RATE, CAPACITY, 5.5)
+        other = arbiter.register(500.0, Caller(1, 60.0, fingerprint=7), RATE, CAPACITY, 5.5)
         assert other.standing is RetryState.FIRST_TRY
 
     def test_an_early_retry_receives_the_remaining_time(self):
         arbiter = loaded_arbiter(0.0, 40_000.0)
-        caller = Caller(1, 60.0, mark=7)
+        caller = Caller(1, 60.0, fingerprint=7)
         claim = arbiter.register(500.0, caller, RATE, CAPACITY, 5.0)
         retry_s = arbiter.schedule_retry(claim, caller, RATE, 0.0, 5.0)
-        again = Caller(1, 59.95, mark=7)
+        again = Caller(1, 59.95, fingerprint=7)
         claim = arbiter.register(500.0, again, RATE, CAPACITY, 5.05)
         results = [arbiter.schedule_retry(claim, again, RATE, 0.0, 5.05) for _ in range(3)]
         assert results == pytest.approx([retry_s - 0.05] * 3)
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -278,7 +278,7 @@
 
 
 def test_log_line_shows_the_shares_of_a_request():
-    standing = pb.FairShare(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
+    standing = pb.Standing(part=0.61, fair=0.4, yields=True, waiting=9, owners=3, age_ms=120)
     with logbook.TestHandler() as handler:
         log_share_decision("q1", Party("o", "k"), 2, pb.Answer(standing=standing))
     (record,) = handler.records
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -240,7 +240,7 @@
                 pool.note(rep, SOURCES[0], OutcomeCounts(7, 0, 7 * SERVICE_S, full), now)
             pool.step({"plain": REPLICAS}, GATHER_INTERVAL_S, now)
         found = {f.replica: f for f in pool.health_of_replicas({"plain": REPLICAS}, now)}
-        views = [PlainView(rep, found[rep].took_s, 0.0, 0, False) for rep in REPLICAS]
+        views = [PlainView(rep, found[rep].mean_time_s, 0.0, 0, False) for rep in REPLICAS]
         assert replica_weights(views)[0] < 0.7 * replica_weights(views)[1]
 
     def test_shares_sum_to_one_and_are_never_zero(self):
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -382,7 +382,7 @@
             # Repeated reports of an end count once, and one more end is enough.
             for number in range(3):
                 successor.note_end(f"e{number}", B, STARTED_WEIGHT, 1.0)
-            assert [found.mark for found in successor.judge(2.0)] == [B]
+            assert [found.fingerprint for found in successor.judge(2.0)] == [B]
             task.cancel()
 
         run(scenario)
--- a/tests/test_poison_policy.py
+++ b/tests/test_poison_policy.py
@@ -147,7 +147,9 @@
         for mark, weight in batch.items():
             self.ledger.note_end(f"e{self.ends}", mark, weight, self.now)
         findings = self.ledger.judge(self.now)
-        self.turned_away.update(one.mark for one in findings if one.mark not in self.ended_by)
+        self.turned_away.update(
+            one.fingerprint for one in findings if one.fingerprint not in self.ended_by
+        )
         self.again = [mark for mark in batch if mark not in self.ended_by]
 
     def _fill(self):
--- a/tests/test_replica_room.py
+++ b/tests/test_replica_room.py
@@ -66,7 +66,7 @@
         assert not room.apply(CapacityRequest("late", 9.0, rank=2), 0.0)
         assert not room.apply(CapacityRequest("dear", 9.0, rank=1, value=3.0), 0.0)
         assert not room.apply(CapacityRequest("cheap", 9.0, rank=1), 0.0)
-        assert not room.apply(CapacityRequest("begun", 9.0, rank=5, begun=True), 0.0)
+        assert not room.apply(CapacityRequest("begun", 9.0, rank=5, has_started=True), 0.0)
         order = [room.rule(float(at))[0].applicant.ticket for at in range(1, 5)]
         assert order == ["begun", "dear", "cheap", "late"]
 
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -169,7 +169,7 @@
     def test_a_backoff_of_a_day_is_kept(self):
         rests = ReplicaBackoffs(random.Random(1))
         rests.note("r", 86_400.0, 0.0)
-        rests.keep(86_000.0)
+        rests.prune(86_000.0)
         assert rests.left_s("r", 86_399.0) > 0
 
     @pytest.mark.parametrize("instances", [9, 370])
@@ -192,8 +192,8 @@
         now = [0.0]
         rests = BackoffTracker(lambda: now[0])
         rests.update_from_answer(REPLICA, ReportedBackoff(3.0))
-        assert rests.left_s(REPLICA) >= 3.0
-        assert rests.left_s(Replica("r", "s", "10.0.0.1:80", "z", born=8)) == 0
+        assert rests.remaining_s(REPLICA) >= 3.0
+        assert rests.remaining_s(Replica("r", "s", "10.0.0.1:80", "z", born=8)) == 0
         assert rests.active_count == 1
         now[0] = 4.0
         rests.drop_expired()
@@ -235,7 +235,7 @@
         assert word.unreadable
         rests = BackoffTracker(lambda: 0.0)
         rests.update_from_answer(REPLICA, word)
-        assert rests.left_s(REPLICA) == 0
+        assert rests.remaining_s(REPLICA) == 0
 
 
 def answer(status, values):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -376,7 +376,11 @@
             pool.step(members, GATHER_S, now)
             findings = list(pool.health_of_replicas(members, now))
             for hall in HALLS:
-                out = {f.replica for f in findings if f.hall in ("", hall) and f.held_back == 1.0}
+                out = {
+                    f.replica
+                    for f in findings
+                    if f.hall in ("", hall) and f.diverted_fraction == 1.0
+                }
                 assert len(out) <= MAX_EJECTED_FRACTION * size
             assert all(0.0 <= finding.failing <= 1.0 for finding in findings)
 
