--- a/packages/config/src/gradelug_config/exceptions.py
+++ b/packages/config/src/gradelug_config/exceptions.py
@@ -21,7 +21,7 @@
 
     Attributes
     ----------
-    findings : tuple of ReplicaHealth
+    findings : tuple of Finding
         Everything that is wrong with it, in the order of the document.
     """
 
--- a/packages/gateway/src/gradelug_gateway/quotas.py
+++ b/packages/gateway/src/gradelug_gateway/quotas.py
@@ -158,7 +158,7 @@
             Prompt tokens and maximum answer tokens that the request states; 0 for none.
         until : float
             Deadline for waiting for a coordinator, by the runtime's clock.
-        applicant : CapacityRequest
+        applicant : QuotaApplicant
             The request's priority.
 
         Returns
--- a/packages/gateway/src/gradelug_gateway/weight_queue.py
+++ b/packages/gateway/src/gradelug_gateway/weight_queue.py
@@ -106,7 +106,7 @@
             Current load of the replica.
         kept_tokens : int
             Tokens of the prompt that are in the replica's prefix cache.
-        standing : pb.FairShare or None
+        standing : pb.Standing or None
             The values by which the request was ranked, for the log.
         has_room : bool
             Whether capacity was reserved for it at a rate-limited replica.
@@ -140,7 +140,7 @@
             Current time by the event loop's clock.
         why : str
             Reason that is sent to the gateway.
-        standing : pb.FairShare or None
+        standing : pb.Standing or None
             The values by which the request was ranked, for the log.
         """
         retry_s = max(
--- a/packages/router/src/gradelug_router/serving.py
+++ b/packages/router/src/gradelug_router/serving.py
@@ -101,7 +101,7 @@
 
     Parameters
     ----------
-    parts : ShareAllocation
+    parts : Parts
         What it works with.
     """
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -108,7 +108,7 @@
                 states = [one.daemon._state for one in world.gateways]
                 assert all(state.replicas["e1"].leaving for state in states)
                 planner = next(one for one in world.gateways if one.is_planner)
-                (duty,) = planner.daemon._duties.values()
+                (duty,) = planner.daemon._planner_roles.values()
                 assert "e1" not in duty.planner.engines
 
         run(scenario)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -467,7 +467,7 @@
 
         async def scenario(world):
             await asyncio.sleep(20.0)
-            monkeypatch.setattr(Gossip, "news_for", spy)
+            monkeypatch.setattr(Gossip, "updates_for", spy)
             await asyncio.sleep(5.0)
 
         run_world(scenario)
@@ -635,7 +635,7 @@
             TestNeverUnloadedUnderARequest().test_an_order_to_unload_that_comes_late_is_fenced_off()
 
     def test_without_the_engines_word_a_silent_router_blocks_for_ever(self, monkeypatch):
-        monkeypatch.setattr(keeper.GrantTracker, "observe", lambda self, key, seen: None)
+        monkeypatch.setattr(keeper.GrantTracker, "apply_observation", lambda self, key, seen: None)
         with pytest.raises(AssertionError):
             TestNeverUnloadedUnderARequest().test_a_killed_router_holds_an_adapter_only_until_the_engine_confirms(
                 "e1"
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -190,7 +190,7 @@
         async def scenario():
             async with EraWorld() as world:
                 planner = world.planner()
-                (duty,) = planner.daemon._duties.values()
+                (duty,) = planner.daemon._planner_roles.values()
                 before, made = duty.election.fence, duty.planner
                 copied = world.kv.copy()
                 await world.advance_revision()
