--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -255,7 +255,7 @@
         self.requests = []
         self.applicants = []
         self.returned = []
-        self.is_quiet = False
+        self.is_update_overdue = False
         self.heard_at = float("inf")
 
     async def ask_quota(self, organisation, tokens, until, applicant):
@@ -266,7 +266,7 @@
             raise TimeoutError
         return self.answers.pop(0)
 
-    def return_quota(self, organisation, tokens, granted_at):
+    def refund_quota(self, organisation, tokens, granted_at):
         self.returned.append((organisation, tokens))
 
 
@@ -316,7 +316,7 @@
             assert first.rank == PLAIN.rank
             assert first.service == "plain"
             assert first.value > 0
-            assert first.mark == again.mark != other.mark
+            assert first.fingerprint == again.fingerprint != other.fingerprint
             assert again.until == pytest.approx(first.until, abs=0.01)
 
         run(scenario)
@@ -338,7 +338,7 @@
             bench = AuthenticatedBench(PLAIN, [[[OK], [OK], [OK]]], LIMITED)
             bench.home = ScriptedCoordinator(pb.QuotaAnswer(granted=True, share=40.0))
             assert await get_status(bench) == 200
-            bench.home.is_quiet = True
+            bench.home.is_update_overdue = True
             bench.home.heard_at = bench.clock()
             assert await get_status(bench) == 503
             await asyncio.sleep(0.5)
@@ -400,15 +400,15 @@
         tokens = TENANT | {"Unit": "token_stream", "PlainTokens": 200}
         free = {"Name": "t2", "ApiKeys": ["k2"], "RatePerS": 0, "Burst": 5}
         found = read(tokens, free).organisations
-        assert found.named("t1") == Organisation("t1", 2, Quota(500.0, 300.0, True, 200.0))
-        assert found.named("t2") == Organisation("t2")
-        assert found.named("t1").quota.charge(0, 0) == 200.0
-        assert found.named("t1").quota.charge(10, 5) == 15.0
+        assert found.by_name("t1") == Organisation("t1", 2, Quota(500.0, 300.0, True, 200.0))
+        assert found.by_name("t2") == Organisation("t2")
+        assert found.by_name("t1").quota.charge(0, 0) == 200.0
+        assert found.by_name("t1").quota.charge(10, 5) == 15.0
         assert authenticate([b"Bearer k2"], found).organisation.name == "t2"
 
     def test_another_unit_counts_requests(self):
         found = read(TENANT).organisations
-        assert found.named("t1").quota.charge(1_000, 10) == 1.0
+        assert found.by_name("t1").quota.charge(1_000, 10) == 1.0
 
     @pytest.mark.parametrize(
         "tenants",
--- a/tests/test_contention.py
+++ b/tests/test_contention.py
@@ -195,14 +195,14 @@
         claim = arbiter.register(500.0, first, RATE, CAPACITY, 5.0)
         retry_s = arbiter.schedule_retry(claim, first, RATE, 0.0, 5.0)
         early = arbiter.register(500.0, Caller(1, 59.9, fingerprint=7), RATE, CAPACITY, 5.1)
-        assert early.standing is RetryState.RETRY_EARLY
+        assert early.retry_state is RetryState.RETRY_EARLY
         at = 5.0 + retry_s * 1.1
         for _ in range(20):
             again = Caller(1, 65.0 - at, fingerprint=7)
             back = arbiter.register(500.0, again, RATE, CAPACITY, at)
         anew = arbiter.register(500.0, Caller(1, 60.0, fingerprint=8), RATE, CAPACITY, at)
-        assert back.standing is RetryState.RETRY_DUE
-        assert anew.standing is RetryState.FIRST_TRY
+        assert back.retry_state is RetryState.RETRY_DUE
+        assert anew.retry_state is RetryState.FIRST_TRY
         assert back.needed < anew.needed < early.needed + 1.0
 
     def test_another_caller_with_the_same_request_is_new(self):
@@ -212,7 +212,7 @@
             arbiter.register(500.0, first, RATE, CAPACITY, 5.0), first, RATE, 0.0, 5.0
         )
         other = arbiter.register(500.0, Caller(1, 60.0, fingerprint=7), RATE, CAPACITY, 5.5)
-        assert other.standing is RetryState.FIRST_TRY
+        assert other.retry_state is RetryState.FIRST_TRY
 
     def test_an_early_retry_receives_the_remaining_time(self):
         arbiter = loaded_arbiter(0.0, 40_000.0)
@@ -259,7 +259,7 @@
     def __init__(self):
         self.answers = []
 
-    def answer_quota(self, answer):
+    def queue_quota_answer(self, answer):
         self.answers.append(answer)
 
 
--- a/tests/test_fair_queue.py
+++ b/tests/test_fair_queue.py
@@ -266,7 +266,7 @@
     def test_metrics_are_labelled_by_organisation_only(self, tally):
         tally.begin(_Job())
         tally.begin(_Job(""))
-        text = tally._meters.text().decode()
+        text = tally._meters.render().decode()
         assert 'gradelug_engine_tokens_total{organisation="o"} 200.0' in text
         assert 'gradelug_engine_tokens_total{organisation=""} 200.0' in text
         assert 'gradelug_engine_wait_seconds_count{organisation="o"} 1.0' in text
--- a/tests/test_limit_desk.py
+++ b/tests/test_limit_desk.py
@@ -26,10 +26,10 @@
         self.flush_s = FLUSH_S
         self.flushed = self.queued = 0
 
-    def hurry(self):
+    def flush_soon(self):
         self.flushed += 1
 
-    def tell_soon(self):
+    def queue_flush(self):
         self.queued += 1
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -45,11 +45,11 @@
     def test_connected_planner_may_use_the_whole_deadline(self):
         async def scenario():
             clock, link = new_link()
-            link.is_followed = True
+            link.is_connected = True
             began = clock()
             asking = asyncio.create_task(link.ask(1, pb.Ask(ticket=1), began + 4.0))
             await asyncio.sleep(3.0)
-            link._take(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0")]))
+            link._handle_message(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0")]))
             assert (await asking).replica == "e0"
             with pytest.raises(TimeoutError):
                 await link.ask(2, pb.Ask(ticket=2), clock() + 1.0)
@@ -68,7 +68,7 @@
                 async def send_message(self, message):
                     sent.append(message)
 
-            link._take(pb.FromPlanner(gateways=80, news_ms=240, flush_ms=200))
+            link._handle_message(pb.FromPlanner(gateways=80, news_ms=240, flush_ms=200))
             sending = asyncio.create_task(link._send(Stream()))
             key = AdapterKey("m", "a1")
             link.note("e0", AdapterKey("m", "a9"), 1)
@@ -96,12 +96,18 @@
             clock, link = new_link()
             health = link._fleet.health("e0")
             await asyncio.sleep(1.0)
-            link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=9, running=1)]))
+            link._handle_message(
+                pb.FromPlanner(loads=[pb.Load(replica="e0", starting=9, running=1)])
+            )
             assert health.last_received_at == clock()
             received_at = clock()
             await asyncio.sleep(1.0)
-            link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=1)]))
-            link._take(pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=0)]))
+            link._handle_message(
+                pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=1)])
+            )
+            link._handle_message(
+                pb.FromPlanner(loads=[pb.Load(replica="e0", starting=12, running=0)])
+            )
             assert health.last_received_at == received_at
 
         run(scenario)
@@ -112,20 +118,20 @@
 
         async def scenario():
             clock, link = new_link()
-            link._take(pb.FromPlanner(gateways=370, news_ms=1110, flush_ms=900))
-            link.is_followed = True
+            link._handle_message(pb.FromPlanner(gateways=370, news_ms=1110, flush_ms=900))
+            link.is_connected = True
             await asyncio.sleep(1.1)
-            assert not link.is_quiet
+            assert not link.is_update_overdue
             await asyncio.sleep(UPDATE_OVERDUE_S + 0.1)
-            assert link.is_quiet
+            assert link.is_update_overdue
 
         run(scenario)
 
     def test_default_intervals_apply_to_planner_of_earlier_version(self):
         async def scenario():
             _, link = new_link()
-            link._take(pb.FromPlanner(gateways=9))
-            assert (link.news_s, link._flush_s, link.ask_first) == (
+            link._handle_message(pb.FromPlanner(gateways=9))
+            assert (link.update_interval_s, link._flush_s, link.ask_first) == (
                 UPDATE_INTERVAL_S,
                 MIN_FLUSH_INTERVAL_S,
                 False,
@@ -136,8 +142,10 @@
     def test_caller_with_a_choice_does_not_wait_for_overdue_planner(self):
         async def scenario():
             clock, link = new_link()
-            link._take(pb.FromPlanner(gateways=90, news_ms=270, flush_ms=40, ask_first=True))
-            link.is_followed = True
+            link._handle_message(
+                pb.FromPlanner(gateways=90, news_ms=270, flush_ms=40, ask_first=True)
+            )
+            link.is_connected = True
             began = clock()
             with pytest.raises(TimeoutError):
                 await link.ask(1, pb.Ask(ticket=1), began + 4.0, has_choice=True)
@@ -155,12 +163,14 @@
                     taken.append((news.age_ms, ahead_s))
 
             link._store_subscriber = Subscriber()
-            link._take(pb.FromPlanner(gateways=20, news_ms=60))
-            link._take(pb.FromPlanner(gateways=20, news_ms=60, store=pb.StoreNews(age_ms=7)))
+            link._handle_message(pb.FromPlanner(gateways=20, news_ms=60))
+            link._handle_message(
+                pb.FromPlanner(gateways=20, news_ms=60, store=pb.StoreNews(age_ms=7))
+            )
             assert taken == [(7, math.inf)]
             for received_ms in (5_400, 5_900):
                 echo = pb.Echo(sent_ms=5_000, received_ms=received_ms)
-                link._take(pb.FromPlanner(echo=echo, store=pb.StoreNews(age_ms=8)))
+                link._handle_message(pb.FromPlanner(echo=echo, store=pb.StoreNews(age_ms=8)))
             # The message with the shortest transit time gives the best estimate of the clock
             # offset.
             assert taken[1:] == [(8, 0.4), (8, 0.4)]
@@ -176,7 +186,9 @@
             asking = asyncio.create_task(link.ask(1, ask, clock() + 10.0))
             await asyncio.sleep(0.01)
             total_load = pb.Load(replica="e0", starting=3, running=2, queued=[100, 700])
-            link._take(pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", load=total_load)]))
+            link._handle_message(
+                pb.FromPlanner(answers=[pb.Answer(ticket=1, replica="e0", load=total_load)])
+            )
             await asking
             assert link._fleet.load("e0").others == ReportedLoad(2, 2, (100, 200))
             (load,) = link._message(False).loads
@@ -259,9 +271,9 @@
             poll_requests = []
 
             async def follow(link, planner):
-                link.is_followed = True
+                link.is_connected = True
                 await asyncio.sleep(1.0)
-                link._take(pb.FromPlanner(gateways=9, news_ms=50, resigned=True))
+                link._handle_message(pb.FromPlanner(gateways=9, news_ms=50, resigned=True))
                 await asyncio.sleep(60.0)
 
             monkeypatch.setattr(PlannerLink, "follow", follow)
--- a/tests/test_named_limits.py
+++ b/tests/test_named_limits.py
@@ -75,8 +75,8 @@
                 limited_at = set_limit(world, 1.4, "e1", "p1")
                 await asyncio.gather(*sending)
                 expected = MIN_USED_FRACTION * 1.4 * (until - limited_at)
-                assert world.got("e1", limited_at) >= expected
-                assert world.got("p1", limited_at) >= expected
+                assert world.received_since("e1", limited_at) >= expected
+                assert world.received_since("p1", limited_at) >= expected
 
         run(scenario)
 
@@ -93,7 +93,9 @@
                 span_s = until - limited_at
                 for name in names:
                     assert world.most(name, limited_at + PROPAGATION_S) <= max_allowed(1.4)
-                    assert world.got(name, limited_at) >= MIN_USED_FRACTION * 1.4 * span_s
+                    assert (
+                        world.received_since(name, limited_at) >= MIN_USED_FRACTION * 1.4 * span_s
+                    )
                 served = world.harmless()
                 assert served[200] + served[503] >= 0.99 * served.total()
                 rejected = [one for one in world.results if one.status == 503]
@@ -194,7 +196,7 @@
                 ended_at = world.clock()
                 await sending
                 # Its next response, which reports no limit, arrives after one or two send slots.
-                assert world.got("p0", ended_at + 2.0) >= 0.3 * 40.0 * 3.0
+                assert world.received_since("p0", ended_at + 2.0) >= 0.3 * 40.0 * 3.0
 
         run(scenario)
 
@@ -210,7 +212,7 @@
                 set_limit(world, None, "p0")
                 await sending
                 ended_at = world.clock()
-                assert world.got("p0", ended_at - 5.0) >= 0.3 * 40.0 * 5.0
+                assert world.received_since("p0", ended_at - 5.0) >= 0.3 * 40.0 * 5.0
 
         run(scenario)
 
@@ -236,7 +238,7 @@
                 await world.load(20.0, world.clock() + 2.0)
                 world.engines["e1"].end()
                 await asyncio.sleep(5.0)
-                assert all(not one.limits.named() for one in world.gateways)
+                assert all(not one.limits.limited_replicas() for one in world.gateways)
 
         run(scenario)
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -18,7 +18,7 @@
         for _ in range(round(step_s * gateways / (pacing.flush_s + 1 / changes_per_s))):
             pacing.count_message(0)
         pacing.count_message(round(starts_per_s * step_s))
-        pacing.step(now)
+        pacing.update_rates(now)
     return pacing
 
 
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -71,13 +71,13 @@
             found = simulation.found.get(rep, ReplicaHealth(rep))
             if found.prober == SOURCES[gateway].name:
                 return rep
-            if simulation.rng.random() >= found.held_back:
+            if simulation.rng.random() >= found.diverted_fraction:
                 allowed.append(found)
         allowed = allowed or [simulation.found.get(rep, ReplicaHealth(rep)) for rep in REPLICAS]
         views = [
             PlainView(
                 found.replica,
-                found.took_s,
+                found.mean_time_s,
                 found.failing,
                 simulation.own[gateway][found.replica],
                 HALLS[found.replica] == hall,
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -98,11 +98,11 @@
 
 class TestOtherCalls:
     def test_a_handle_is_released(self):
-        _, sent = call([[answer(200, b"")]], lambda runs: runs.free(SOURCE, "h1"))
+        _, sent = call([[answer(200, b"")]], lambda runs: runs.release(SOURCE, "h1"))
         assert sent.startswith(b"DELETE /gradelug/kv-handle/h1 HTTP/1.1\r\n")
 
     def test_a_failed_release_is_ignored(self):
-        call([["reset"]], lambda runs: runs.free(SOURCE, "h1"))
+        call([["reset"]], lambda runs: runs.release(SOURCE, "h1"))
 
     @pytest.mark.parametrize(
         ("body", "left_s"),
@@ -115,7 +115,7 @@
         ],
     )
     def test_the_remaining_time_of_an_engine_is_read(self, body, left_s):
-        actual, sent = call([[answer(200, body)]], lambda runs: runs.ends_in_s(SOURCE))
+        actual, sent = call([[answer(200, body)]], lambda runs: runs.remaining_s(SOURCE))
         assert actual == left_s
         assert sent.startswith(b"GET /gradelug/report HTTP/1.1\r\n")
 
@@ -139,12 +139,12 @@
     )
     def test_the_runs_of_an_engine_are_read(self, status, body, expected):
         """An incomplete report is ignored: a run is only abandoned after a complete one."""
-        actual, _ = call([[answer(status, body)]], lambda runs: runs.word(SOURCE))
+        actual, _ = call([[answer(status, body)]], lambda runs: runs.read_runs(SOURCE))
         assert actual == expected
 
     @pytest.mark.parametrize("script", [[["reset"]], [[]]])
     def test_the_runs_of_an_engine_that_does_not_respond_are_unknown(self, script):
-        actual, _ = call(script, lambda runs: runs.word(SOURCE))
+        actual, _ = call(script, lambda runs: runs.read_runs(SOURCE))
         assert actual is None
 
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -177,7 +177,7 @@
                 await asyncio.sleep(4.5)
                 for gateway in world.gateways:
                     assert not gateway.daemon._poison.guard.blocked
-                    assert not gateway.daemon._poison.guard.refused
+                    assert not gateway.daemon._poison.guard.refused_count
                 assert world.harmless()[200] > 0.8 * world.harmless().total()
 
         run(scenario)
--- a/tests/test_poison_guard.py
+++ b/tests/test_poison_guard.py
@@ -95,7 +95,7 @@
         guard.stored_findings = PoisonFindings(frozenset({B}), frozenset())
         with pytest.raises(Blocked):
             guard.check(B)
-        assert (guard.blocked, guard.refused) == (2, 2)
+        assert (guard.blocked, guard.refused_count) == (2, 2)
 
     def test_a_connected_planner_alone_decides(self):
         guard = self.guard()
--- a/tests/test_poison_policy.py
+++ b/tests/test_poison_policy.py
@@ -35,7 +35,7 @@
 
 
 def found(ledger, now=100.0):
-    return [finding.mark for finding in ledger.judge(now)]
+    return [finding.fingerprint for finding in ledger.judge(now)]
 
 
 class TestOneRequest:
@@ -78,7 +78,9 @@
         ledger = ledger_of(*[{A: STARTED_WEIGHT}] * 3)
         assert ledger.judge(2.0 + END_GATHER_S / 2, END_GATHER_S) == []
         assert ledger.is_gathering(2.0 + END_GATHER_S / 2, END_GATHER_S)
-        assert [one.mark for one in ledger.judge(2.0 + END_GATHER_S * 2, END_GATHER_S)] == [A]
+        assert [one.fingerprint for one in ledger.judge(2.0 + END_GATHER_S * 2, END_GATHER_S)] == [
+            A
+        ]
 
 
 class TestBystanders:
--- a/tests/test_replica_room.py
+++ b/tests/test_replica_room.py
@@ -63,41 +63,41 @@
 
     def test_most_valuable_requests_go_first(self):
         room = self.room()
-        assert not room.apply(CapacityRequest("late", 9.0, rank=2), 0.0)
-        assert not room.apply(CapacityRequest("dear", 9.0, rank=1, value=3.0), 0.0)
-        assert not room.apply(CapacityRequest("cheap", 9.0, rank=1), 0.0)
-        assert not room.apply(CapacityRequest("begun", 9.0, rank=5, has_started=True), 0.0)
-        order = [room.rule(float(at))[0].applicant.ticket for at in range(1, 5)]
+        assert not room.enqueue(CapacityRequest("late", 9.0, rank=2), 0.0)
+        assert not room.enqueue(CapacityRequest("dear", 9.0, rank=1, value=3.0), 0.0)
+        assert not room.enqueue(CapacityRequest("cheap", 9.0, rank=1), 0.0)
+        assert not room.enqueue(CapacityRequest("begun", 9.0, rank=5, has_started=True), 0.0)
+        order = [room.decide(float(at))[0].applicant.ticket for at in range(1, 5)]
         assert order == ["begun", "dear", "cheap", "late"]
 
     def test_requests_that_would_be_late_are_refused_at_once(self):
         room = self.room()
-        room.apply(CapacityRequest(1, 1.2), 0.0)
-        (refused,) = room.apply(CapacityRequest(2, 1.2), 0.0)
+        room.enqueue(CapacityRequest(1, 1.2), 0.0)
+        (refused,) = room.enqueue(CapacityRequest(2, 1.2), 0.0)
         assert (refused.applicant.ticket, refused.granted) == (2, False)
         assert refused.retry_s == pytest.approx(2.0)
 
     def test_requests_displaced_beyond_their_time_are_refused_at_once(self):
         room = self.room()
-        room.apply(CapacityRequest("slow", 1.5, rank=2), 0.0)
-        (refused,) = room.apply(CapacityRequest("urgent", 1.5, rank=0), 0.0)
+        room.enqueue(CapacityRequest("slow", 1.5, rank=2), 0.0)
+        (refused,) = room.enqueue(CapacityRequest("urgent", 1.5, rank=0), 0.0)
         assert refused.applicant.ticket == "slow"
 
     def test_retry_times_of_refused_requests_are_consecutive(self):
         room = self.room()
-        retries_s = [room.apply(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(3)]
+        retries_s = [room.enqueue(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(3)]
         assert retries_s == sorted(retries_s)
         assert len(set(retries_s)) == 3
 
     def test_requests_that_did_not_wait_delay_no_retry(self):
         room = self.room()
         for at in range(5):
-            room.apply(CapacityRequest(at, 0.0), 0.0)
-        assert room.apply(CapacityRequest("last", 0.5), 0.0)[0].retry_s == pytest.approx(1.0)
+            room.enqueue(CapacityRequest(at, 0.0), 0.0)
+        assert room.enqueue(CapacityRequest("last", 0.5), 0.0)[0].retry_s == pytest.approx(1.0)
 
     def test_retry_times_are_bounded(self):
         room = self.room(0.0)
-        retries_s = [room.apply(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(9)]
+        retries_s = [room.enqueue(CapacityRequest(at, 0.5), 0.0)[0].retry_s for at in range(9)]
         assert max(retries_s) == MAX_RETRY_S
 
     def test_a_limit_of_zero_permits_probes(self):
@@ -107,16 +107,16 @@
 
     def test_all_are_granted_when_the_limit_ends(self):
         room = self.room()
-        room.apply(CapacityRequest(1, 9.0), 0.0)
+        room.enqueue(CapacityRequest(1, 9.0), 0.0)
         assert [ruling.granted for ruling in room.release()] == [True]
         assert room.waiting == 0
 
     def test_a_cancelled_request_takes_no_capacity(self):
         room = self.room()
-        room.apply(CapacityRequest(1, 9.0), 0.0)
-        room.apply(CapacityRequest(2, 9.0), 0.0)
+        room.enqueue(CapacityRequest(1, 9.0), 0.0)
+        room.enqueue(CapacityRequest(2, 9.0), 0.0)
         room.cancel({1})
-        assert [ruling.applicant.ticket for ruling in room.rule(1.0)] == [2]
+        assert [ruling.applicant.ticket for ruling in room.decide(1.0)] == [2]
 
 
 class TestSendSlots:
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -141,7 +141,7 @@
                 set_backoff(world, None, "p0")
                 over_at = world.clock() + 2.0
                 await sending
-                assert world.got("p0", over_at + 2.0) >= 0.3 * 40.0 * 4.0
+                assert world.received_since("p0", over_at + 2.0) >= 0.3 * 40.0 * 4.0
 
         run(scenario)
 
@@ -150,8 +150,8 @@
             async with LimitWorld(engines=1, plain=2) as world:
                 set_backoff(world, "", "p0")
                 await world.load(30.0, world.clock() + 4.0, b"/i/x")
-                assert world.got("p0", 0.0) > 10
-                assert all(not one.daemon._fleet.rests.resting for one in world.gateways)
+                assert world.received_since("p0", 0.0) > 10
+                assert all(not one.daemon._fleet.rests.active_count for one in world.gateways)
 
         run(scenario)
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -138,32 +138,32 @@
 class TestOrders:
     @given(CLAIMS, st.dictionaries(NAMES, AMOUNTS))
     def test_orders_contain_all_requests(self, claims, used):
-        board = shares_of(**used).board(claims, EQUAL, 0.0)
+        board = shares_of(**used).fairness(claims, EQUAL, 0.0)
         for order in (OveruseOrder(), VirtualCounterOrder()):
             arranged = order.arrange(claims, board)
             assert sorted(claim.number for claim in arranged) == list(range(len(claims)))
 
     @given(CLAIMS, st.dictionaries(NAMES, AMOUNTS))
     def test_first_request_is_not_deprioritised(self, claims, used):
-        board = shares_of(**used).board(claims, EQUAL, 0.0)
-        yields = [board.yields(claim.party, claim.urgency) for claim in claims]
+        board = shares_of(**used).fairness(claims, EQUAL, 0.0)
+        yields = [board.must_yield(claim.party, claim.urgency) for claim in claims]
         assert not claims or not all(yields)
         first = OveruseOrder().arrange(claims, board)[:1]
-        assert not any(board.yields(claim.party, claim.urgency) for claim in first)
+        assert not any(board.must_yield(claim.party, claim.urgency) for claim in first)
 
     def test_overuse_goes_after_less_urgent_requests_of_others(self):
         claims = [
             WaitingRequest(Party("a"), 1.0, 0, 0.0, 0),
             WaitingRequest(Party("b"), 1.0, 2, 1.0, 1),
         ]
-        board = shares_of(a=900.0, b=10.0, c=10.0, d=10.0).board(claims, EQUAL, 0.0)
+        board = shares_of(a=900.0, b=10.0, c=10.0, d=10.0).fairness(claims, EQUAL, 0.0)
         assert [claim.number for claim in OveruseOrder().arrange(claims, board)] == [1, 0]
         assert [claim.number for claim in VirtualCounterOrder().arrange(claims, board)] == [0, 1]
 
     def test_counters_of_one_urgency_alternate(self):
         claims = [WaitingRequest(Party("a"), 10.0, 0, at / 10, at) for at in range(4)]
         claims += [WaitingRequest(Party("b"), 10.0, 0, 1.0 + at / 10, 4 + at) for at in range(4)]
-        board = shares_of(a=1.0, b=1.0).board(claims, EQUAL, 0.0)
+        board = shares_of(a=1.0, b=1.0).fairness(claims, EQUAL, 0.0)
         owners = [claim.party.owner for claim in VirtualCounterOrder().arrange(claims, board)]
         assert owners == ["a", "b"] * 4
 
@@ -180,7 +180,7 @@
                 number % 3 == 1
             )
             number += 2
-            board = shares.board(queue, EQUAL, now)
+            board = shares.fairness(queue, EQUAL, now)
             served = OveruseOrder().arrange(queue, board)[0]
             queue.remove(served)
             shares.note(served.party, served.cost, now)
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -165,7 +165,7 @@
                 await world.go_back(copied)
                 since = world.clock()
                 await world.load(30.0, since + 4.0, b"/i/x")
-                assert world.got("p1", since) == 0
+                assert world.received_since("p1", since) == 0
 
         run(scenario)
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -112,7 +112,7 @@
         for hall in ("", source.hall):
             finding = self.found.get((replica, hall))
             if finding is not None:
-                held = max(held, finding.held_back)
+                held = max(held, finding.diverted_fraction)
                 prober = prober or finding.prober
         return held, prober
 
@@ -165,7 +165,7 @@
                     self.pool.note(replica, source, OutcomeCounts(good, bad), now)
         super().tell(now)
         for finding in self.found.values():
-            if finding.failing or finding.held_back:
+            if finding.failing or finding.diverted_fraction:
                 for source in SOURCES:
                     if finding.hall in ("", source.hall):
                         self.doubts[source].suspect(finding.replica, now)
@@ -476,7 +476,11 @@
 
 
 def _held_back(pool, now):
-    found = {f.replica: f.held_back for f in pool.findings({"llm": REPLICAS}, now) if not f.hall}
+    found = {
+        f.replica: f.diverted_fraction
+        for f in pool.health_of_replicas({"llm": REPLICAS}, now)
+        if not f.hall
+    }
     return found["e0"]
 
 
