--- a/packages/coordination/src/gradelug_coordination/documents.py
+++ b/packages/coordination/src/gradelug_coordination/documents.py
@@ -102,7 +102,7 @@
 
 
 class Publisher:
-    """Publishes a document; of two concurrent changes one is accepted, the other raises `RevisionConflict`.
+    """Publishes a document; of two concurrent changes one raises `RevisionConflict`.
 
     Parameters
     ----------
--- a/packages/coordination/src/gradelug_coordination/grants.py
+++ b/packages/coordination/src/gradelug_coordination/grants.py
@@ -1,8 +1,8 @@
 """Tracks an owner's grants: unused credits, running requests, and which keys are idle.
 
 A grant allows its holder to start a number of requests on a resource under a key until a given
-time. The owner uses `GrantTracker` to decide whether the object behind a key, such as a loaded model,
-may be removed; while that is uncertain, the key does not count as idle.
+time. The owner uses `GrantTracker` to decide whether the object behind a key, such as a loaded
+model, may be removed; while that is uncertain, the key does not count as idle.
 """
 
 from __future__ import annotations
--- a/packages/gateway/src/gradelug_gateway/poison_desk.py
+++ b/packages/gateway/src/gradelug_gateway/poison_desk.py
@@ -85,7 +85,7 @@
 
 
 class PoisonAggregator:
-    """Aggregates the observations of all gateways at a planner; implements `parts.PlannerExtension`.
+    """Aggregates observations of all gateways; implements `parts.PlannerExtension` at a planner.
 
     Parameters
     ----------
--- a/packages/gateway/src/gradelug_gateway/runs.py
+++ b/packages/gateway/src/gradelug_gateway/runs.py
@@ -318,8 +318,8 @@
             job.copy = run.stopped
             return
         if run.first_event_at is None or self._clock() - run.first_event_at < COPY_READY_AFTER_S:
-            # The copy has probably not arrived. An engine without it rejects the request (145 of 145
-            # runs without an event had none), or runs it from the start if it loses responses.
+            # The copy has probably not arrived. An engine without it rejects the request (145 of
+            # 145 runs without an event had none), or restarts it if it loses responses.
             job.backup = None
         if (
             not run.is_abandoned
