--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -268,7 +268,7 @@
             await asyncio.sleep(5.0)
             held = owner_of(world, "e3").node.keepers["e3"].authority.held
             assert held.was_released
-            assert held.doubt_s > 90.0
+            assert held.predecessors_remaining_s > 90.0
 
         run_world(scenario)
 
